--- a/src/orders/configuration.cpp
+++ b/src/admin/configuration_record.cpp
@@ -1,10 +1,10 @@
-#include "orders/configuration.hpp"
+#include "admin/configuration_record.hpp"
 
 #include <algorithm>
 #include <boost/uuid/detail/sha1.hpp>
 #include <charconv>
 
-#include "wings/pack.hpp"
+#include "transport/compression.hpp"
 
 namespace lichenlanding::orders {
 namespace {
--- a/src/orders/rollouts.cpp
+++ b/src/admin/rollout_requests.cpp
@@ -1,4 +1,4 @@
-#include "orders/rollouts.hpp"
+#include "admin/rollout_requests.hpp"
 
 #include <algorithm>
 
--- a/src/orders/rollouts.hpp
+++ b/src/admin/rollout_requests.hpp
@@ -2,7 +2,7 @@
 // docs/design/orders.md weighs the ways. Pure: no I/O, no clock, no chance.
 #pragma once
 
-#include "cues/cues.hpp"
+#include "messages/codec.hpp"
 
 namespace lichenlanding::orders {
 
--- a/src/command/gateway.cpp
+++ b/src/command/gateway.cpp
@@ -10,9 +10,9 @@
 #include <sstream>
 
 #include "command/status.hpp"
-#include "foyer/foyer.hpp"
-#include "playbill/playbill.hpp"
-#include "prompter/prompter.hpp"
+#include "config/configuration.hpp"
+#include "control_plane/control_plane.hpp"
+#include "proxy/proxy.hpp"
 
 namespace {
 
--- a/src/command/rehearse.cpp
+++ b/src/command/scale_test.cpp
@@ -1,10 +1,11 @@
 // Rehearsals: the gateway's rooms under load, without traffic.
+#include "scale_test/scale_test.hpp"
+
 #include <CLI/CLI.hpp>
 #include <filesystem>
 
 #include "command/gateway.hpp"
-#include "rehearsal/hollow.hpp"
-#include "rehearsal/scale.hpp"
+#include "scale_test/hollow.hpp"
 
 namespace lichenlanding::command {
 namespace {
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -6,7 +6,7 @@
 #include <boost/beast/http/write.hpp>
 #include <nlohmann/json.hpp>
 
-#include "wings/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::command {
 namespace {
--- a/src/command/promptbook.cpp
+++ b/src/command/store.cpp
@@ -1,14 +1,13 @@
 // A stopped prompter's disk: shown, checked, its configuration exported.
-#include "promptbook/promptbook.hpp"
-
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <fstream>
 
+#include "admin/configuration_record.hpp"
 #include "command/gateway.hpp"
+#include "config/configuration.hpp"
 #include "membership/membership.hpp"
-#include "orders/configuration.hpp"
-#include "playbill/playbill.hpp"
+#include "storage/replica_store.hpp"
 
 namespace lichenlanding::command {
 namespace {
--- a/src/playbill/boot.cpp
+++ b/src/config/bootstrap_settings.cpp
@@ -1,11 +1,11 @@
-#include "playbill/boot.hpp"
+#include "config/bootstrap_settings.hpp"
 
 #include <cstdlib>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "playbill/playbill.hpp"
+#include "config/configuration.hpp"
 #include "text.hpp"
 
 namespace lichenlanding::playbill {
--- a/src/playbill/playbill.cpp
+++ b/src/config/configuration.cpp
@@ -1,4 +1,4 @@
-#include "playbill/playbill.hpp"
+#include "config/configuration.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/register/register.cpp
+++ b/src/consensus/consensus.cpp
@@ -1,4 +1,4 @@
-#include "register/register.hpp"
+#include "consensus/consensus.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/prompter/operator_calls.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -1,16 +1,16 @@
-#include "prompter/operator_calls.hpp"
+#include "control_plane/admin_api.hpp"
 
 #include <boost/beast/core/string.hpp>
 #include <boost/beast/http/empty_body.hpp>
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "cues/cues.hpp"
-#include "orders/configuration.hpp"
-#include "orders/rollouts.hpp"
-#include "playbill/playbill.hpp"
+#include "admin/configuration_record.hpp"
+#include "admin/rollout_requests.hpp"
+#include "config/configuration.hpp"
+#include "messages/codec.hpp"
 #include "text.hpp"
-#include "wings/log.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/operator_calls.hpp
+++ b/src/control_plane/admin_api.hpp
@@ -5,8 +5,8 @@
 #include <boost/beast/http/message.hpp>
 #include <boost/beast/http/string_body.hpp>
 
-#include "prompter/keeper.hpp"
-#include "wings/loop.hpp"
+#include "control_plane/replica_node.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/prompter.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -1,17 +1,17 @@
-#include "prompter/prompter.hpp"
+#include "control_plane/control_plane.hpp"
 
 #include <random>
 
-#include "callboard/callboard.hpp"
-#include "cues/cues.hpp"
-#include "orders/configuration.hpp"
-#include "playbill/playbill.hpp"
-#include "prompter/duty_holder.hpp"
-#include "prompter/keeper.hpp"
-#include "prompter/list_duty.hpp"
-#include "prompter/operator_calls.hpp"
-#include "prompter/rollouts_duty.hpp"
-#include "wings/log.hpp"
+#include "admin/configuration_record.hpp"
+#include "config/configuration.hpp"
+#include "control_plane/admin_api.hpp"
+#include "control_plane/endpoint_discovery.hpp"
+#include "control_plane/lease_holder.hpp"
+#include "control_plane/replica_node.hpp"
+#include "control_plane/rollout_controller.hpp"
+#include "messages/codec.hpp"
+#include "subscription/configuration_cache.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::prompter {
 namespace {
--- a/src/prompter/prompter.hpp
+++ b/src/control_plane/control_plane.hpp
@@ -2,7 +2,7 @@
 // platform's list, answers the operator and cues the foyers.
 #pragma once
 
-#include "playbill/boot.hpp"
+#include "config/bootstrap_settings.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/list_duty.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -1,12 +1,12 @@
-#include "prompter/list_duty.hpp"
+#include "control_plane/endpoint_discovery.hpp"
 
 #include <boost/beast/http/empty_body.hpp>
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "cues/cues.hpp"
-#include "wings/log.hpp"
+#include "messages/codec.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/list_duty.hpp
+++ b/src/control_plane/endpoint_discovery.hpp
@@ -1,9 +1,9 @@
 // The duty for the platform's list: asks for it, whole, within the platform's rate, and pushes what changed.
 #pragma once
 
-#include "callboard/callboard.hpp"
-#include "playbill/boot.hpp"
-#include "wings/loop.hpp"
+#include "config/bootstrap_settings.hpp"
+#include "subscription/configuration_cache.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/duty_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -1,6 +1,6 @@
-#include "prompter/duty_holder.hpp"
+#include "control_plane/lease_holder.hpp"
 
-#include "wings/log.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/duty_holder.hpp
+++ b/src/control_plane/lease_holder.hpp
@@ -3,8 +3,8 @@
 // src/duties'.
 #pragma once
 
-#include "duties/duties.hpp"
-#include "prompter/keeper.hpp"
+#include "control_plane/replica_node.hpp"
+#include "leases/leases.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/keeper.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -1,12 +1,12 @@
-#include "prompter/keeper.hpp"
+#include "control_plane/replica_node.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
 #include <filesystem>
 
-#include "company/company.hpp"
-#include "cues/cues.hpp"
-#include "wings/log.hpp"
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::prompter {
 namespace {
--- a/src/prompter/keeper.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -9,11 +9,11 @@
 #include <optional>
 #include <set>
 
+#include "config/bootstrap_settings.hpp"
+#include "consensus/consensus.hpp"
 #include "membership/membership.hpp"
-#include "playbill/boot.hpp"
-#include "promptbook/promptbook.hpp"
-#include "register/register.hpp"
-#include "wings/link.hpp"
+#include "storage/replica_store.hpp"
+#include "transport/peer_connection.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/rollouts_duty.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -1,8 +1,8 @@
-#include "prompter/rollouts_duty.hpp"
+#include "control_plane/rollout_controller.hpp"
 
-#include "company/company.hpp"
+#include "hashing/rendezvous.hpp"
+#include "transport/log.hpp"
 #include "verdict/stages.hpp"
-#include "wings/log.hpp"
 
 namespace lichenlanding::prompter {
 
--- a/src/prompter/rollouts_duty.hpp
+++ b/src/control_plane/rollout_controller.hpp
@@ -1,8 +1,8 @@
 // The duty for rollouts: foyers' votes are counted, and orders moved from stage to stage in the register.
 #pragma once
 
-#include "cues/cues.hpp"
-#include "prompter/keeper.hpp"
+#include "control_plane/replica_node.hpp"
+#include "messages/codec.hpp"
 #include "verdict/rollout.hpp"
 #include "verdict/stages.hpp"
 
--- a/src/troupe/troupe.cpp
+++ b/src/discovery/endpoint_set.cpp
@@ -1,4 +1,4 @@
-#include "troupe/troupe.hpp"
+#include "discovery/endpoint_set.hpp"
 
 namespace lichenlanding::troupe {
 
--- a/src/company/company.cpp
+++ b/src/hashing/rendezvous.cpp
@@ -1,4 +1,4 @@
-#include "company/company.hpp"
+#include "hashing/rendezvous.hpp"
 
 #include "limits/fleet.hpp"
 
--- a/src/duties/duties.cpp
+++ b/src/leases/leases.cpp
@@ -1,10 +1,10 @@
-#include "duties/duties.hpp"
+#include "leases/leases.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "company/company.hpp"
+#include "hashing/rendezvous.hpp"
 
 // Member and name of each, once.
 #define DUTY_FIELDS(X) X(holder, "holder") X(life, "life") X(term, "term")
--- a/src/duties/duties.hpp
+++ b/src/leases/leases.hpp
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "register/register.hpp"
+#include "consensus/consensus.hpp"
 #include "state.hpp"
 
 namespace lichenlanding::duties {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <tuple>
 
-#include "company/company.hpp"
-#include "cues/cues.hpp"
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
 
 namespace lichenlanding::membership {
 namespace {
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "register/register.hpp"
+#include "consensus/consensus.hpp"
 #include "state.hpp"
 
 namespace lichenlanding::membership {
--- a/src/cues/cues.cpp
+++ b/src/messages/codec.cpp
@@ -1,6 +1,6 @@
-#include "cues/cues.hpp"
+#include "messages/codec.hpp"
 
-#include "playbill/playbill.hpp"
+#include "config/configuration.hpp"
 
 // Member and name of each, once.
 #define MEMBER_FIELDS(X) \
--- a/src/cues/cues.hpp
+++ b/src/messages/codec.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "register/register.hpp"
-#include "troupe/troupe.hpp"
+#include "consensus/consensus.hpp"
+#include "discovery/endpoint_set.hpp"
 #include "verdict/rollout.hpp"
 
 namespace lichenlanding::cues {
--- a/src/foyer/front.cpp
+++ b/src/proxy/http_server.cpp
@@ -1,4 +1,4 @@
-#include "foyer/front.hpp"
+#include "proxy/http_server.hpp"
 
 #include <sys/socket.h>
 
@@ -8,7 +8,7 @@
 #include <boost/beast/http/write.hpp>
 
 #include "text.hpp"
-#include "wings/log.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::foyer {
 namespace {
--- a/src/foyer/front.hpp
+++ b/src/proxy/http_server.hpp
@@ -2,7 +2,7 @@
 // casting and the pods.
 #pragma once
 
-#include "foyer/upstream.hpp"
+#include "proxy/upstream.hpp"
 
 namespace lichenlanding::foyer {
 
--- a/src/foyer/foyer.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,15 +1,15 @@
-#include "foyer/foyer.hpp"
-
-#include "callboard/callboard.hpp"
-#include "callboard/confidence.hpp"
-#include "company/company.hpp"
-#include "cues/cues.hpp"
-#include "foyer/front.hpp"
-#include "foyer/probes.hpp"
+#include "proxy/proxy.hpp"
+
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
+#include "proxy/http_server.hpp"
+#include "proxy/readiness_server.hpp"
+#include "subscription/configuration_cache.hpp"
+#include "subscription/quorum_contact.hpp"
+#include "transport/compression.hpp"
+#include "transport/log.hpp"
+#include "transport/peer_connection.hpp"
 #include "verdict/stages.hpp"
-#include "wings/link.hpp"
-#include "wings/log.hpp"
-#include "wings/pack.hpp"
 
 namespace lichenlanding::foyer {
 namespace {
--- a/src/foyer/foyer.hpp
+++ b/src/proxy/proxy.hpp
@@ -2,7 +2,7 @@
 // the pure rooms; decisions are theirs.
 #pragma once
 
-#include "playbill/boot.hpp"
+#include "config/bootstrap_settings.hpp"
 
 namespace lichenlanding::foyer {
 
--- a/src/foyer/probes.cpp
+++ b/src/proxy/readiness_server.cpp
@@ -1,10 +1,10 @@
-#include "foyer/probes.hpp"
+#include "proxy/readiness_server.hpp"
 
 #include <boost/beast/http/empty_body.hpp>
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/write.hpp>
 
-#include "wings/log.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::foyer {
 namespace {
--- a/src/foyer/probes.hpp
+++ b/src/proxy/readiness_server.hpp
@@ -1,7 +1,7 @@
 // The readiness address: 200 while this foyer is ready, else 503.
 #pragma once
 
-#include "wings/loop.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::foyer {
 
--- a/src/foyer/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -1,4 +1,4 @@
-#include "foyer/upstream.hpp"
+#include "proxy/upstream.hpp"
 
 #include <sys/socket.h>
 
--- a/src/foyer/upstream.hpp
+++ b/src/proxy/upstream.hpp
@@ -10,8 +10,8 @@
 #include <functional>
 #include <map>
 
-#include "casting/casting.hpp"
-#include "wings/loop.hpp"
+#include "routing/router.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::foyer {
 
--- a/src/casting/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -1,4 +1,4 @@
-#include "casting/attempt.hpp"
+#include "routing/attempt.hpp"
 
 #include <algorithm>
 #include <stdexcept>
--- a/src/casting/casting.cpp
+++ b/src/routing/router.cpp
@@ -1,10 +1,10 @@
-#include "casting/casting.hpp"
+#include "routing/router.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "company/company.hpp"
+#include "hashing/rendezvous.hpp"
 
 namespace lichenlanding::casting {
 namespace {
--- a/src/casting/casting.hpp
+++ b/src/routing/router.hpp
@@ -13,11 +13,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "casting/attempt.hpp"
-#include "cues/cues.hpp"
-#include "playbill/boot.hpp"
-#include "playbill/playbill.hpp"
-#include "troupe/troupe.hpp"
+#include "config/bootstrap_settings.hpp"
+#include "config/configuration.hpp"
+#include "discovery/endpoint_set.hpp"
+#include "messages/codec.hpp"
+#include "routing/attempt.hpp"
 #include "verdict/rollout.hpp"
 
 namespace lichenlanding::casting {
--- a/src/rehearsal/hollow.cpp
+++ b/src/scale_test/hollow.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/hollow.hpp"
+#include "scale_test/hollow.hpp"
 
 #include <unistd.h>
 
@@ -9,11 +9,11 @@
 #include <istream>
 #include <random>
 
-#include "callboard/callboard.hpp"
-#include "callboard/confidence.hpp"
-#include "company/company.hpp"
-#include "wings/link.hpp"
-#include "wings/log.hpp"
+#include "hashing/rendezvous.hpp"
+#include "subscription/configuration_cache.hpp"
+#include "subscription/quorum_contact.hpp"
+#include "transport/log.hpp"
+#include "transport/peer_connection.hpp"
 
 namespace lichenlanding::rehearsal {
 namespace {
--- a/src/rehearsal/hollow.hpp
+++ b/src/scale_test/hollow.hpp
@@ -3,7 +3,7 @@
 // configuration counts as in force when its bytes are there: they are not read into routes.
 #pragma once
 
-#include "rehearsal/plan.hpp"
+#include "scale_test/scenario_config.hpp"
 
 namespace lichenlanding::rehearsal {
 
--- a/src/rehearsal/measure.cpp
+++ b/src/scale_test/measure.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/measure.hpp"
+#include "scale_test/measure.hpp"
 
 #include <arpa/inet.h>
 #include <linux/inet_diag.h>
--- a/src/rehearsal/platform.cpp
+++ b/src/scale_test/platform.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/platform.hpp"
+#include "scale_test/platform.hpp"
 
 #include <boost/beast/http/empty_body.hpp>
 #include <boost/beast/http/read.hpp>
--- a/src/rehearsal/platform.hpp
+++ b/src/scale_test/platform.hpp
@@ -6,8 +6,8 @@
 #include <map>
 #include <set>
 
-#include "rehearsal/plan.hpp"
-#include "wings/loop.hpp"
+#include "scale_test/scenario_config.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::rehearsal {
 
--- a/src/rehearsal/report.cpp
+++ b/src/scale_test/report.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/report.hpp"
+#include "scale_test/report.hpp"
 
 #include <algorithm>
 #include <cmath>
--- a/src/rehearsal/scale.cpp
+++ b/src/scale_test/scale_test.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/scale.hpp"
+#include "scale_test/scale_test.hpp"
 
 #include <fcntl.h>
 #include <sys/prctl.h>
@@ -19,12 +19,12 @@
 #include <filesystem>
 #include <fstream>
 
-#include "playbill/playbill.hpp"
-#include "rehearsal/hollow.hpp"
-#include "rehearsal/measure.hpp"
-#include "rehearsal/platform.hpp"
-#include "rehearsal/report.hpp"
-#include "rehearsal/sizes.hpp"
+#include "config/configuration.hpp"
+#include "scale_test/hollow.hpp"
+#include "scale_test/measure.hpp"
+#include "scale_test/platform.hpp"
+#include "scale_test/report.hpp"
+#include "scale_test/sizes.hpp"
 
 namespace lichenlanding::rehearsal {
 namespace {
--- a/src/rehearsal/scale.hpp
+++ b/src/scale_test/scale_test.hpp
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "rehearsal/plan.hpp"
+#include "scale_test/scenario_config.hpp"
 
 namespace lichenlanding::rehearsal {
 
--- a/src/rehearsal/plan.cpp
+++ b/src/scale_test/scenario_config.cpp
@@ -1,9 +1,9 @@
-#include "rehearsal/plan.hpp"
+#include "scale_test/scenario_config.hpp"
 
 #include <stdexcept>
 
-#include "company/company.hpp"
-#include "playbill/playbill.hpp"
+#include "config/configuration.hpp"
+#include "hashing/rendezvous.hpp"
 #include "text.hpp"
 
 namespace lichenlanding::rehearsal {
--- a/src/rehearsal/plan.hpp
+++ b/src/scale_test/scenario_config.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "troupe/troupe.hpp"
+#include "discovery/endpoint_set.hpp"
 
 // Member, name in the file, value where it is not told, least, most.
 #define SCALE_SETTINGS(X)                               \
--- a/src/rehearsal/sizes.cpp
+++ b/src/scale_test/sizes.cpp
@@ -1,11 +1,11 @@
-#include "rehearsal/sizes.hpp"
+#include "scale_test/sizes.hpp"
 
-#include "company/company.hpp"
-#include "cues/cues.hpp"
-#include "playbill/playbill.hpp"
-#include "rehearsal/hollow.hpp"
-#include "wings/loop.hpp"
-#include "wings/pack.hpp"
+#include "config/configuration.hpp"
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
+#include "scale_test/hollow.hpp"
+#include "transport/compression.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::rehearsal {
 namespace {
--- a/src/rehearsal/sizes.hpp
+++ b/src/scale_test/sizes.hpp
@@ -1,7 +1,7 @@
 // What the messages of a plan's size weigh, and what one costs to make and to read, by the rooms that do so.
 #pragma once
 
-#include "rehearsal/plan.hpp"
+#include "scale_test/scenario_config.hpp"
 
 namespace lichenlanding::rehearsal {
 
--- a/src/promptbook/promptbook.cpp
+++ b/src/storage/replica_store.cpp
@@ -1,4 +1,4 @@
-#include "promptbook/promptbook.hpp"
+#include "storage/replica_store.hpp"
 
 #include <fcntl.h>
 #include <lmdb.h>
--- a/src/promptbook/promptbook.hpp
+++ b/src/storage/replica_store.hpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "register/register.hpp"
+#include "consensus/consensus.hpp"
 
 namespace lichenlanding::promptbook {
 
--- a/src/callboard/callboard.cpp
+++ b/src/subscription/configuration_cache.cpp
@@ -1,10 +1,10 @@
-#include "callboard/callboard.hpp"
+#include "subscription/configuration_cache.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "company/company.hpp"
-#include "cues/cues.hpp"
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
 
 namespace lichenlanding::callboard {
 namespace {
--- a/src/callboard/callboard.hpp
+++ b/src/subscription/configuration_cache.hpp
@@ -13,7 +13,7 @@
 #include <functional>
 #include <nlohmann/json.hpp>
 
-#include "troupe/troupe.hpp"
+#include "discovery/endpoint_set.hpp"
 
 namespace lichenlanding::callboard {
 
--- a/src/callboard/confidence.cpp
+++ b/src/subscription/quorum_contact.cpp
@@ -1,4 +1,4 @@
-#include "callboard/confidence.hpp"
+#include "subscription/quorum_contact.hpp"
 
 #include <algorithm>
 #include <utility>
--- a/src/wings/pieces.cpp
+++ b/src/transport/chunks.cpp
@@ -1,4 +1,4 @@
-#include "wings/pieces.hpp"
+#include "transport/chunks.hpp"
 
 #include <zlib.h>
 
--- a/src/wings/pack.cpp
+++ b/src/transport/compression.cpp
@@ -1,4 +1,4 @@
-#include "wings/pack.hpp"
+#include "transport/compression.hpp"
 
 #include <zlib.h>
 
--- a/src/wings/loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "wings/loop.hpp"
+#include "transport/event_loop.hpp"
 
 #include <netinet/tcp.h>
 
@@ -7,7 +7,7 @@
 #include <stdexcept>
 
 #include "text.hpp"
-#include "wings/log.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::wings {
 
--- a/src/wings/log.cpp
+++ b/src/transport/log.cpp
@@ -1,4 +1,4 @@
-#include "wings/log.hpp"
+#include "transport/log.hpp"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
--- a/src/wings/link.cpp
+++ b/src/transport/peer_connection.cpp
@@ -1,10 +1,10 @@
-#include "wings/link.hpp"
+#include "transport/peer_connection.hpp"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/websocket.hpp>
 
-#include "wings/log.hpp"
-#include "wings/pack.hpp"
+#include "transport/compression.hpp"
+#include "transport/log.hpp"
 
 namespace lichenlanding::wings {
 namespace {
--- a/src/wings/link.hpp
+++ b/src/transport/peer_connection.hpp
@@ -8,8 +8,8 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-#include "wings/loop.hpp"
-#include "wings/pieces.hpp"
+#include "transport/chunks.hpp"
+#include "transport/event_loop.hpp"
 
 namespace lichenlanding::wings {
 
--- a/tests/gateway/orders.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -1,18 +1,19 @@
 // Orders against what is in force. Each rule is also explored: orders of the same and of other numbers sent
 // twice, through any prompter, in every sequence of ballots, with answers lost and writes lost or done late.
 // Each invariant is shown to be able to fail, the first by what answered before there was a history.
+#include "admin/configuration_record.hpp"
+
 #include <functional>
 #include <iostream>
 #include <random>
 #include <set>
 #include <unordered_set>
 
-#include "orders/configuration.hpp"
-#include "orders/rollouts.hpp"
-#include "playbill/playbill.hpp"
-#include "register/register.hpp"
-#include "transcript.hpp"
-#include "wings/pack.hpp"
+#include "admin/rollout_requests.hpp"
+#include "config/configuration.hpp"
+#include "consensus/consensus.hpp"
+#include "support/transcript.hpp"
+#include "transport/compression.hpp"
 
 using namespace lichenlanding;
 using namespace lichenlanding::orders;
@@ -362,7 +363,7 @@
             CPPUNIT_ASSERT_MESSAGE(text, !found.broken.empty());
             seen += text + ": " + found.broken + "\n";
         }
-        approve("orders-explored", seen);
+        approve("configuration-record-explored", seen);
     }
 
     void overTheRegister() {
--- a/tests/gateway/playbill.cpp
+++ b/tests/config/configuration.cpp
@@ -1,8 +1,8 @@
 // Configurations: what is refused, with which words; which route takes a path.
-#include "playbill/playbill.hpp"
+#include "config/configuration.hpp"
 
-#include "playbill/boot.hpp"
-#include "transcript.hpp"
+#include "config/bootstrap_settings.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding;
 using namespace lichenlanding::playbill;
@@ -79,7 +79,7 @@
             whole(route("r", "/p/", times + R"("traffic_split":[{"service_name":"a","weight":-1}])")));
         see("no service", whole(route("r", "/p/", R"("timeout":"1s","target_latency":"1s")")));
         see("all at once", whole(route("r", "p", R"("timeout":"700s")") + R"(,{"resource_type":"table"})"));
-        approve("playbill-refusals", seen);
+        approve("configuration-errors", seen);
     }
 
     void routes() {
@@ -99,7 +99,7 @@
         const auto* root = playbill.find("h.example", "/");
         seen += "draws 0, 89, 90, 99 -> ";
         for (int draw : {0, 89, 90, 99}) seen += root->service(draw) + " ";
-        approve("playbill-routes", seen + "\n");
+        approve("configuration-routes", seen + "\n");
     }
 
     void manyRoutes() {
@@ -138,7 +138,7 @@
                 seen += what + ": " + wrong.what() + "\n";
             }
         }
-        approve("boot-settings", seen);
+        approve("bootstrap-settings", seen);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(PlaybillTest);
--- a/tests/gateway/register.cpp
+++ b/tests/consensus/consensus.cpp
@@ -2,13 +2,13 @@
 // and loss up to a stated size, with disks lost, put back from an older image and members replaced; then
 // under seeded schedules beyond it. Each invariant is also shown to be able to fail, by a host or a disk that
 // breaks it on purpose. A line of the output replays what it names: REGISTER_REPLAY="shape bug seed".
-#include "register/register.hpp"
+#include "consensus/consensus.hpp"
 
 #include <deque>
 #include <random>
 #include <unordered_set>
 
-#include "transcript.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding::reg;
 
--- a/tests/gateway/operator_calls.cpp
+++ b/tests/control_plane/admin_api.cpp
@@ -1,9 +1,9 @@
 // The operator's calls: what each comes to against a register that is out of contact, loses a majority midway
 // or knows the order already; and callers on loopback that go, cut, wait, or crowd in.
-#include "control_stage.hpp"
-#include "orders/configuration.hpp"
-#include "playbill/playbill.hpp"
-#include "wings/pack.hpp"
+#include "admin/configuration_record.hpp"
+#include "config/configuration.hpp"
+#include "support/admin_api_fixture.hpp"
+#include "transport/compression.hpp"
 
 using namespace control_stage;
 using Fate = ScriptedRegister::Fate;
@@ -118,7 +118,7 @@
             seen += "rollout " + target + " " + deadline + ": " +
                     say("rollouts.begin", rollout(target, deadline));
         seen += "rollouts.read: " + say("rollouts.read&of=s", "");
-        approve("operator-calls-conflicts", seen);
+        approve("admin-api-conflicts", seen);
     }
 
     // A register written by an earlier text: read back, known again, told apart and replaced.
--- a/tests/gateway/contract.cpp
+++ b/tests/control_plane/admin_api_contract.cpp
@@ -5,9 +5,9 @@
 
 #include <nlohmann/json.hpp>
 
-#include "control_stage.hpp"
-#include "playbill/playbill.hpp"
-#include "transcript.hpp"
+#include "config/configuration.hpp"
+#include "support/admin_api_fixture.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding;
 using Json = nlohmann::json;
--- a/tests/gateway/list_duty.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -1,7 +1,7 @@
 // The list's duty against a platform that turns pages away.
-#include "prompter/list_duty.hpp"
+#include "control_plane/endpoint_discovery.hpp"
 
-#include "stage.hpp"
+#include "support/http_server_fixture.hpp"
 
 using namespace stage;
 
--- a/tests/gateway/keeper.cpp
+++ b/tests/control_plane/replica_node.cpp
@@ -1,5 +1,5 @@
 // Keepers of the register on disks that hang or are full, and links that are dropped at once.
-#include "keeper_stage.hpp"
+#include "support/replica_node_fixture.hpp"
 
 using namespace keeper_stage;
 
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -6,16 +6,16 @@
 #include <boost/beast/http/string_body.hpp>
 #include <cstdlib>
 
-#include "callboard/callboard.hpp"
-#include "cues/cues.hpp"
-#include "duties/duties.hpp"
+#include "admin/configuration_record.hpp"
+#include "config/bootstrap_settings.hpp"
+#include "config/configuration.hpp"
+#include "leases/leases.hpp"
 #include "membership/membership.hpp"
-#include "orders/configuration.hpp"
-#include "playbill/boot.hpp"
-#include "playbill/playbill.hpp"
+#include "messages/codec.hpp"
 #include "seeded.hpp"
-#include "wings/pack.hpp"
-#include "wings/pieces.hpp"
+#include "subscription/configuration_cache.hpp"
+#include "transport/chunks.hpp"
+#include "transport/compression.hpp"
 
 using namespace lichenlanding;
 using Json = nlohmann::json;
--- a/tests/gateway/house.cpp
+++ b/tests/integration/cluster.cpp
@@ -14,8 +14,8 @@
 #include <filesystem>
 #include <set>
 
-#include "transcript.hpp"
-#include "wings/link.hpp"
+#include "support/transcript.hpp"
+#include "transport/peer_connection.hpp"
 
 using namespace lichenlanding::wings;
 using lichenlanding::Nanos;
--- a/tests/gateway/duties.cpp
+++ b/tests/leases/leases.cpp
@@ -1,13 +1,13 @@
 // Duties with terms: who takes one and when, what receivers make of a holder of a lower term, how long an
 // order has run, and what a foyer takes from a prompter that is out of contact. All in virtual time.
-#include "duties/duties.hpp"
+#include "leases/leases.hpp"
 
 #include <filesystem>
 
-#include "callboard/confidence.hpp"
-#include "callboard_stage.hpp"
-#include "cues/cues.hpp"
-#include "transcript.hpp"
+#include "messages/codec.hpp"
+#include "subscription/quorum_contact.hpp"
+#include "support/subscription_fixture.hpp"
+#include "support/transcript.hpp"
 #include "verdict/stages.hpp"
 
 using namespace callboard_stage;
@@ -137,7 +137,7 @@
             CPPUNIT_ASSERT(core.most <= 1);
             seen += core.seen;
         }
-        approve("duties-taken", seen);
+        approve("leases-taken", seen);
     }
 
     // Two that stand at once: one ballot is first, the other changes nothing. Seeded kills, cuts and restarts
@@ -342,31 +342,31 @@
             now += 1500 * ms;
             line(foyer, "again", Confidence::Change::none);
         }
-        approve("duties-unsure", seen);
+        approve("leases-unsure", seen);
     }
 
     // Nothing of the gateway reads a wall clock but the log's stamp: one that steps can change nothing else.
     void noWallClock() {
         namespace fs = std::filesystem;
-        const fs::path sources = fs::path(TRANSCRIPTS) / "../../../src";
+        const fs::path sources = fs::path(TRANSCRIPTS) / "../../src";
         std::set<std::string> readers;
         std::size_t read = 0;
-        for (const auto* room :
-             {"callboard", "casting", "company", "cues", "duties", "foyer", "membership", "orders",
-              "playbill", "promptbook", "prompter", "register", "troupe", "verdict", "wings"}) {
-            if (!fs::exists(sources / room)) continue;
-            for (const auto& file : fs::directory_iterator(sources / room)) {
+        for (const auto* module :
+             {"admin", "config", "consensus", "control_plane", "discovery", "hashing", "leases", "membership",
+              "messages", "proxy", "routing", "storage", "subscription", "transport", "verdict"}) {
+            CPPUNIT_ASSERT_MESSAGE(module, fs::exists(sources / module));
+            for (const auto& file : fs::directory_iterator(sources / module)) {
                 std::ifstream stream(file.path());
                 std::stringstream text;
                 text << stream.rdbuf(), ++read;
                 for (const auto* clock : {"system_clock", "CLOCK_REALTIME", "gettimeofday", "utc_clock",
                                           "time(nullptr)", "time(NULL)", "localtime", "gmtime", "wallMillis"})
                     if (text.str().find(clock) != std::string::npos)
-                        readers.insert(std::string(room) + "/" + file.path().filename().string());
+                        readers.insert(std::string(module) + "/" + file.path().filename().string());
             }
         }
         CPPUNIT_ASSERT(read > 50);
-        CPPUNIT_ASSERT(readers == std::set<std::string>{"wings/log.cpp"});
+        CPPUNIT_ASSERT(readers == std::set<std::string>{"transport/log.cpp"});
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(DutiesTest);
--- a/tests/gateway/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <filesystem>
 
-#include "keeper_stage.hpp"
+#include "support/replica_node_fixture.hpp"
 
 using namespace keeper_stage;
 using membership::Candidate;
--- a/tests/gateway/tries.cpp
+++ b/tests/proxy/attempts.cpp
@@ -2,7 +2,7 @@
 // every byte. Counted at the pods: what may run once runs once; each client gets its own answers alone; what
 // is promised not to have run has not. The checks are in House::judge(), and run at the end of every
 // exchange.
-#include "scripted_pods.hpp"
+#include "support/scripted_pods.hpp"
 
 using namespace scripted;
 
--- a/tests/gateway/front.cpp
+++ b/tests/proxy/http_server.cpp
@@ -1,6 +1,6 @@
 // Whole exchanges through a foyer's front: client, gateway, pods. Each case is one of the ways in which pods
 // and clients misbehave; the transcript shows what the client got and what reached which pod.
-#include "stage.hpp"
+#include "support/http_server_fixture.hpp"
 
 using namespace stage;
 
--- a/tests/gateway/probes.cpp
+++ b/tests/proxy/readiness_server.cpp
@@ -1,11 +1,11 @@
 // The readiness port: probes that say nothing, and a machine that has no descriptor left.
-#include "foyer/probes.hpp"
+#include "proxy/readiness_server.hpp"
 
 #include <sys/resource.h>
 
 #include <cstring>
 
-#include "stage.hpp"
+#include "support/http_server_fixture.hpp"
 
 using namespace stage;
 
--- a/tests/gateway/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -1,12 +1,12 @@
 // The states of an attempt and what is concluded from them, against a world in which pods run what reached
 // them whenever they like. Each rule is also broken on purpose, to show that these checks can fail.
-#include "casting/attempt.hpp"
+#include "routing/attempt.hpp"
 
 #include <functional>
 #include <set>
 #include <stdexcept>
 
-#include "transcript.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding::casting;
 
--- a/tests/gateway/casting.cpp
+++ b/tests/routing/router.cpp
@@ -1,8 +1,8 @@
 // Casting without sockets: what is sent where, what is never sent again, how much of anything there may be.
 // Times are made up; chance is seeded.
-#include "casting/casting.hpp"
+#include "routing/router.hpp"
 
-#include "transcript.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding;
 using casting::Attempt, casting::Casting, casting::Event, casting::Try;
@@ -114,7 +114,7 @@
                         (second_ == "-" ? "no" : "yes") + ", then " + std::to_string(refusal.status) +
                         (refusal.retryAfter > 0 ? " come back" : "") + "\n";
             }
-        approve("casting-sends-again", seen);
+        approve("router-retries", seen);
     }
 
     // max_attempts counts the pods that it was sent to: those not reached were not, up to two more.
@@ -217,7 +217,7 @@
             }
             seen += " of 12 each\n";
         }
-        approve("casting-few-requests", seen);
+        approve("router-few-requests", seen);
     }
 
     // Two orders of one service at once: while one has all traffic, the other keeps to its own share.
@@ -317,7 +317,7 @@
         known.list("n", "v2"), known.list("p", "v1");
         known.rollout("in_progress"), known.now += 3 * second;
         see("order known late", known);
-        approve("casting-versions", seen);
+        approve("router-versions", seen);
     }
 
     // DRAIN and lives: no send to a pod that leaves, that is gone, or that is not who it was.
@@ -365,7 +365,7 @@
             seen += "waiting in the own zone " + std::to_string(near) + ", elsewhere " + std::to_string(far) +
                     ": " + std::to_string((others + 5) / 10) + " of 100 go elsewhere\n";
         }
-        approve("casting-full-zone", seen);
+        approve("router-full-zone", seen);
     }
 
     // A pod that owes answers for long gets no more while others can; when it answers, it does again.
--- a/tests/gateway/rehearsal.cpp
+++ b/tests/scale_test/scale_test.cpp
@@ -7,12 +7,12 @@
 #include <ctime>
 #include <sstream>
 
-#include "playbill/playbill.hpp"
-#include "rehearsal/measure.hpp"
-#include "rehearsal/plan.hpp"
-#include "rehearsal/platform.hpp"
-#include "rehearsal/report.hpp"
-#include "transcript.hpp"
+#include "config/configuration.hpp"
+#include "scale_test/measure.hpp"
+#include "scale_test/platform.hpp"
+#include "scale_test/report.hpp"
+#include "scale_test/scenario_config.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding;
 using Json = nlohmann::json;
@@ -29,7 +29,7 @@
 
     static std::pair<int, std::vector<std::string>> scale(const std::string& words) {
         const auto command =
-            std::string(GATEWAY " rehearse scale " TRANSCRIPTS "/../../../bench/scale/") + words + " 2>&1";
+            std::string(GATEWAY " rehearse scale " TRANSCRIPTS "/../../bench/scale/") + words + " 2>&1";
         std::pair<int, std::vector<std::string>> all;
         auto* out = popen(command.c_str(), "r");
         CPPUNIT_ASSERT(out);
--- a/tests/gateway/promptbook.cpp
+++ b/tests/storage/replica_store.cpp
@@ -1,5 +1,5 @@
 // The prompter's disk: what is written is there again; damage and fullness are told and never guessed over.
-#include "promptbook/promptbook.hpp"
+#include "storage/replica_store.hpp"
 
 #include <sys/resource.h>
 #include <unistd.h>
@@ -7,7 +7,7 @@
 #include <csignal>
 #include <filesystem>
 
-#include "transcript.hpp"
+#include "support/transcript.hpp"
 
 using namespace lichenlanding;
 using promptbook::DiskError, promptbook::Promptbook;
--- a/tests/gateway/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -4,11 +4,11 @@
 #include <iostream>
 #include <random>
 
-#include "callboard_stage.hpp"
-#include "cues/cues.hpp"
-#include "keeper_stage.hpp"
-#include "playbill/playbill.hpp"
-#include "wings/pack.hpp"
+#include "config/configuration.hpp"
+#include "messages/codec.hpp"
+#include "support/replica_node_fixture.hpp"
+#include "support/subscription_fixture.hpp"
+#include "transport/compression.hpp"
 
 using namespace keeper_stage;
 using callboard_stage::Callboard, callboard_stage::pods;
--- a/tests/gateway/company.cpp
+++ b/tests/subscription/peer_updates.cpp
@@ -1,11 +1,10 @@
 // News among many foyers in virtual time: the real rooms, a scripted network. Prompters push changes; foyers
 // watch three others each and mend their copies. Counted, never timed: messages and bytes a foyer, rounds
 // until all agree. Chance is seeded.
-#include "company/company.hpp"
-
-#include "callboard_stage.hpp"
-#include "cues/cues.hpp"
-#include "transcript.hpp"
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
+#include "support/subscription_fixture.hpp"
+#include "support/transcript.hpp"
 
 using namespace callboard_stage;
 
@@ -232,7 +231,7 @@
             CPPUNIT_ASSERT_EQUAL(foyers, town.agreeing());
             line("a tenth cut off, mended in " + std::to_string(rounds) + " heartbeats");
         }
-        approve("company-costs", seen);
+        approve("peer-updates-costs", seen);
     }
 
     // Each watches three, is watched by some, and one that goes changes few lists.
--- a/tests/gateway/control_stage.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -7,8 +7,8 @@
 #include <boost/beast/http/read.hpp>
 #include <deque>
 
-#include "loop_stage.hpp"
-#include "prompter/operator_calls.hpp"
+#include "control_plane/admin_api.hpp"
+#include "support/event_loop_fixture.hpp"
 
 namespace control_stage {
 
--- a/tests/gateway/loop_stage.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -3,8 +3,8 @@
 
 #include <optional>
 
-#include "transcript.hpp"
-#include "wings/loop.hpp"
+#include "support/transcript.hpp"
+#include "transport/event_loop.hpp"
 
 namespace loop_stage {
 
--- a/tests/gateway/stage.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -6,8 +6,8 @@
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/read.hpp>
 
-#include "foyer/front.hpp"
-#include "loop_stage.hpp"
+#include "proxy/http_server.hpp"
+#include "support/event_loop_fixture.hpp"
 
 namespace stage {
 
--- a/tests/gateway/keeper_stage.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -5,8 +5,8 @@
 #include <condition_variable>
 #include <mutex>
 
-#include "loop_stage.hpp"
-#include "prompter/keeper.hpp"
+#include "control_plane/replica_node.hpp"
+#include "support/event_loop_fixture.hpp"
 
 namespace keeper_stage {
 
--- a/tests/gateway/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -1,4 +1,4 @@
-#include "scripted_pods.hpp"
+#include "support/scripted_pods.hpp"
 
 #include <boost/asio/read.hpp>
 #include <boost/asio/write.hpp>
--- a/tests/gateway/scripted_pods.hpp
+++ b/tests/support/scripted_pods.hpp
@@ -6,8 +6,8 @@
 #include <functional>
 #include <set>
 
-#include "foyer/front.hpp"
-#include "transcript.hpp"
+#include "proxy/http_server.hpp"
+#include "support/transcript.hpp"
 
 namespace scripted {
 
--- a/tests/gateway/callboard_stage.hpp
+++ b/tests/support/subscription_fixture.hpp
@@ -1,7 +1,7 @@
 // Lists of pods, and callboards that tell one another, without links or time.
 #pragma once
 
-#include "callboard/callboard.hpp"
+#include "subscription/configuration_cache.hpp"
 
 namespace callboard_stage {
 
--- a/tests/gateway/pieces.cpp
+++ b/tests/transport/chunks.cpp
@@ -1,11 +1,11 @@
 // Large messages on a link go in pieces: what arrives, in which order, and what a spoilt or missing piece
 // does. A slow line in virtual time; then two real links.
-#include "wings/pieces.hpp"
+#include "transport/chunks.hpp"
 
 #include <random>
 
-#include "transcript.hpp"
-#include "wings/link.hpp"
+#include "support/transcript.hpp"
+#include "transport/peer_connection.hpp"
 
 using namespace lichenlanding;
 using namespace lichenlanding::wings;
@@ -141,7 +141,7 @@
             frames = good, frames[1][head] ^= 4;
             CPPUNIT_ASSERT_EQUAL(std::string("piece: not the next one"), refused(frames));
         }
-        approve("pieces-spoilt", seen);
+        approve("chunks-corrupt", seen);
     }
 
     // Over real links: small messages overtake megabytes, and all arrive whole.
--- a/tests/gateway/verdict.cpp
+++ b/tests/verdict/rollout.cpp
@@ -1,9 +1,10 @@
 // Rollouts judged: totals that come twice, late or from another life; on, back and hold.
-#include "callboard_stage.hpp"
-#include "company/company.hpp"
-#include "cues/cues.hpp"
-#include "transcript.hpp"
 #include "verdict/rollout.hpp"
+
+#include "hashing/rendezvous.hpp"
+#include "messages/codec.hpp"
+#include "support/subscription_fixture.hpp"
+#include "support/transcript.hpp"
 #include "verdict/stages.hpp"
 
 using namespace lichenlanding;
