--- a/bench/days/generate.cpp
+++ b/bench/days/generate.cpp
@@ -58,7 +58,7 @@
     bool core = false;
     int count = -1;
     double share = -1, x = -1, forS = -1, gapS = -1;
-    bool front = false;  ///< on the foyers' machines alone
+    bool front = false;  ///< on the proxies' machines alone
 };
 
 std::string number(double value) {
--- a/src/admin/configuration_record.cpp
+++ b/src/admin/configuration_record.cpp
@@ -6,13 +6,13 @@
 
 #include "transport/compression.hpp"
 
-namespace lichenlanding::orders {
+namespace lichenlanding::admin {
 namespace {
 
 // Of a value: the mark, how many are remembered, the number and digest of each, the version, the body. Values
 // of texts before begin with a version's eight hexadecimal digits, which no mark does.
-constexpr std::string_view mark = "o1";
-constexpr std::size_t entryBytes = 4 + std::tuple_size_v<Digest>, digits = 8;
+constexpr std::string_view kMark = "o1";
+constexpr std::size_t kEntryBytes = 4 + std::tuple_size_v<Digest>, kDigits = 8;
 
 void put(std::string& into, std::uint32_t number) {
     for (int shift = 24; shift >= 0; shift -= 8) into += static_cast<char>(number >> shift & 0xff);
@@ -25,20 +25,20 @@
 }
 
 bool earlierFormat(std::string_view value) {
-    return value.size() > digits && std::all_of(value.begin(), value.begin() + digits, [](char digit) {
+    return value.size() > kDigits && std::all_of(value.begin(), value.begin() + kDigits, [](char digit) {
                return (digit >= '0' && digit <= '9') || (digit >= 'a' && digit <= 'f');
            });
 }
 
 // The bytes of the history, and what follows it: version and body.
 std::pair<std::string_view, std::string_view> parts(std::string_view value) {
-    if (!value.starts_with(mark) || value.size() < mark.size() + 1)
-        throw Unreadable("the configuration's value has no format known here");
-    const auto entries = static_cast<std::uint8_t>(value[mark.size()]);
-    value.remove_prefix(mark.size() + 1);
-    if (entries == 0 || entries > remembered || value.size() < entries * entryBytes + 4)
-        throw Unreadable("the configuration's value is cut or holds too much");
-    return {value.substr(0, entries * entryBytes), value.substr(entries * entryBytes)};
+    if (!value.starts_with(kMark) || value.size() < kMark.size() + 1)
+        throw ParseError("the configuration's value has no format known here");
+    const auto entries = static_cast<std::uint8_t>(value[kMark.size()]);
+    value.remove_prefix(kMark.size() + 1);
+    if (entries == 0 || entries > kRemembered || value.size() < entries * kEntryBytes + 4)
+        throw ParseError("the configuration's value is cut or holds too much");
+    return {value.substr(0, entries * kEntryBytes), value.substr(entries * kEntryBytes)};
 }
 
 }  // namespace
@@ -54,81 +54,82 @@
     return told;
 }
 
-Order order(std::uint32_t number, std::string_view body) {
-    return {number, digest(body), wings::squeeze(body)};
+ConfigurationRequest order(std::uint32_t number, std::string_view body) {
+    return {number, digest(body), transport::compress(body)};
 }
 
 std::uint32_t version(std::string_view value) {
     if (!earlierFormat(value)) return take(parts(value).second);
     std::uint32_t number = 0;
-    std::from_chars(value.data(), value.data() + digits, number, 16);
+    std::from_chars(value.data(), value.data() + kDigits, number, 16);
     return number;
 }
 
-std::string_view squeezed(std::string_view value) {
-    return earlierFormat(value) ? value.substr(digits) : parts(value).second.substr(4);
+std::string_view compressed(std::string_view value) {
+    return earlierFormat(value) ? value.substr(kDigits) : parts(value).second.substr(4);
 }
 
 std::string body(std::string_view value) {
     try {
-        return wings::unsqueeze(squeezed(value));
-    } catch (const Unreadable&) {
+        return transport::decompress(compressed(value));
+    } catch (const ParseError&) {
         throw;
     } catch (const std::exception& error) {
-        throw Unreadable(std::string("the configuration's body: ") + error.what());
+        throw ParseError(std::string("the configuration's body: ") + error.what());
     }
 }
 
-Held read(std::string_view value) {
-    Held held{version(value), std::string(squeezed(value)), {}};
+ConfigurationRecord read(std::string_view value) {
+    ConfigurationRecord held{version(value), std::string(compressed(value)), {}};
     if (earlierFormat(value)) {
         held.history.push_back({held.version, digest(body(value))});
         return held;
     }
     bool there = false;
-    for (auto entries = parts(value).first; !entries.empty(); entries.remove_prefix(entryBytes)) {
+    for (auto entries = parts(value).first; !entries.empty(); entries.remove_prefix(kEntryBytes)) {
         auto& one = held.history.emplace_back();
         one.number = take(entries);
         std::copy_n(entries.begin() + 4, one.body.size(), one.body.begin());
         there |= one.number == held.version;
     }
-    if (!there) throw Unreadable("the configuration's value does not remember what is in force");
+    if (!there) throw ParseError("the configuration's value does not remember what is in force");
     return held;
 }
 
-std::string write(const Held& held) {
-    std::string value(mark);
+std::string write(const ConfigurationRecord& held) {
+    std::string value(kMark);
     value += static_cast<char>(held.history.size());
     for (const auto& one : held.history) {
         put(value, one.number);
         value.append(one.body.begin(), one.body.end());
     }
     put(value, held.version);
-    return value += held.squeezed;
+    return value += held.compressed;
 }
 
 namespace {
 
-Recalled recalled(const Held& held, const Order& order) {
+DuplicateCheck recalled(const ConfigurationRecord& held, const ConfigurationRequest& order) {
     for (const auto& one : held.history)
-        if (one.number == order.number) return one.body == order.body ? Recalled::known : Recalled::clash;
-    return Recalled::unknown;
+        if (one.number == order.number)
+            return one.body == order.body ? DuplicateCheck::known : DuplicateCheck::clash;
+    return DuplicateCheck::unknown;
 }
 
 }  // namespace
 
-Recalled recalled(std::string_view value, const Order& order) {
-    return value.empty() ? Recalled::unknown : recalled(read(value), order);
+DuplicateCheck recalled(std::string_view value, const ConfigurationRequest& order) {
+    return value.empty() ? DuplicateCheck::unknown : recalled(read(value), order);
 }
 
-std::string change(const std::string& value, const Order& order) {
-    Held held;
+std::string change(const std::string& value, const ConfigurationRequest& order) {
+    ConfigurationRecord held;
     if (!value.empty()) held = read(value);
-    if (recalled(held, order) != Recalled::unknown) return value;
+    if (recalled(held, order) != DuplicateCheck::unknown) return value;
     if (value.empty() || order.number > held.version)
-        held.version = order.number, held.squeezed = order.squeezed;
+        held.version = order.number, held.compressed = order.compressed;
     held.history.push_back({order.number, order.body});
-    if (held.history.size() > remembered) {
+    if (held.history.size() > kRemembered) {
         // The oldest goes, but never the one in force: however many older ones come, another body under its
         // number is told from it.
         auto oldest = held.history.begin();
@@ -138,4 +139,4 @@
     return write(held);
 }
 
-}  // namespace lichenlanding::orders
+}  // namespace lichenlanding::admin
--- a/src/admin/configuration_record.hpp
+++ b/src/admin/configuration_record.hpp
@@ -13,57 +13,57 @@
 #include <string_view>
 #include <vector>
 
-namespace lichenlanding::orders {
+namespace lichenlanding::admin {
 
-constexpr std::size_t remembered = 64;  // orders acknowledged last, the one in force always among them
+constexpr std::size_t kRemembered = 64;  // orders acknowledged last, the one in force always among them
 
 using Digest = std::array<std::uint8_t, 20>;  // SHA-1
 Digest digest(std::string_view body);
 
 // A value that this text cannot read: another format, or cut.
-struct Unreadable : std::runtime_error {
+struct ParseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // An order as it came.
-struct Order {
+struct ConfigurationRequest {
     std::uint32_t number = 0;  // its version
     Digest body{};             // of the bytes as they were sent
-    std::string squeezed;      // those bytes (wings::squeeze)
+    std::string compressed;    // those bytes (wings::squeeze)
 };
-Order order(std::uint32_t number, std::string_view body);
+ConfigurationRequest order(std::uint32_t number, std::string_view body);
 
-struct Acknowledged {
+struct AcknowledgedRequest {
     std::uint32_t number = 0;
     Digest body{};
-    bool operator==(const Acknowledged&) const = default;
+    bool operator==(const AcknowledgedRequest&) const = default;
 };
 
 // What stands in a value. A value of texts before this one has no history: what is in force is all of it.
-struct Held {
+struct ConfigurationRecord {
     std::uint32_t version = 0;
-    std::string squeezed;               // the body in force
-    std::vector<Acknowledged> history;  // oldest first
+    std::string compressed;                    // the body in force
+    std::vector<AcknowledgedRequest> history;  // oldest first
 };
 
 // "" is no value yet: none of these takes it but change(). They throw Unreadable.
-Held read(std::string_view value);
-std::string write(const Held& held);
+ConfigurationRecord read(std::string_view value);
+std::string write(const ConfigurationRecord& held);
 // The same, without the history.
 std::uint32_t version(std::string_view value);
-std::string_view squeezed(std::string_view value);
+std::string_view compressed(std::string_view value);
 std::string body(std::string_view value);  // as it was sent
 
-enum class Recalled {
+enum class DuplicateCheck {
     unknown,  // not among those remembered
     known,    // acknowledged, and may be so again
     clash,    // another body was acknowledged under its number
 };
-Recalled recalled(std::string_view value, const Order& order);
+DuplicateCheck recalled(std::string_view value, const ConfigurationRequest& order);
 
 // What is to be in force after the order: a higher number takes the place of what was; a lower one that is
 // not known changes nothing but is remembered; one that is known, or clashes, changes nothing at all. After a
 // ballot with this change the recalled() of what it ended with is the answer, wherever the value came from.
-std::string change(const std::string& value, const Order& order);
+std::string change(const std::string& value, const ConfigurationRequest& order);
 
-}  // namespace lichenlanding::orders
+}  // namespace lichenlanding::admin
--- a/src/admin/rollout_requests.cpp
+++ b/src/admin/rollout_requests.cpp
@@ -2,16 +2,16 @@
 
 #include <algorithm>
 
-namespace lichenlanding::orders {
+namespace lichenlanding::admin {
 namespace {
 
-bool sameOrder(const cues::Rollout& one, const cues::Rollout& other) {
+bool sameOrder(const messages::Rollout& one, const messages::Rollout& other) {
     return one.service == other.service && one.target == other.target && one.term == other.term;
 }
 
 // Lets go of the oldest that have ended.
-void bound(std::vector<cues::Rollout>& rollouts) {
-    const auto needed = [&](const cues::Rollout& rollout) {
+void bound(std::vector<messages::Rollout>& rollouts) {
+    const auto needed = [&](const messages::Rollout& rollout) {
         if (rollout.running()) return true;
         return rollout.state == "completed" &&
                std::none_of(rollouts.begin(), rollouts.end(), [&](const auto& other) {
@@ -21,8 +21,8 @@
     };
     std::vector<bool> keep(rollouts.size());
     std::size_t ended = 0;
-    for (auto at = rollouts.size(); at-- > 0;) keep[at] = needed(rollouts[at]) || ++ended <= endedKept;
-    std::vector<cues::Rollout> kept;
+    for (auto at = rollouts.size(); at-- > 0;) keep[at] = needed(rollouts[at]) || ++ended <= kEndedKept;
+    std::vector<messages::Rollout> kept;
     for (std::size_t at = 0; at < rollouts.size(); ++at)
         if (keep[at]) kept.push_back(rollouts[at]);
     rollouts = std::move(kept);
@@ -30,51 +30,52 @@
 
 }  // namespace
 
-const char* name(Ordered outcome) {
+const char* name(RolloutRequestOutcome outcome) {
     switch (outcome) {
-        case Ordered::begun:
+        case RolloutRequestOutcome::begun:
             return "begun";
-        case Ordered::known:
+        case RolloutRequestOutcome::known:
             return "known";
-        case Ordered::inForce:
+        case RolloutRequestOutcome::inForce:
             return "in_force";
-        case Ordered::underWay:
+        case RolloutRequestOutcome::underWay:
             return "under_way";
     }
     return "";
 }
 
-const cues::Rollout* newest(const std::vector<cues::Rollout>& rollouts, const std::string& service) {
+const messages::Rollout* newest(const std::vector<messages::Rollout>& rollouts, const std::string& service) {
     const auto at = std::find_if(rollouts.rbegin(), rollouts.rend(),
                                  [&](const auto& rollout) { return rollout.service == service; });
     return at == rollouts.rend() ? nullptr : &*at;
 }
 
-Ordered ordered(const std::vector<cues::Rollout>& rollouts, const cues::Rollout& order) {
+RolloutRequestOutcome ordered(const std::vector<messages::Rollout>& rollouts,
+                              const messages::Rollout& order) {
     const auto any = [&](auto holds) { return std::any_of(rollouts.begin(), rollouts.end(), holds); };
-    if (any([&](const auto& one) { return sameOrder(one, order); })) return Ordered::known;
+    if (any([&](const auto& one) { return sameOrder(one, order); })) return RolloutRequestOutcome::known;
     if (any([&](const auto& one) {
             return one.service == order.service && one.target == order.target && one.running();
         }))
-        return Ordered::underWay;
-    const cues::Rollout* reached = nullptr;
+        return RolloutRequestOutcome::underWay;
+    const messages::Rollout* reached = nullptr;
     for (const auto& one : rollouts)
         if (one.service == order.service && one.state == "completed" &&
             (!reached || one.number > reached->number))
             reached = &one;
-    if (reached && reached->target == order.target) return Ordered::inForce;
-    return Ordered::begun;
+    if (reached && reached->target == order.target) return RolloutRequestOutcome::inForce;
+    return RolloutRequestOutcome::begun;
 }
 
-std::string begin(const std::string& value, const cues::Rollout& order) {
-    auto rollouts = cues::readRollouts(value);
-    if (ordered(rollouts, order) != Ordered::begun) return value;
+std::string begin(const std::string& value, const messages::Rollout& order) {
+    auto rollouts = messages::decodeRollouts(value);
+    if (ordered(rollouts, order) != RolloutRequestOutcome::begun) return value;
     auto added = order;
     for (const auto& one : rollouts) added.number = std::max(added.number, one.number + 1);
     added.number = std::max<std::int64_t>(added.number, 1);
     rollouts.push_back(std::move(added));
     bound(rollouts);
-    return cues::write(rollouts);
+    return messages::write(rollouts);
 }
 
-}  // namespace lichenlanding::orders
+}  // namespace lichenlanding::admin
--- a/src/admin/rollout_requests.hpp
+++ b/src/admin/rollout_requests.hpp
@@ -4,13 +4,13 @@
 
 #include "messages/codec.hpp"
 
-namespace lichenlanding::orders {
+namespace lichenlanding::admin {
 
 // Ended rollouts that are kept, besides the newest completed one of each service (pods are cast by it). An
 // order is sent again for `ack` at the longest, a few seconds.
-constexpr std::size_t endedKept = 32;
+constexpr std::size_t kEndedKept = 32;
 
-enum class Ordered {
+enum class RolloutRequestOutcome {
     begun,     // it is the newest of its service and target
     known,     // the same order: it runs or has ended
     inForce,   // another order for the version that the service has come to last: nothing to do
@@ -18,15 +18,15 @@
 };
 // Service, target and term make the order. What a list says of one: of the value that a ballot with begin()
 // has ended with, this is the answer (begun reads as known there).
-const char* name(Ordered outcome);
-Ordered ordered(const std::vector<cues::Rollout>& rollouts, const cues::Rollout& order);
+const char* name(RolloutRequestOutcome outcome);
+RolloutRequestOutcome ordered(const std::vector<messages::Rollout>& rollouts, const messages::Rollout& order);
 
 // The register's change: the order added where that is `begun`, else the same value. Throws
 // nlohmann::json::exception on a value of another shape.
-std::string begin(const std::string& value, const cues::Rollout& order);
+std::string begin(const std::string& value, const messages::Rollout& order);
 
 // The newest order of a service, the one that rollouts.read tells; null where there is none. Orders stand as
 // they were begun.
-const cues::Rollout* newest(const std::vector<cues::Rollout>& rollouts, const std::string& service);
+const messages::Rollout* newest(const std::vector<messages::Rollout>& rollouts, const std::string& service);
 
-}  // namespace lichenlanding::orders
+}  // namespace lichenlanding::admin
--- a/src/command/gateway.cpp
+++ b/src/command/gateway.cpp
@@ -42,22 +42,24 @@
     std::string file, host, path, what, address;
     bool json = false, metrics = false;
     app.add_subcommand("foyer", "take clients' requests to pods (on edge machines)")->callback([&] {
-        chosen = [] { foyer::run(playbill::Boot::fromEnvironment()); };
+        chosen = [] { proxy::run(config::BootstrapSettings::fromEnvironment()); };
     });
-    auto* prompter = app.add_subcommand(
+    auto* controlNode = app.add_subcommand(
         "prompter", "keep configurations and rollouts, follow the pods (on core machines)");
-    prompter->add_flag("--metrics", metrics, "answer GET /metrics on the control address");
-    prompter->callback([&] { chosen = [&] { prompter::run(playbill::Boot::fromEnvironment(), metrics); }; });
+    controlNode->add_flag("--metrics", metrics, "answer GET /metrics on the control address");
+    controlNode->callback(
+        [&] { chosen = [&] { control_plane::run(config::BootstrapSettings::fromEnvironment(), metrics); }; });
 
-    auto* playbill = app.add_subcommand("playbill", "configurations");
-    playbill->require_subcommand(1);
-    auto* check = playbill->add_subcommand("check", "all mistakes of a configuration, each with its place");
+    auto* configuration = app.add_subcommand("playbill", "configurations");
+    configuration->require_subcommand(1);
+    auto* check =
+        configuration->add_subcommand("check", "all mistakes of a configuration, each with its place");
     check->add_option("file", file, "the configuration, - for standard input")->required();
     check->footer("Example:\n  lichenlanding-gateway playbill check config.json");
     check->callback([&] {
         chosen = [&] {
-            const auto read = playbill::Playbill::read(contents(file));
-            std::printf("version %s: %zu routes, %zu services\n", playbill::versionText(read.version).c_str(),
+            const auto read = config::Configuration::read(contents(file));
+            std::printf("version %s: %zu routes, %zu services\n", config::formatVersion(read.version).c_str(),
                         read.routes.size(), read.services.size());
         };
     });
@@ -68,7 +70,7 @@
     explain->add_option("path", path, "the request's path")->required();
     explain->footer("Example:\n  lichenlanding-gateway explain config.json shop.example /orders/7");
     explain->callback(
-        [&] { chosen = [&] { std::fputs(playbill::explain(contents(file), host, path).c_str(), stdout); }; });
+        [&] { chosen = [&] { std::fputs(config::explain(contents(file), host, path).c_str(), stdout); }; });
     command::addPromptbook(app, chosen);
     command::addRehearse(app, chosen);
     auto* status = app.add_subcommand("status", "what a running prompter knows");
@@ -82,8 +84,8 @@
     }
     try {
         chosen();
-    } catch (const playbill::Refusal& refusal) {
-        for (const auto& mistake : refusal.mistakes) std::fprintf(stderr, "%s\n", mistake.c_str());
+    } catch (const config::ValidationError& refusal) {
+        for (const auto& mistake : refusal.errors) std::fprintf(stderr, "%s\n", mistake.c_str());
         return 1;
     } catch (const std::exception& failure) {
         std::fprintf(stderr, "lichenlanding-gateway: %s\n", failure.what());
--- a/src/command/scale_test.cpp
+++ b/src/command/scale_test.cpp
@@ -10,8 +10,8 @@
 namespace lichenlanding::command {
 namespace {
 
-rehearsal::Plan readPlan(const std::string& file, const std::vector<std::string>& others) {
-    rehearsal::Plan plan;
+scale_test::ScenarioConfig readPlan(const std::string& file, const std::vector<std::string>& others) {
+    scale_test::ScenarioConfig plan;
     for (const auto& item : CLI::ConfigTOML().from_file(file)) {
         if (item.inputs.size() != 1) throw std::runtime_error(item.fullname() + ": one value is needed");
         plan.set(item.fullname(), item.inputs.front());
@@ -41,13 +41,13 @@
     scale->callback([=, &chosen] {
         chosen = [=] {
             const auto program = std::filesystem::read_symlink("/proc/self/exe").string();
-            if (!rehearsal::scale(readPlan(*file, *others), program))
+            if (!scale_test::scale(readPlan(*file, *others), program))
                 throw std::runtime_error("rehearse scale: not whole; the last lines say why");
         };
     });
     auto* hollow = rehearse->add_subcommand("hollow", "a part of a scale run; started by it")->group("");
     hollow->add_option("told", *file, "what it is told")->required();
-    hollow->callback([=, &chosen] { chosen = [=] { rehearsal::runHollow(nlohmann::json::parse(*file)); }; });
+    hollow->callback([=, &chosen] { chosen = [=] { scale_test::runHollow(nlohmann::json::parse(*file)); }; });
 }
 
 }  // namespace lichenlanding::command
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -11,7 +11,7 @@
 namespace lichenlanding::command {
 namespace {
 
-using namespace wings;
+using namespace transport;
 namespace http = boost::beast::http;
 using Json = nlohmann::json;
 
@@ -74,9 +74,9 @@
                       told.at("members").dump() + ", reached " + told.at("reached").dump() +
                       registerLine(told.at("register")) + dutyLines(told.at("duties")) + "\n\n" +
                       padded("foyer", 28) + padded("configuration", 13) + "at\n";
-    for (const auto& [name, foyer] : told.at("foyers").items())
-        all += padded(name, 28) + padded(foyer.at("configuration").get<std::string>(), 13) +
-               foyer.at("at").get<std::string>() + "\n";
+    for (const auto& [name, proxy] : told.at("foyers").items())
+        all += padded(name, 28) + padded(proxy.at("configuration").get<std::string>(), 13) +
+               proxy.at("at").get<std::string>() + "\n";
     all += "\n" + padded("service", 16) + padded("version", 8) + padded("ready", 5) + "draining\n";
     for (const auto& [service, versions] : told.at("pods").items())
         for (const auto& [version, counts] : versions.items())
--- a/src/command/status.hpp
+++ b/src/command/status.hpp
@@ -1,4 +1,4 @@
-// lichenlanding-gateway status: asks a running prompter what it knows.
+// lichenlanding-gateway status: asks a running control node what it knows.
 #pragma once
 
 #include <string>
--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -1,4 +1,4 @@
-// A stopped prompter's disk: shown, checked, its configuration exported.
+// A stopped control node's disk: shown, checked, its configuration exported.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <fstream>
@@ -12,40 +12,40 @@
 namespace lichenlanding::command {
 namespace {
 
-std::string text(const reg::Ballot& ballot) {
-    return std::to_string(ballot.round) + "." + std::to_string(ballot.writer);
+std::string text(const consensus::ProposalNumber& proposalNumber) {
+    return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.writer);
 }
 
 std::string numbers(const std::string& value) {
     std::string all;
-    for (const auto& one : orders::read(value).history) all += " " + playbill::versionText(one.number);
+    for (const auto& one : admin::read(value).history) all += " " + config::formatVersion(one.number);
     return all;
 }
 
-std::string membersOf(const promptbook::Promptbook& opened) {
-    const auto standing = opened.note(promptbook::standingNote);
-    if (standing.empty()) return opened.note(promptbook::oldMembersNote) + " (no epoch yet)";
-    const auto read = membership::readStanding(membership::Json::parse(standing));
+std::string membersOf(const storage::LmdbReplicaStore& opened) {
+    const auto standing = opened.note(storage::kStandingNote);
+    if (standing.empty()) return opened.note(storage::kOldMembersNote) + " (no epoch yet)";
+    const auto read = membership::decodeEpochState(membership::Json::parse(standing));
     std::string all = "epoch " + std::to_string(read.epoch.number) +
                       (read.open ? "" : ", not known to be open") + (read.next ? ", sealed" : "") + ":";
     for (const auto& member : read.epoch.members) all += " " + member.address + " (disk " + member.disk + ")";
-    return all + ", this disk " + opened.note(promptbook::diskNote);
+    return all + ", this disk " + opened.note(storage::kDiskNote);
 }
 
 // Above any epoch that a lost majority may have opened without this disk.
-constexpr std::uint64_t farAbove = 1'000'000;
+constexpr std::uint64_t kFarAbove = 1'000'000;
 
 // The register anew from this one disk, where a majority of its members is gone for good.
 void found(const std::string& folder, const std::string& address, bool sure) {
     if (!std::ifstream(folder + "/data.mdb")) throw std::runtime_error("no book in " + folder);
-    promptbook::Promptbook opened(folder, std::size_t{1} << 30);
-    const auto disk = opened.note(promptbook::diskNote);
+    storage::LmdbReplicaStore opened(folder, std::size_t{1} << 30);
+    const auto disk = opened.note(storage::kDiskNote);
     if (disk.empty()) throw std::runtime_error("the book in " + folder + " has no identity of its disk yet");
     std::printf("held here: %s\n", membersOf(opened).c_str());
     for (const auto& [key, cell] : opened.cells()) {
         if (key == "configuration" && !cell.value.empty())
             std::printf("configuration %s, orders remembered%s\n",
-                        playbill::versionText(orders::version(cell.value)).c_str(),
+                        config::formatVersion(admin::version(cell.value)).c_str(),
                         numbers(cell.value).c_str());
         else
             std::printf("%s: %zu bytes, accepted %s\n", key.c_str(), cell.value.size(),
@@ -59,21 +59,21 @@
                     address.c_str());
         return;
     }
-    reg::Standing standing;
-    if (const auto old = opened.note(promptbook::standingNote); !old.empty())
-        standing = membership::readStanding(membership::Json::parse(old));
-    reg::Epoch anew{standing.epoch.number + farAbove, {{address, disk, "", ""}}};
-    opened.write({},
-                 {{promptbook::standingNote, membership::write(reg::Standing{anew, true, {}, {}}).dump()}});
+    consensus::EpochState standing;
+    if (const auto old = opened.note(storage::kStandingNote); !old.empty())
+        standing = membership::decodeEpochState(membership::Json::parse(old));
+    consensus::Epoch anew{standing.epoch.number + kFarAbove, {{address, disk, "", ""}}};
+    opened.write(
+        {}, {{storage::kStandingNote, membership::write(consensus::EpochState{anew, true, {}, {}}).dump()}});
     std::printf(
         "written: epoch %llu with %s alone; start it, then the others, which stand by and are taken in.\n",
         static_cast<unsigned long long>(anew.number), address.c_str());
 }
 
-// A stopped prompter's book: opened as it is, each record's checksum looked at.
+// A stopped control node's book: opened as it is, each record's checksum looked at.
 void book(const std::string& folder, const std::string& what) {
     if (!std::ifstream(folder + "/data.mdb")) throw std::runtime_error("no book in " + folder);
-    const promptbook::Promptbook opened(folder, std::size_t{1} << 30);
+    const storage::LmdbReplicaStore opened(folder, std::size_t{1} << 30);
     const auto cells = opened.cells();
     if (what == "check") {
         std::printf("%zu keys, all checksums right, %s\n", cells.size(), membersOf(opened).c_str());
@@ -81,7 +81,7 @@
     }
     for (const auto& [key, cell] : cells) {
         const bool configuration = key == "configuration" && !cell.value.empty();
-        const auto value = configuration ? orders::body(cell.value) : cell.value;
+        const auto value = configuration ? admin::body(cell.value) : cell.value;
         if (what == "export") {
             if (configuration) std::printf("%s\n", value.c_str());
             continue;
@@ -90,7 +90,7 @@
                     text(cell.accepted).c_str(), text(cell.promised).c_str(), cell.value.size());
         if (configuration)
             std::printf(", version %s, %zu bytes as sent, orders remembered%s\n",
-                        playbill::versionText(orders::version(cell.value)).c_str(), value.size(),
+                        config::formatVersion(admin::version(cell.value)).c_str(), value.size(),
                         numbers(cell.value).c_str());
         else std::printf("\n%s%s", value.c_str(), value.empty() ? "" : "\n");
     }
--- a/src/config/bootstrap_settings.cpp
+++ b/src/config/bootstrap_settings.cpp
@@ -8,7 +8,7 @@
 #include "config/configuration.hpp"
 #include "text.hpp"
 
-namespace lichenlanding::playbill {
+namespace lichenlanding::config {
 namespace {
 
 using Json = nlohmann::json;
@@ -19,7 +19,7 @@
 }
 
 // One bound, `name=value`. Bounds of other names are another program's business.
-void bound(Boot& boot, std::string_view text) {
+void bound(BootstrapSettings& boot, std::string_view text) {
     const auto sign = text.find('=');
     if (sign == text.npos) throw std::runtime_error("settings: bounds: no '=' in " + std::string(text));
     const auto name = text.substr(0, sign), value = text.substr(sign + 1);
@@ -35,12 +35,12 @@
 
 }  // namespace
 
-std::string Boot::internal(const std::string& ip) const {
+std::string BootstrapSettings::internal(const std::string& ip) const {
     return ip + ":" + std::to_string(internalPorts.front());
 }
 
-Boot Boot::read(std::string_view bytes) {
-    Boot boot;
+BootstrapSettings BootstrapSettings::read(std::string_view bytes) {
+    BootstrapSettings boot;
     const auto told = Json::parse(bytes, nullptr, false);
     if (!told.is_object()) throw std::runtime_error("settings: not a JSON object");
     const auto take = [&]<typename T>(T& value, const char* place, bool needed) {
@@ -76,7 +76,7 @@
     return boot;
 }
 
-Boot Boot::fromEnvironment() {
+BootstrapSettings BootstrapSettings::fromEnvironment() {
     const char* path = std::getenv("LICHENLANDING_SETTINGS");
     if (!path) throw std::runtime_error("settings: LICHENLANDING_SETTINGS is not set");
     std::ifstream file(path, std::ios::binary);
@@ -86,4 +86,4 @@
     return read(bytes.str());
 }
 
-}  // namespace lichenlanding::playbill
+}  // namespace lichenlanding::config
--- a/src/config/bootstrap_settings.hpp
+++ b/src/config/bootstrap_settings.hpp
@@ -47,9 +47,9 @@
     X(exposureShare, "exposure_share", number, 0.1)                    \
     X(exposureSlack, "exposure_slack", number, 50.0)
 
-namespace lichenlanding::playbill {
+namespace lichenlanding::config {
 
-struct Boot {
+struct BootstrapSettings {
 #define X(member, type, place, needed) type member{};
     BOOT_SETTINGS(X)
 #undef X
@@ -65,8 +65,8 @@
     std::string internal(const std::string& ip) const;
 
     // Throws std::runtime_error that names the field.
-    static Boot read(std::string_view bytes);
-    static Boot fromEnvironment();  // the file that LICHENLANDING_SETTINGS names
+    static BootstrapSettings read(std::string_view bytes);
+    static BootstrapSettings fromEnvironment();  // the file that LICHENLANDING_SETTINGS names
 };
 
-}  // namespace lichenlanding::playbill
+}  // namespace lichenlanding::config
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -26,18 +26,18 @@
     X(headerTimeout, "header_timeout", duration, false) \
     X(idleTimeout, "idle_timeout", duration, false)
 
-namespace lichenlanding::playbill {
+namespace lichenlanding::config {
 namespace {
 
 using Json = nlohmann::json;
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr Nanos longestTimeout = 600 * second;  // what the operators' page allows
-constexpr Nanos targetBeyond = 60 * second;     // a target latency so far above the timeout is a mistake
+constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
+constexpr Nanos kLongestTimeout = 600 * kSecond;  // what the operators' page allows
+constexpr Nanos kTargetBeyond = 60 * kSecond;     // a target latency so far above the timeout is a mistake
 
-std::string joined(const std::vector<std::string>& mistakes) {
+std::string joined(const std::vector<std::string>& errors) {
     std::string all;
-    for (const auto& mistake : mistakes) all += (all.empty() ? "" : "; ") + mistake;
+    for (const auto& mistake : errors) all += (all.empty() ? "" : "; ") + mistake;
     return all;
 }
 
@@ -45,10 +45,10 @@
 struct Reader {
     const Json& object;
     std::string path;
-    std::vector<std::string>& mistakes;
+    std::vector<std::string>& errors;
 
     void wrong(const std::string& name, const std::string& what) const {
-        mistakes.push_back(path + "/" + name + ": " + what);
+        errors.push_back(path + "/" + name + ": " + what);
     }
     const Json* field(const char* name, bool needed) const {
         const auto at = object.is_object() ? object.find(name) : object.end();
@@ -92,9 +92,9 @@
         from.wrong("route_class", "must be idempotent or non_idempotent");
     if (made.prefix.empty() || made.prefix.front() != '/' || made.prefix.back() != '/')
         from.wrong("path_prefix", "must begin and end with a slash");
-    if (made.timeout > longestTimeout) from.wrong("timeout", "must be ten minutes or less");
+    if (made.timeout > kLongestTimeout) from.wrong("timeout", "must be ten minutes or less");
     if (made.timeout <= 0) from.wrong("timeout", "must be above 0");
-    if (made.target >= made.timeout + targetBeyond)
+    if (made.target >= made.timeout + kTargetBeyond)
         from.wrong("target_latency", "must be less than a minute above the timeout");
     made.maxAttempts = std::max<std::int64_t>(made.maxAttempts, 1);
     std::string one;
@@ -103,9 +103,8 @@
     if (split && split->is_array()) {
         made.weights = 0;
         for (std::size_t at = 0; at < split->size(); ++at) {
-            const Reader part{(*split)[at], from.path + "/traffic_split/" + std::to_string(at),
-                              from.mistakes};
-            Share share;
+            const Reader part{(*split)[at], from.path + "/traffic_split/" + std::to_string(at), from.errors};
+            WeightedService share;
             part.text(share.service, "service_name", true);
             part.count(share.weight, "weight", true);
             made.weights += share.weight;
@@ -122,7 +121,8 @@
 
 }  // namespace
 
-Refusal::Refusal(std::vector<std::string> found) : std::runtime_error(joined(found)), mistakes(found) {}
+ValidationError::ValidationError(std::vector<std::string> found)
+    : std::runtime_error(joined(found)), errors(found) {}
 
 Nanos span(std::string_view text) {
     const auto unit = text.find_first_not_of("0123456789.");
@@ -131,10 +131,11 @@
     const bool read = unit != text.npos && unit > 0 && parse(text.substr(0, unit), number);
     if (!read || !(number >= 0) || number > 1e9 || (kind != "ms" && kind != "s"))
         throw std::invalid_argument("no time: " + std::string(text));
-    return static_cast<Nanos>(std::llround(number * static_cast<double>(kind == "ms" ? ms : second)));
+    return static_cast<Nanos>(
+        std::llround(number * static_cast<double>(kind == "ms" ? kMillisecond : kSecond)));
 }
 
-std::string versionText(std::uint32_t version) {
+std::string formatVersion(std::uint32_t version) {
     constexpr char digits[] = "0123456789abcdef";
     std::string text(8, '0');
     for (std::size_t at = 8; at-- > 0; version >>= 4) text[at] = digits[version & 15];
@@ -149,13 +150,13 @@
     return shares.back().service;
 }
 
-Playbill Playbill::read(std::string_view bytes) {
-    Playbill made;
-    std::vector<std::string> mistakes;
+Configuration Configuration::read(std::string_view bytes) {
+    Configuration made;
+    std::vector<std::string> errors;
     const auto told = Json::parse(bytes, nullptr, false);
-    if (told.is_discarded()) throw Refusal({"body: cannot be read in full as JSON"});
-    if (!told.is_object()) throw Refusal({"body: must be an object"});
-    const Reader top{told, "", mistakes};
+    if (told.is_discarded()) throw ValidationError({"body: cannot be read in full as JSON"});
+    if (!told.is_object()) throw ValidationError({"body: must be an object"});
+    const Reader top{told, "", errors};
     std::string version;
     top.text(version, "config_version", true);
     const auto* end = version.data() + version.size();
@@ -165,12 +166,12 @@
     if (resources && !resources->is_array()) top.wrong("resources", "must be a list");
     static const Json none = Json::object();
     for (std::size_t at = 0; resources && resources->is_array() && at < resources->size(); ++at) {
-        const Reader entry{(*resources)[at], "/resources/" + std::to_string(at), mistakes};
+        const Reader entry{(*resources)[at], "/resources/" + std::to_string(at), errors};
         std::string type, name;
         entry.text(type, "resource_type", true);
         const auto *metadata = entry.field("metadata", false), *spec = entry.field("spec", true);
-        const Reader about{metadata ? *metadata : none, entry.path + "/metadata", mistakes};
-        const Reader from{spec ? *spec : none, entry.path + "/spec", mistakes};
+        const Reader about{metadata ? *metadata : none, entry.path + "/metadata", errors};
+        const Reader from{spec ? *spec : none, entry.path + "/spec", errors};
         if (type == "route_table") {
             about.text(name, "name", true);
             if (spec) made.routes.push_back(route(from, name)), made.routes.back().entry = at;
@@ -191,22 +192,22 @@
     std::set<std::string> known;
     for (const auto& service : made.services)
         if (!known.insert(service.name).second)
-            mistakes.push_back("service_table " + service.name + ": is there twice");
+            errors.push_back("service_table " + service.name + ": is there twice");
     for (std::size_t at = 0; at < made.routes.size(); ++at) {
         const auto& route = made.routes[at];
         const auto where = "route_table " + route.name + ": ";
         for (const auto& share : route.shares)
             if (!known.contains(share.service))
-                mistakes.push_back(where + "service " + share.service + " is not in any service_table");
+                errors.push_back(where + "service " + share.service + " is not in any service_table");
         if (!made.places_.emplace(route.host + route.prefix, at).second)
-            mistakes.push_back(where + "another route has the host " + route.host + " and the path_prefix " +
-                               route.prefix);
+            errors.push_back(where + "another route has the host " + route.host + " and the path_prefix " +
+                             route.prefix);
     }
-    if (!mistakes.empty()) throw Refusal(std::move(mistakes));
+    if (!errors.empty()) throw ValidationError(std::move(errors));
     return made;
 }
 
-const Route* Playbill::find(std::string_view host, std::string_view path) const {
+const Route* Configuration::find(std::string_view host, std::string_view path) const {
     const auto colon = host.find(':');
     std::string place(host.substr(0, colon));
     std::transform(place.begin(), place.end(), place.begin(),
@@ -223,14 +224,14 @@
     return nullptr;
 }
 
-const Service* Playbill::service(const std::string& name) const {
+const Service* Configuration::service(const std::string& name) const {
     for (const auto& service : services)
         if (service.name == name) return &service;
     return nullptr;
 }
 
 std::string explain(std::string_view bytes, std::string_view host, std::string_view path) {
-    const auto playbill = Playbill::read(bytes);
+    const auto configuration = Configuration::read(bytes);
     const auto told = Json::parse(bytes);
     const auto& resources = told.at("resources");
     const auto shown = [](const Json& spec, const std::string& where, const char* name,
@@ -240,10 +241,10 @@
                (set ? where + "/spec/" + name : "default") + ")\n";
     };
     const auto text = [](const std::string& value) { return value; };
-    const auto duration = [](Nanos value) { return std::to_string(value / ms) + "ms"; };
+    const auto duration = [](Nanos value) { return std::to_string(value / kMillisecond) + "ms"; };
     const auto count = [](std::int64_t value) { return std::to_string(value); };
-    std::string all = "configuration " + versionText(playbill.version) + "\n";
-    if (const auto* route = playbill.find(host, path)) {
+    std::string all = "configuration " + formatVersion(configuration.version) + "\n";
+    if (const auto* route = configuration.find(host, path)) {
         const auto where = "/resources/" + std::to_string(route->entry);
         const auto& spec = resources.at(route->entry).at("spec");
         all += "route " + route->name + ": the longest path_prefix of this host that begins the path\n";
@@ -260,7 +261,7 @@
                 if (entry.at("resource_type") != "service_table" ||
                     entry.at("metadata").at("name") != share.service)
                     continue;
-                const auto* service = playbill.service(share.service);
+                const auto* service = configuration.service(share.service);
                 const auto place = "/resources/" + std::to_string(at);
                 all += "service " + share.service + "\n";
 #define X(member, key, kind, needed) all += shown(entry.at("spec"), place, key, kind(service->member));
@@ -276,10 +277,10 @@
         if (resources.at(at).at("resource_type") == "limits")
             spec = resources.at(at).at("spec"), place = "/resources/" + std::to_string(at);
     all += "limits of clients\n";
-#define X(member, key, kind, needed) all += shown(spec, place, key, kind(playbill.bounds.member));
+#define X(member, key, kind, needed) all += shown(spec, place, key, kind(configuration.bounds.member));
     BOUNDS_SETTINGS(X)
 #undef X
     return all;
 }
 
-}  // namespace lichenlanding::playbill
+}  // namespace lichenlanding::config
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -1,7 +1,7 @@
 // A configuration of the gateway: read whole or refused, and asked for routes.
 //
 // The format is the operators' (PROTOCOL, "The operator"). Each setting is declared once, in the lists of
-// playbill.cpp. Pure: bytes in, values out. A Playbill does not change once it is read.
+// configuration.cpp. Pure: bytes in, values out. A Playbill does not change once it is read.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,28 @@
 
 #include "state.hpp"
 
-namespace lichenlanding::playbill {
+namespace lichenlanding::config {
 
 // What is wrong, each mistake with the path of its field and what is allowed there. what() holds them all.
-struct Refusal : std::runtime_error {
-    explicit Refusal(std::vector<std::string> mistakes);
-    std::vector<std::string> mistakes;
+struct ValidationError : std::runtime_error {
+    explicit ValidationError(std::vector<std::string> errors);
+    std::vector<std::string> errors;
 };
 
-struct Share {
+struct WeightedService {
     std::string service;
     std::int64_t weight = 1;  // 0 or more
 };
 
 struct Route {
     std::string name, host, prefix;
-    std::size_t entry = 0;          // its place in the list of resources
-    bool repeatable = false;        // route_class idempotent
-    Nanos timeout = 0, target = 0;  // above 0
-    std::int64_t priority = 0;      // 0 the highest
-    std::int64_t maxAttempts = 1;   // pods that one try may be sent to; 1 or more
-    std::vector<Share> shares;      // one, or as traffic_split says; weights sum to above 0
-    std::int64_t weights = 1;       // their sum
+    std::size_t entry = 0;                // its place in the list of resources
+    bool repeatable = false;              // route_class idempotent
+    Nanos timeout = 0, target = 0;        // above 0
+    std::int64_t priority = 0;            // 0 the highest
+    std::int64_t maxAttempts = 1;         // pods that one try may be sent to; 1 or more
+    std::vector<WeightedService> shares;  // one, or as traffic_split says; weights sum to above 0
+    std::int64_t weights = 1;             // their sum
 
     // The service for a draw of 0 <= at < weights.
     const std::string& service(std::int64_t at) const;
@@ -45,15 +45,15 @@
     std::int64_t maxConnections = 1024;  // that a pod takes from all callers
 };
 
-struct Bounds {
+struct ClientLimits {
     std::int64_t headerBytes = 16384, bodyBytes = 64 << 20;
     Nanos headerTimeout = 3'000'000'000, idleTimeout = 15'000'000'000;
 };
 
-class Playbill {
+class Configuration {
   public:
     // Throws Refusal with all mistakes found.
-    static Playbill read(std::string_view bytes);
+    static Configuration read(std::string_view bytes);
 
     // The route of the longest prefix; null where there is none. `path` may carry a query.
     const Route* find(std::string_view host, std::string_view path) const;
@@ -62,7 +62,7 @@
     std::uint32_t version = 0;
     std::vector<Route> routes;  // in the order sent
     std::vector<Service> services;
-    Bounds bounds;
+    ClientLimits bounds;
 
   private:
     std::unordered_map<std::string, std::size_t> places_;  // host and prefix; looked up, never walked through
@@ -72,9 +72,9 @@
 // Throws Refusal where the configuration is wrong.
 std::string explain(std::string_view bytes, std::string_view host, std::string_view path);
 
-std::string versionText(std::uint32_t version);  // eight hexadecimal digits
+std::string formatVersion(std::uint32_t version);  // eight hexadecimal digits
 
 // "1500ms", "2.5s". Throws std::invalid_argument.
 Nanos span(std::string_view text);
 
-}  // namespace lichenlanding::playbill
+}  // namespace lichenlanding::config
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace lichenlanding::reg {
+namespace lichenlanding::consensus {
 
 std::optional<std::uint32_t> Epoch::find(const std::string& address, const std::string& disk) const {
     for (std::uint32_t at = 0; at < members.size(); ++at)
@@ -13,15 +13,15 @@
 
 std::string successorKey(const Epoch& of) { return "epoch/" + std::to_string(of.number + 1); }
 
-const Cell& Copy::cell(const std::string& key) const {
-    static const Cell none;
+const RegisterState& Acceptor::cell(const std::string& key) const {
+    static const RegisterState none;
     const auto at = cells_.find(key);
     return at == cells_.end() ? none : at->second;
 }
 
-bool Copy::member(const Epoch& epoch) const { return epoch.find(address_, disk_).has_value(); }
+bool Acceptor::member(const Epoch& epoch) const { return epoch.find(address_, disk_).has_value(); }
 
-void Copy::put(const Update& update) {
+void Acceptor::put(const Update& update) {
     for (const auto& [key, cell] : update.cells) cells_[key] = cell;
     if (!update.standing) return;
     standing_ = *update.standing;
@@ -32,7 +32,7 @@
         });
 }
 
-Reply Copy::weigh(const Request& request, std::optional<Update>& update) const {
+Reply Acceptor::evaluate(const Request& request, std::optional<Update>& update) const {
     update.reset();
     Reply reply;
     const auto& now = standing_.epoch;
@@ -44,8 +44,8 @@
         if (to.number > now.number || (to.number == now.number && opens))
             update =
                 Update{{},
-                       Standing{to, request.open, to.number == now.number ? standing_.next : std::nullopt,
-                                request.open ? std::nullopt : request.from}};
+                       EpochState{to, request.open, to.number == now.number ? standing_.next : std::nullopt,
+                                  request.open ? std::nullopt : request.from}};
         return reply;
     }
     if (request.kind == Request::Kind::seal) {
@@ -71,22 +71,22 @@
     if (request.kind == Request::Kind::look) {
         reply.taken = true;
     } else if (request.kind == Request::Kind::prepare) {
-        reply.taken = request.ballot > reply.cell.promised;
-        if (reply.taken) reply.cell.promised = request.ballot;
+        reply.taken = request.proposalNumber > reply.cell.promised;
+        if (reply.taken) reply.cell.promised = request.proposalNumber;
     } else {
-        reply.taken = request.ballot >= reply.cell.promised;
-        if (reply.taken) reply.cell = {request.ballot, request.ballot, request.value};
+        reply.taken = request.proposalNumber >= reply.cell.promised;
+        if (reply.taken) reply.cell = {request.proposalNumber, request.proposalNumber, request.value};
     }
     if (reply.taken && reply.cell != cell(request.key)) update = Update{{{request.key, reply.cell}}, {}};
     // What the asker sent or holds is not sent back.
     const bool its = request.kind == Request::Kind::accept || request.held == reply.cell.accepted;
-    if (its && request.held.round > 0) reply.spared = true, reply.cell.value.clear();
+    if (its && request.held.round > 0) reply.valueOmitted = true, reply.cell.value.clear();
     if (request.kind == Request::Kind::accept) reply.cell.value.clear();
     return reply;
 }
 
-Run::Run(std::string key, const Epoch& epoch, std::uint32_t writer, std::uint64_t above, Change change,
-         bool lookFirst, Cell held, Cell base)
+Proposal::Proposal(std::string key, const Epoch& epoch, std::uint32_t writer, std::uint64_t above,
+                   Change change, bool lookFirst, RegisterState held, RegisterState base)
     : key_(std::move(key)),
       epoch_(epoch.number),
       majority_(epoch.majority()),
@@ -99,26 +99,27 @@
       base_(std::move(base)),
       best_(base_) {}
 
-Request Run::request() const {
+Request Proposal::request() const {
     Request request;
     request.epoch = epoch_, request.key = key_;
     if (step_ == Step::look) {
         request.held = held_.accepted;
     } else if (step_ == Step::prepare) {
-        request.kind = Request::Kind::prepare, request.ballot = ballot_, request.held = held_.accepted;
+        request.kind = Request::Kind::prepare, request.proposalNumber = ballot_,
+        request.held = held_.accepted;
     } else {
-        request.kind = Request::Kind::accept, request.ballot = ballot_, request.value = value_;
+        request.kind = Request::Kind::accept, request.proposalNumber = ballot_, request.value = value_;
     }
     return request;
 }
 
-void Run::move(Step step) {
+void Proposal::move(Step step) {
     step_ = step;
     heard_.clear(), taken_.clear();
     if (step == Step::prepare) ballot_ = {above_ + 1, writer_}, best_ = base_;
 }
 
-bool Run::on(std::uint32_t member, Step answered, const Reply& told) {
+bool Proposal::on(std::uint32_t member, Step answered, const Reply& told) {
     if (answered != step_ || step_ == Step::done || step_ == Step::lost) return false;
     if (told.refused) {  // neither for nor against; where it goes on elsewhere, this run has no more to win
         refused_.insert(member);
@@ -129,7 +130,7 @@
         return true;
     }
     auto reply = told;
-    if (reply.spared) reply.cell.value = held_.value;
+    if (reply.valueOmitted) reply.cell.value = held_.value;
     if (!heard_.insert(member).second) return false;
     above_ = std::max({above_, reply.cell.promised.round, reply.cell.accepted.round});
     if (step_ == Step::look) {
@@ -161,10 +162,10 @@
     return true;
 }
 
-Succession::Succession(Epoch from, Epoch to, std::uint32_t writer, Cells held)
+Reconfiguration::Reconfiguration(Epoch from, Epoch to, std::uint32_t writer, RegisterStates held)
     : from_(std::move(from)), to_(std::move(to)), writer_(writer), held_(std::move(held)) {}
 
-std::vector<Request> Succession::requests() const {
+std::vector<Request> Reconfiguration::requests() const {
     std::vector<Request> all;
     Request request;
     if (step_ == Step::seal) {
@@ -179,12 +180,12 @@
         all.push_back(request);
         if (step_ == Step::transfer)
             for (const auto& [_, run] : runs_)
-                if (run.step() != Run::Step::done) all.push_back(run.request());
+                if (run.step() != Proposal::Step::done) all.push_back(run.request());
     }
     return all;
 }
 
-void Succession::transfer() {
+void Reconfiguration::transfer() {
     step_ = Step::transfer;
     taken_.clear();
     const Change asItIs = [](const std::string& value) { return value; };
@@ -192,13 +193,13 @@
         // Also where nothing was taken but something promised: a body that one disk took in an old epoch must
         // lie below every ballot of the new one, or it would come back with that disk.
         if (key.starts_with("epoch/")) continue;
-        runs_.emplace(key, Run(key, to_, writer_, cell.promised.round, asItIs, false, cell, cell));
+        runs_.emplace(key, Proposal(key, to_, writer_, cell.promised.round, asItIs, false, cell, cell));
     }
     if (runs_.empty()) step_ = Step::open;
 }
 
-bool Succession::on(std::uint32_t member, Step answered, const std::string& key, Run::Step inRun,
-                    const Reply& reply) {
+bool Reconfiguration::on(std::uint32_t member, Step answered, const std::string& key, Proposal::Step inRun,
+                         const Reply& reply) {
     if (answered != step_) return false;
     if (step_ == Step::seal) {
         if (!reply.taken) {
@@ -212,8 +213,8 @@
             best.promised = std::max(best.promised, cell.promised);
             if (cell.accepted <= best.accepted) continue;
             const auto held = held_.find(name);
-            const bool spared = held != held_.end() && held->second.accepted == cell.accepted;
-            best.accepted = cell.accepted, best.value = spared ? held->second.value : cell.value;
+            const bool valueOmitted = held != held_.end() && held->second.accepted == cell.accepted;
+            best.accepted = cell.accepted, best.value = valueOmitted ? held->second.value : cell.value;
         }
         if (taken_.size() < from_.majority()) return false;
         transfer();
@@ -222,12 +223,12 @@
     if (step_ == Step::transfer) {
         const auto at = runs_.find(key);
         if (at == runs_.end() || !at->second.on(member, inRun, reply)) return false;
-        if (at->second.step() == Run::Step::lost) {
+        if (at->second.step() == Proposal::Step::lost) {
             step_ = Step::lost;
             return true;
         }
         for (const auto& [_, run] : runs_)
-            if (run.step() != Run::Step::done) return true;
+            if (run.step() != Proposal::Step::done) return true;
         step_ = Step::open, taken_.clear();
         return true;
     }
@@ -237,4 +238,4 @@
     return true;
 }
 
-}  // namespace lichenlanding::reg
+}  // namespace lichenlanding::consensus
--- a/src/consensus/consensus.hpp
+++ b/src/consensus/consensus.hpp
@@ -22,22 +22,22 @@
 #include <string>
 #include <vector>
 
-namespace lichenlanding::reg {
+namespace lichenlanding::consensus {
 
 // Rounds rise; a writer's number (unlike any other's) tells two of one round apart. Round 0: none.
-struct Ballot {
+struct ProposalNumber {
     std::uint64_t round = 0;
     std::uint32_t writer = 0;
-    auto operator<=>(const Ballot&) const = default;
+    auto operator<=>(const ProposalNumber&) const = default;
 };
 
 // What one disk holds of one key.
-struct Cell {
-    Ballot promised, accepted;
+struct RegisterState {
+    ProposalNumber promised, accepted;
     std::string value;
-    bool operator==(const Cell&) const = default;
+    bool operator==(const RegisterState&) const = default;
 };
-using Cells = std::map<std::string, Cell>;
+using RegisterStates = std::map<std::string, RegisterState>;
 
 // One copy of the register: a machine with the disk that it has now. Another disk is another member.
 struct Member {
@@ -57,13 +57,13 @@
 };
 
 // What one disk knows for good of the epochs.
-struct Standing {
+struct EpochState {
     Epoch epoch;                // newest that it was told of
     bool open = false;          // a majority of its members holds all values
     std::optional<Epoch> next;  // the decided successor: `epoch` is sealed here, nothing of it is answered
     std::optional<Epoch>
         before;  // the epoch that `epoch` follows, until it is open: who can finish needs both
-    bool operator==(const Standing&) const = default;
+    bool operator==(const EpochState&) const = default;
 };
 
 // The key under which the members of one epoch decide the next; it has no meaning in any other.
@@ -74,54 +74,54 @@
     Kind kind = Kind::look;
     std::uint64_t epoch = 0;
     std::string key;
-    Ballot ballot;
+    ProposalNumber proposalNumber;
     std::string value;
-    Ballot held;  // of a value that the asker has: an equal one need not be told again
-    std::map<std::string, Ballot> holds;  // seal: the same, by key
-    std::optional<Epoch> to, from;        // seal, install: the successor, and what it follows
-    bool open = false;                    // install: it is open
+    ProposalNumber held;  // of a value that the asker has: an equal one need not be told again
+    std::map<std::string, ProposalNumber> holds;  // seal: the same, by key
+    std::optional<Epoch> to, from;                // seal, install: the successor, and what it follows
+    bool open = false;                            // install: it is open
 };
 
 // The cell as it is after the request; `taken` is false where a higher promise stood against it. A copy that
 // is no member of the request's epoch, or has sealed it, `refused`: it is no part of any majority.
 struct Reply {
     bool refused = false, taken = false;
-    Cell cell;
-    bool spared = false;       // the cell's value is the asker's own, and left out
-    Cells cells;               // of a seal: all
-    std::uint64_t epoch = 0;   // the copy's own, with `refused`
-    bool sealed = false;       // and whether it is sealed
-    std::uint64_t writes = 0;  // how often the copy's disk was written: a lower number later is a lost disk
+    RegisterState cell;
+    bool valueOmitted = false;  // the cell's value is the asker's own, and left out
+    RegisterStates cells;       // of a seal: all
+    std::uint64_t epoch = 0;    // the copy's own, with `refused`
+    bool sealed = false;        // and whether it is sealed
+    std::uint64_t writes = 0;   // how often the copy's disk was written: a lower number later is a lost disk
 };
 
 // What must be on disk before a reply is sent.
 struct Update {
-    Cells cells;
-    std::optional<Standing> standing;
+    RegisterStates cells;
+    std::optional<EpochState> standing;
 };
 
 // One disk's copy. The host asks what a request would change, has the disk sync it, and only then puts it and
 // sends the reply: nothing is told that a loss of power could take back.
-class Copy {
+class Acceptor {
   public:
-    Copy() = default;
+    Acceptor() = default;
     // On the disk with this identity, at this address.
-    Copy(std::string address, std::string disk) : address_(std::move(address)), disk_(std::move(disk)) {}
+    Acceptor(std::string address, std::string disk) : address_(std::move(address)), disk_(std::move(disk)) {}
 
     const std::string& disk() const { return disk_; }
     bool counts() const { return !standing_.next && member(standing_.epoch); }
     bool member(const Epoch& epoch) const;
     // The reply; `update` is set where something must be on disk before it is sent.
-    Reply weigh(const Request& request, std::optional<Update>& update) const;
+    Reply evaluate(const Request& request, std::optional<Update>& update) const;
     void put(const Update& update);
-    const Cells& cells() const { return cells_; }
-    const Cell& cell(const std::string& key) const;
-    const Standing& standing() const { return standing_; }
+    const RegisterStates& cells() const { return cells_; }
+    const RegisterState& cell(const std::string& key) const;
+    const EpochState& standing() const { return standing_; }
 
   private:
     std::string address_, disk_;
-    Standing standing_;
-    Cells cells_;
+    EpochState standing_;
+    RegisterStates cells_;
 };
 
 // From what is in force to what shall be; the same value: nothing to change, but let it be surely in force.
@@ -130,25 +130,25 @@
 // One run at a key: a look (which ends at once where a majority agrees), else prepare and accept. The
 // host sends request() to all members whenever the step has moved, and hands in replies with the step they
 // answer; a reply of an earlier step is dropped. On `lost` it waits a little and begins anew with `above()`.
-class Run {
+class Proposal {
   public:
     enum class Step : std::uint8_t { look, prepare, accept, done, lost };
 
     // `held`: a value that the host knows with its ballot, if any, so that copies need not send it. `base`:
     // what an earlier epoch has left, counted as if a member had told it.
-    Run(std::string key, const Epoch& epoch, std::uint32_t writer, std::uint64_t above, Change change,
-        bool lookFirst, Cell held = {}, Cell base = {});
+    Proposal(std::string key, const Epoch& epoch, std::uint32_t writer, std::uint64_t above, Change change,
+             bool lookFirst, RegisterState held = {}, RegisterState base = {});
 
     Step step() const { return step_; }
     Request request() const;
     // From the member in this place of the epoch. True where the step has moved.
     bool on(std::uint32_t member, Step answered, const Reply& reply);
 
-    const std::string& value() const { return value_; }  // when done
-    Ballot ballot() const { return ballot_; }            // of the value, when done
-    std::uint64_t above() const { return above_; }       // highest round seen
+    const std::string& value() const { return value_; }        // when done
+    ProposalNumber proposalNumber() const { return ballot_; }  // of the value, when done
+    std::uint64_t above() const { return above_; }             // highest round seen
     // The highest that it was told or began with: whoever runs again need not be told it again.
-    const Cell& told() const { return best_.accepted > held_.accepted ? best_ : held_; }
+    const RegisterState& told() const { return best_.accepted > held_.accepted ? best_ : held_; }
     std::uint64_t epoch() const { return epoch_; }
 
   private:
@@ -161,23 +161,23 @@
     std::uint64_t above_;
     Change change_;
     Step step_;
-    Ballot ballot_;
+    ProposalNumber ballot_;
     std::string value_;
-    Cell held_, base_, best_;
+    RegisterState held_, base_, best_;
     std::set<std::uint32_t> heard_, taken_, refused_;
-    std::optional<Cell> agreed_;
+    std::optional<RegisterState> agreed_;
     bool agree_ = true;
 };
 
 // From one epoch to the successor that its members have decided: seal a majority of the old, put the highest
 // of every key on a majority of the new, open the new on a majority of its disks. Any number of hosts may do
 // it at once, in part, or again: each step keeps what another has done.
-class Succession {
+class Reconfiguration {
   public:
     enum class Step : std::uint8_t { seal, transfer, open, done, lost };
 
     // `held`: what the host knows, so that copies need not send it.
-    Succession(Epoch from, Epoch to, std::uint32_t writer, Cells held = {});
+    Reconfiguration(Epoch from, Epoch to, std::uint32_t writer, RegisterStates held = {});
 
     Step step() const { return step_; }
     // To be sent to members of `from` (seal) or of `to`; a transfer's carry their key.
@@ -185,19 +185,20 @@
     const Epoch& asked() const { return step_ == Step::seal ? from_ : to_; }
     // Of the member in this place of asked(), to a request of this step, key and run's step. True where there
     // are other requests than before.
-    bool on(std::uint32_t member, Step answered, const std::string& key, Run::Step inRun, const Reply& reply);
+    bool on(std::uint32_t member, Step answered, const std::string& key, Proposal::Step inRun,
+            const Reply& reply);
     const Epoch& from() const { return from_; }
     const Epoch& to() const { return to_; }
-    const std::map<std::string, Run>& runs() const { return runs_; }
+    const std::map<std::string, Proposal>& runs() const { return runs_; }
 
   private:
     void transfer();
     Epoch from_, to_;
     std::uint32_t writer_;
-    Cells held_, best_;
+    RegisterStates held_, best_;
     Step step_ = Step::seal;
     std::set<std::uint32_t> taken_;
-    std::map<std::string, Run> runs_;
+    std::map<std::string, Proposal> runs_;
 };
 
-}  // namespace lichenlanding::reg
+}  // namespace lichenlanding::consensus
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -12,20 +12,20 @@
 #include "text.hpp"
 #include "transport/log.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
-using namespace wings;
+using namespace transport;
 namespace http = boost::beast::http;
 
 namespace {
 
-using Response = OperatorCalls::Response;
+using Response = AdminApi::Response;
 
-constexpr Nanos answerWithin = 900 * ms;  // callers move on after a second
-constexpr std::uint64_t bodyAtMost = 96 << 20;
-constexpr std::uint32_t headAtMost = 64 << 10;
-constexpr std::size_t readAtOnce = 16 << 10;
-constexpr Nanos turnedAwayWithin = second, acceptPause = 20 * ms;
+constexpr Nanos kAnswerWithin = 900 * kMillisecond;  // callers move on after a second
+constexpr std::uint64_t kBodyAtMost = 96 << 20;
+constexpr std::uint32_t kHeadAtMost = 64 << 10;
+constexpr std::size_t kReadAtOnce = 16 << 10;
+constexpr Nanos kTurnedAwayWithin = kSecond, kAcceptPause = 20 * kMillisecond;
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
@@ -49,7 +49,7 @@
 
 // A change that leaves a value alone which it cannot read: it is called in the midst of another's message,
 // and the answer finds the same value unreadable.
-reg::Change changing(reg::Change change) {
+consensus::Change changing(consensus::Change change) {
     return [change = std::move(change)](const std::string& held) {
         try {
             return change(held);
@@ -62,15 +62,15 @@
 
 }  // namespace
 
-OperatorCalls::Register OperatorCalls::Register::of(Keeper& keeper) {
-    return {[&keeper] { return keeper.inContact(); },
-            [&keeper](std::string key, reg::Change change, Nanos within) {
-                return keeper.change(std::move(key), std::move(change), within);
+AdminApi::Register AdminApi::Register::of(ReplicaNode& replica) {
+    return {[&replica] { return replica.hasQuorumContact(); },
+            [&replica](std::string key, consensus::Change change, Nanos within) {
+                return replica.change(std::move(key), std::move(change), within);
             },
-            [&keeper](std::string key, Nanos within) { return keeper.read(std::move(key), within); }};
+            [&replica](std::string key, Nanos within) { return replica.read(std::move(key), within); }};
 }
 
-Task<OperatorCalls::Response> OperatorCalls::answer(const Request& request) {
+Task<AdminApi::Response> AdminApi::answer(const Request& request) {
     const auto target = view(request.target());
     const auto question = target.find('?');
     if (metrics_ && target == "/metrics") co_return metricsPage();
@@ -88,13 +88,14 @@
 }
 
 // The calls that the register answers. Out of contact with its majority they are told to go elsewhere at
-// once: a caller that waits for a majority here loses the time in which another prompter would have answered.
-Task<OperatorCalls::Response> OperatorCalls::ask(const std::string& call, const std::string& of,
-                                                 const std::string& body) {
+// once: a caller that waits for a majority here loses the time in which another control node would have
+// answered.
+Task<AdminApi::Response> AdminApi::ask(const std::string& call, const std::string& of,
+                                       const std::string& body) {
     const bool known = call == "config.replace" || call == "config.read" || call == "rollouts.begin" ||
                        call == "rollouts.read";
     if (!known) co_return wrong(404, "call: no such call: " + call);
-    if (!register_.inContact()) co_return later("register: out of contact with a majority");
+    if (!register_.hasQuorumContact()) co_return later("register: out of contact with a majority");
     try {
         if (call == "config.replace") co_return co_await replace(body);
         if (call == "config.read") co_return co_await readBack();
@@ -107,11 +108,11 @@
     co_return later("register: a value that cannot be read");
 }
 
-OperatorCalls::Response OperatorCalls::metricsPage() const {
+AdminApi::Response AdminApi::metricsPage() const {
     const auto told = status_();
     std::uint32_t behind = 0;
-    for (const auto& [_, foyer] : told.at("foyers").items())
-        behind += foyer.at("configuration") != told.at("configuration");
+    for (const auto& [_, proxy] : told.at("foyers").items())
+        behind += proxy.at("configuration") != told.at("configuration");
     std::size_t pods = 0;
     for (const auto& [_, versions] : told.at("pods").items())
         for (const auto& [_2, counts] : versions.items())
@@ -136,23 +137,23 @@
     return response;
 }
 
-Task<OperatorCalls::Response> OperatorCalls::replace(const std::string& body) {
-    orders::Order order;
+Task<AdminApi::Response> AdminApi::replace(const std::string& body) {
+    admin::ConfigurationRequest order;
     try {
-        order = orders::order(playbill::Playbill::read(body).version, body);
-    } catch (const playbill::Refusal& refusal) {
+        order = admin::order(config::Configuration::read(body).version, body);
+    } catch (const config::ValidationError& refusal) {
         log("configuration_refused", {{"error", refusal.what()}});
         co_return respond(
-            400, Json{{"errors", refusal.mistakes}}.dump(-1, ' ', false, Json::error_handler_t::replace));
+            400, Json{{"errors", refusal.errors}}.dump(-1, ' ', false, Json::error_handler_t::replace));
     }
-    const auto version = playbill::versionText(order.number);
-    const reg::Change put =
-        changing([order](const std::string& held) { return orders::change(held, order); });
-    const auto held = co_await register_.change(configurationKey, put, answerWithin);
+    const auto version = config::formatVersion(order.number);
+    const consensus::Change put =
+        changing([order](const std::string& held) { return admin::change(held, order); });
+    const auto held = co_await register_.change(kConfigurationKey, put, kAnswerWithin);
     if (!held) co_return later("register: no majority has synced it");
-    const auto recalled = orders::recalled(*held, order);
-    const auto inForce = playbill::versionText(orders::version(*held));
-    if (recalled == orders::Recalled::clash) {
+    const auto recalled = admin::recalled(*held, order);
+    const auto inForce = config::formatVersion(admin::version(*held));
+    if (recalled == admin::DuplicateCheck::clash) {
         log("configuration_clash", {{"version", version}, {"held", inForce}});
         co_return respond(409,
                           Json{{"error", "config_version " + version + ": acknowledged with another body"},
@@ -163,32 +164,33 @@
     co_return respond(200, Json{{"config_version", inForce}}.dump());
 }
 
-Task<OperatorCalls::Response> OperatorCalls::readBack() {
-    const auto value = co_await register_.read(configurationKey, answerWithin);
+Task<AdminApi::Response> AdminApi::readBack() {
+    const auto value = co_await register_.read(kConfigurationKey, kAnswerWithin);
     if (!value) co_return later("register: no majority");
     if (value->empty()) co_return later("no configuration yet");
-    co_return respond(200, orders::body(*value));
+    co_return respond(200, admin::body(*value));
 }
 
-Task<OperatorCalls::Response> OperatorCalls::begin(const std::string& body) {
+Task<AdminApi::Response> AdminApi::begin(const std::string& body) {
     const auto told = Json::parse(body, nullptr, false);
-    cues::Rollout order;
+    messages::Rollout order;
     try {
         told.at("service_name").get_to(order.service);
         told.at("target_version").get_to(order.target);
-        order.term = playbill::span(told.at("deadline").get<std::string>()) / ms;
+        order.term = config::span(told.at("deadline").get<std::string>()) / kMillisecond;
     } catch (const std::exception&) {
         co_return wrong(400, "must hold service_name, target_version and deadline (\"12s\")");
     }
-    const reg::Change add = changing([order](const std::string& held) { return orders::begin(held, order); });
-    const auto held = co_await register_.change(rolloutsKey, add, answerWithin);
+    const consensus::Change add =
+        changing([order](const std::string& held) { return admin::begin(held, order); });
+    const auto held = co_await register_.change(kRolloutsKey, add, kAnswerWithin);
     if (!held) co_return later("register: no majority has synced it");
-    const auto outcome = orders::ordered(cues::readRollouts(*held), order);
+    const auto outcome = admin::ordered(messages::decodeRollouts(*held), order);
     log("rollout_ordered", {{"service", order.service},
                             {"target", order.target},
                             {"term_ms", order.term},
-                            {"outcome", orders::name(outcome)}});
-    if (outcome == orders::Ordered::underWay)
+                            {"outcome", admin::name(outcome)}});
+    if (outcome == admin::RolloutRequestOutcome::underWay)
         co_return respond(409, Json{{"error", "target_version " + order.target + " of " + order.service +
                                                   ": under way by an order with another deadline"},
                                     {"target_version", order.target}}
@@ -196,23 +198,23 @@
     co_return respond(200, "{}");
 }
 
-Task<OperatorCalls::Response> OperatorCalls::readRollout(const std::string& service) {
-    const auto value = co_await register_.read(rolloutsKey, answerWithin);
+Task<AdminApi::Response> AdminApi::readRollout(const std::string& service) {
+    const auto value = co_await register_.read(kRolloutsKey, kAnswerWithin);
     if (!value) co_return later("register: no majority");
-    const auto rollouts = cues::readRollouts(*value);
-    const auto* newest = orders::newest(rollouts, service);
+    const auto rollouts = messages::decodeRollouts(*value);
+    const auto* newest = admin::newest(rollouts, service);
     if (!newest) co_return wrong(404, "of: no rollout of " + service);
     co_return respond(200, Json{{"state", newest->state}, {"target_version", newest->target}}.dump(
                                -1, ' ', false, Json::error_handler_t::replace));
 }
 
-void OperatorCalls::left(const std::shared_ptr<Caller>& its) {
+void AdminApi::left(const std::shared_ptr<Caller>& its) {
     std::erase(callers_, its);
-    room_.ring();
+    room_.notify();
 }
 
 // Idle callers give way first, then those that take longest to send, then those that take longest to listen.
-bool OperatorCalls::makeRoom() {
+bool AdminApi::makeRoom() {
     if (callers_.size() < bounds_.callers) return true;
     const auto at =
         std::min_element(callers_.begin(), callers_.end(), [](const auto& one, const auto& other) {
@@ -226,7 +228,7 @@
     return true;
 }
 
-Task<> OperatorCalls::caller(std::shared_ptr<Caller> its) {
+Task<> AdminApi::caller(std::shared_ptr<Caller> its) {
     try {
         co_await converse(*its);
     } catch (const std::exception& error) {
@@ -235,31 +237,32 @@
     left(its);
 }
 
-Task<> OperatorCalls::converse(Caller& its) {
+Task<> AdminApi::converse(Caller& its) {
     auto& stream = its.stream;
     beast::flat_buffer buffer;
     for (;;) {
-        Code code;
+        ErrorCode code;
         its.enter(Phase::idle);
         if (buffer.size() == 0) {
             stream.expires_after(span(bounds_.idle));
-            const auto bytes = co_await stream.async_read_some(buffer.prepare(readAtOnce), told(code));
+            const auto bytes =
+                co_await stream.async_read_some(buffer.prepare(kReadAtOnce), withErrorCode(code));
             if (code) co_return;
             buffer.commit(bytes);
         }
         its.enter(Phase::sending);
         http::request_parser<http::string_body> parser;
-        parser.body_limit(bodyAtMost);
-        parser.header_limit(headAtMost);
+        parser.body_limit(kBodyAtMost);
+        parser.header_limit(kHeadAtMost);
         stream.expires_after(span(bounds_.head));
-        co_await http::async_read_header(stream, buffer, parser, told(code));
+        co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
         if (!code && !parser.is_done()) {
             stream.expires_after(span(bounds_.body));
             if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
                 const http::response<http::empty_body> goOn(http::status::continue_, 11);
-                co_await http::async_write(stream, goOn, told(code));
+                co_await http::async_write(stream, goOn, withErrorCode(code));
             }
-            if (!code) co_await http::async_read(stream, buffer, parser, told(code));
+            if (!code) co_await http::async_read(stream, buffer, parser, withErrorCode(code));
         }
         if (code == http::error::body_limit) co_return co_await turnAway(its, wrong(413, code.message()));
         if (code == http::error::header_limit) co_return co_await turnAway(its, wrong(431, code.message()));
@@ -276,39 +279,39 @@
         response.prepare_payload();
         its.enter(Phase::taking);
         stream.expires_after(span(bounds_.taking));
-        co_await http::async_write(stream, response, told(code));
+        co_await http::async_write(stream, response, withErrorCode(code));
         if (code || !response.keep_alive()) co_return;
     }
 }
 
 // The answer, and the end. What still comes is read for a moment: a close over unread bytes is a reset, which
 // can take the answer away from the caller.
-Task<> OperatorCalls::turnAway(Caller& its, Response response) {
-    Code code;
+Task<> AdminApi::turnAway(Caller& its, Response response) {
+    ErrorCode code;
     its.enter(Phase::taking);
-    its.stream.expires_after(span(turnedAwayWithin));
+    its.stream.expires_after(span(kTurnedAwayWithin));
     response.keep_alive(false), response.prepare_payload();
-    co_await http::async_write(its.stream, response, told(code));
+    co_await http::async_write(its.stream, response, withErrorCode(code));
     its.stream.socket().shutdown(tcp::socket::shutdown_send, code);
-    std::array<char, readAtOnce> rest;
-    while (!code) co_await its.stream.async_read_some(asio::buffer(rest), told(code));
+    std::array<char, kReadAtOnce> rest;
+    while (!code) co_await its.stream.async_read_some(asio::buffer(rest), withErrorCode(code));
 }
 
-Task<> OperatorCalls::serve(tcp::acceptor& control) {
+Task<> AdminApi::serve(tcp::acceptor& control) {
     while (control.is_open()) {
-        Code code;
-        auto socket = co_await control.async_accept(told(code));
+        ErrorCode code;
+        auto socket = co_await control.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
         if (code) {  // no descriptor left, say
-            co_await sleep(acceptPause);
+            co_await sleep(kAcceptPause);
             continue;
         }
-        while (!makeRoom()) co_await room_.wait(now() + acceptPause);
-        tune(socket, bounds_.taking);
+        while (!makeRoom()) co_await room_.wait(now() + kAcceptPause);
+        configureSocket(socket, bounds_.taking);
         const auto its = std::make_shared<Caller>(std::move(socket));
         callers_.push_back(its);
         start(io_, "caller", caller(its));
     }
 }
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/admin_api.hpp
+++ b/src/control_plane/admin_api.hpp
@@ -8,35 +8,36 @@
 #include "control_plane/replica_node.hpp"
 #include "transport/event_loop.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
 // What a caller may take, of time and of places. Each is far beyond what an operator's client needs.
-struct CallerBounds {
-    Nanos idle = 15 * wings::second;    // between two calls on a connection
-    Nanos head = 3 * wings::second;     // from a head's first byte to its last
-    Nanos body = 30 * wings::second;    // for a body, of 96 MiB at the most
-    Nanos taking = 30 * wings::second;  // for an answer to be taken
-    std::size_t callers = 128;          // connections at once
+struct AdminApiLimits {
+    Nanos idle = 15 * transport::kSecond;    // between two calls on a connection
+    Nanos head = 3 * transport::kSecond;     // from a head's first byte to its last
+    Nanos body = 30 * transport::kSecond;    // for a body, of 96 MiB at the most
+    Nanos taking = 30 * transport::kSecond;  // for an answer to be taken
+    std::size_t callers = 128;               // connections at once
 };
 
-class OperatorCalls {
+class AdminApi {
   public:
     // What is asked of the register (Keeper). change() and read() end with null where no majority could be
     // had in time: then nothing is known either way.
     struct Register {
-        std::function<bool()> inContact;
-        std::function<Task<std::optional<std::string>>(std::string key, reg::Change, Nanos within)> change;
+        std::function<bool()> hasQuorumContact;
+        std::function<Task<std::optional<std::string>>(std::string key, consensus::Change, Nanos within)>
+            change;
         std::function<Task<std::optional<std::string>>(std::string key, Nanos within)> read;
-        static Register of(Keeper& keeper);  // which outlives it
+        static Register of(ReplicaNode& replica);  // which outlives it
     };
 
     using Request = boost::beast::http::request<boost::beast::http::string_body>;
     using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-    // `status`: what this prompter knows, nothing is asked of others. `metrics`: GET /metrics is answered.
-    // All outlive this.
-    OperatorCalls(wings::asio::io_context& io, Register its, std::function<Json()> status, bool metrics,
-                  CallerBounds bounds = {})
+    // `status`: what this control node knows, nothing is asked of others. `metrics`: GET /metrics is
+    // answered. All outlive this.
+    AdminApi(transport::asio::io_context& io, Register its, std::function<Json()> status, bool metrics,
+             AdminApiLimits bounds = {})
         : io_(io),
           register_(std::move(its)),
           status_(std::move(status)),
@@ -47,7 +48,7 @@
     // As long as the acceptor is open. On one connection calls are answered one after the other, in the order
     // they came; an answer goes down the connection that its call came by or nowhere. An order goes on when
     // its caller is gone.
-    Task<> serve(wings::tcp::acceptor& control);
+    Task<> serve(transport::tcp::acceptor& control);
     Task<Response> answer(const Request& request);
     std::uint64_t calls() const { return calls_; }  // taken so far
     std::size_t callers() const { return callers_.size(); }
@@ -57,11 +58,11 @@
     // answered never does.
     enum class Phase { idle, sending, taking, answered };
     struct Caller {
-        wings::beast::tcp_stream stream;
+        transport::beast::tcp_stream stream;
         Phase phase = Phase::idle;
         Nanos since = 0;  // in the phase
-        explicit Caller(wings::tcp::socket socket) : stream(std::move(socket)) {}
-        void enter(Phase next) { phase = next, since = wings::now(); }
+        explicit Caller(transport::tcp::socket socket) : stream(std::move(socket)) {}
+        void enter(Phase next) { phase = next, since = transport::now(); }
     };
 
     Task<> caller(std::shared_ptr<Caller> its);
@@ -76,14 +77,14 @@
     Task<Response> readRollout(const std::string& service);
     Response metricsPage() const;
 
-    wings::asio::io_context& io_;
+    transport::asio::io_context& io_;
     Register register_;
     std::function<Json()> status_;
     const bool metrics_;
-    const CallerBounds bounds_;
+    const AdminApiLimits bounds_;
     std::vector<std::shared_ptr<Caller>> callers_;
-    wings::Bell room_;  // rung when a caller has left
+    transport::AsyncEvent room_;  // rung when a caller has left
     std::uint64_t calls_ = 0;
 };
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -13,56 +13,57 @@
 #include "subscription/configuration_cache.hpp"
 #include "transport/log.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 namespace {
 
-using namespace wings;
+using namespace transport;
 
-constexpr Nanos tellKnownEvery = 500 * ms, lookEvery = 100 * ms;
-constexpr Nanos rosterAfter = 400 * ms;
+constexpr Nanos kTellKnownEvery = 500 * kMillisecond, kLookEvery = 100 * kMillisecond;
+constexpr Nanos kRosterAfter = 400 * kMillisecond;
 
 std::uint64_t drawnLife() {
     std::random_device draw;
     return (static_cast<std::uint64_t>(draw()) << 32) | draw();
 }
 
-struct Foyer {
-    std::shared_ptr<Link> link;
+struct ProxyInstance {
+    std::shared_ptr<PeerConnection> link;
     std::string address;
     std::uint64_t life = 0;
     std::uint32_t applied = 0;       // configuration acknowledged
-    std::set<std::string> missedBy;  // foyers that watch it and have lost it
+    std::set<std::string> missedBy;  // proxies that watch it and have lost it
 };
 
-struct Prompter {
-    Prompter(const playbill::Boot& boot_, bool metrics)
+struct ControlPlane {
+    ControlPlane(const config::BootstrapSettings& boot_, bool metrics)
         : boot(boot_),
-          keeper(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
-                 Keeper::onDisk(boot_)),
+          replica(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
+                  ReplicaNode::onDisk(boot_)),
           control(listen(io, boot.control)),
           peers(listen(io, boot.internal(boot.ip))),
           duties(
-              keeper, {me(), drawnLife()}, [this] { return hears(); }, [this] { return board.seenTerm(); }),
+              replica, {me(), drawnLife()}, [this] { return hears(); },
+              [this] { return cache.highestTermSeen(); }),
           list(
-              io, boot, board, [this] { return duties.has(listDuty) ? duties.term(listDuty) : 0; },
+              io, boot, cache, [this] { return duties.has(kListDuty) ? duties.term(kListDuty) : 0; },
               [this](const Json& message) { tellAll(message); }),
           rollouts(
-              keeper, [this] { return startedReading && duties.has(rolloutsDuty); },
-              [this] { return foyerNames(); }),
+              replica, [this] { return startedReading && duties.has(kRolloutsDuty); },
+              [this] { return proxyNames(); }),
           operatorCalls(
-              io, OperatorCalls::Register::of(keeper), [this] { return status(); }, metrics) {
-        owner = std::make_shared<Link::Owner>();
-        owner->greet = [this](Link& link) { return greet(link); };
-        owner->heard = [this](Link& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](Link& link) { closed(link); };
+              io, AdminApi::Register::of(replica), [this] { return status(); }, metrics) {
+        owner = std::make_shared<PeerConnection::Owner>();
+        owner->greet = [this](PeerConnection& link) { return greet(link); };
+        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
+        owner->closed = [this](PeerConnection& link) { closed(link); };
     }
 
     // ---- Links. ----
 
     std::string me() const { return boot.internal(boot.ip); }
 
-    Json greet(Link&) {
-        auto hello = keeper.greeting();
+    Json greet(PeerConnection&) {
+        auto hello = replica.greeting();
         hello.update({{"t", "hello"}, {"kind", "prompter"}, {"name", boot.name}, {"at", me()}});
         return hello;
     }
@@ -78,7 +79,7 @@
         for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
     }
 
-    void heard(Link& link, const Json& message) {
+    void heard(PeerConnection& link, const Json& message) {
         const auto& kind = message.at("t").get_ref<const std::string&>();
         if (kind == "known") {
             if (message.contains("hears")) duties.heard(link.peer, message.at("hears"));
@@ -86,101 +87,102 @@
         }
         if (kind == "hello") {
             hello(link, message);
-        } else if (keeper.heard(link, message)) {
+        } else if (replica.heard(link, message)) {
         } else if (kind == "want") {
             answer(link, message);
         } else if (kind == "digest") {
-            board.heard(message, callboard::Callboard::From::follower, now(),
+            cache.heard(message, subscription::ConfigurationCache::MessageSource::follower, now(),
                         [&](Json reply) { link.send(word(std::move(reply))); });
         } else if (kind == "lost") {
-            const auto at = foyers.find(message.at("name").get<std::string>());
-            if (at != foyers.end()) at->second.missedBy.insert(link.peer);
+            const auto at = proxies.find(message.at("name").get<std::string>());
+            if (at != proxies.end()) at->second.missedBy.insert(link.peer);
         } else if (kind == "ack") {
-            if (const auto at = foyers.find(link.peer); at != foyers.end())
+            if (const auto at = proxies.find(link.peer); at != proxies.end())
                 message.at("configuration").get_to(at->second.applied);
         } else if (kind == "vote") {
             rollouts.heard(message);
         }
     }
 
-    void hello(Link& link, const Json& message) {
+    void hello(PeerConnection& link, const Json& message) {
         link.kind = message.at("kind").get<std::string>();
         const auto at = message.at("at").get<std::string>();
         if (link.kind == "prompter") {
             link.peer = at;
             const auto dialer = dialers.find(at);
             if (dialer != dialers.end() && dialer->second && dialer->second->link().get() == &link)
-                keeper.joined(at, link.shared_from_this());
+                replica.joined(at, link.shared_from_this());
             else if (dialer != dialers.end() && dialer->second && !dialer->second->link())
-                dialer->second->hurry();  // after a loss of all, those that are up first wait for the others
-            keeper.greeted(message);
+                dialer->second
+                    ->retryNow();  // after a loss of all, those that are up first wait for the others
+            replica.onHello(message);
             for (const auto& member : message.at("members")) dial(member.get<std::string>());
             sayKnown();
             return;
         }
         link.peer = message.at("name").get<std::string>();
-        foyers[link.peer] = {link.shared_from_this(), at, message.at("life").get<std::uint64_t>(), 0, {}};
-        link.send(word(board.digest()));
+        proxies[link.peer] = {link.shared_from_this(), at, message.at("life").get<std::uint64_t>(), 0, {}};
+        link.send(word(cache.digest()));
         roster();
     }
 
-    // Other members, or contact has come or gone: new ones are dialled, and foyers are greeted again.
+    // Other members, or contact has come or gone: new ones are dialled, and proxies are greeted again.
     void moved() {
-        for (const auto& member : keeper.members()) dial(member);
-        for (const auto& [_, foyer] : foyers) foyer.link->send(greet(*foyer.link));
-        tellAll(board.digest());
+        for (const auto& member : replica.members()) dial(member);
+        for (const auto& [_, proxy] : proxies) proxy.link->send(greet(*proxy.link));
+        tellAll(cache.digest());
     }
 
-    void closed(Link& link) {
+    void closed(PeerConnection& link) {
         if (link.kind == "prompter") {
             const auto dialer = dialers.find(link.peer);
             if (dialer != dialers.end() && dialer->second && !dialer->second->link())
-                keeper.parted(link.peer), sayKnown();
-        } else if (const auto at = foyers.find(link.peer);
-                   at != foyers.end() && at->second.link.get() == &link) {
-            foyers.erase(at);
+                replica.onPeerDisconnected(link.peer), sayKnown();
+        } else if (const auto at = proxies.find(link.peer);
+                   at != proxies.end() && at->second.link.get() == &link) {
+            proxies.erase(at);
             roster();
         }
     }
 
     // ---- Cues. ----
 
-    // Each word to foyers says whether it speaks for a majority. The clock is for what foyers do together.
+    // Each word to proxies says whether it speaks for a majority. The clock is for what proxies do together.
     Json word(Json message) const {
-        message["sure"] = keeper.inContact();
-        if (message.contains("sums")) message["clock"] = now() / ms;
+        message["sure"] = replica.hasQuorumContact();
+        if (message.contains("sums")) message["clock"] = now() / kMillisecond;
         return message;
     }
 
-    // What many foyers ask for at once, as at a start, is made and packed once.
+    // What many proxies ask for at once, as at a start, is made and packed once.
     struct Kept {
         Json of;
-        Packed packed;
+        EncodedMessage packed;
     };
     template <typename Make>
-    static Packed once(Kept& kept, Json of, Make make) {
-        if (kept.of != of) kept = {std::move(of), Link::pack(make())};
+    static EncodedMessage once(Kept& kept, Json of, Make make) {
+        if (kept.of != of) kept = {std::move(of), PeerConnection::pack(make())};
         return kept.packed;
     }
-    void answer(Link& link, Json want) {
-        const bool sure = keeper.inContact();
-        if (want.contains("configuration") && board.version() > 0) {
-            link.send(once(keptBody, {board.version(), sure}, [&] { return word(board.body()); }));
+    void answer(PeerConnection& link, Json want) {
+        const bool sure = replica.hasQuorumContact();
+        if (want.contains("configuration") && cache.version() > 0) {
+            link.send(once(keptBody, {cache.version(), sure}, [&] { return word(cache.body()); }));
             want.erase("configuration");
         }
-        if (board.wantsWhole(want)) {
-            const auto& edition = board.edition();
-            link.send(
-                once(keptList, {edition.term, edition.sequence, sure}, [&] { return word(board.whole()); }));
+        if (cache.wantsFullList(want)) {
+            const auto& endpointListVersion = cache.endpointListVersion();
+            link.send(once(keptList, {endpointListVersion.term, endpointListVersion.sequence, sure},
+                           [&] { return word(cache.whole()); }));
             want.erase("held");
         }
-        board.heard(want, callboard::Callboard::From::follower, now(),
+        cache.heard(want, subscription::ConfigurationCache::MessageSource::follower, now(),
                     [&](Json reply) { link.send(word(std::move(reply))); });
     }
 
     void tellAll(const Json& message) {
-        const auto packed = Link::pack(word(message));
-        for (const auto& [_, foyer] : foyers) foyer.link->send(packed);
+        const auto packed = PeerConnection::pack(word(message));
+        for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
     }
 
     // One word for all that came and went of late: at a start a whole fleet says hello at once.
@@ -190,40 +192,40 @@
     }
 
     Task<> tellRoster() {
-        co_await sleep(rosterAfter);
+        co_await sleep(kRosterAfter);
         rosterDue = false;
         Json names = Json::object();
-        for (const auto& [name, foyer] : foyers) names[name] = foyer.address;
-        const auto packed = Link::pack(Json{{"t", "roster"}, {"foyers", std::move(names)}});
-        for (const auto& [_, foyer] : foyers) foyer.link->send(packed);
+        for (const auto& [name, proxy] : proxies) names[name] = proxy.address;
+        const auto packed = PeerConnection::pack(Json{{"t", "roster"}, {"foyers", std::move(names)}});
+        for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
     }
 
     void learnt(const std::string& key) {
-        const auto& value = keeper.known(key).value;
-        if (key == configurationKey && !value.empty()) {
+        const auto& value = replica.known(key).value;
+        if (key == kConfigurationKey && !value.empty()) {
             try {
-                board.configuration(orders::version(value), std::string(orders::squeezed(value)));
-            } catch (const orders::Unreadable& error) {  // of a later text, say; what is held stays
+                cache.configuration(admin::version(value), std::string(admin::compressed(value)));
+            } catch (const admin::ParseError& error) {  // of a later text, say; what is held stays
                 return log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
             }
-            tellAll(board.cue());
-        } else if (key == rolloutsKey) {
+            tellAll(cache.cue());
+        } else if (key == kRolloutsKey) {
             rollouts.learnt();
             if (startedReading) pinRollouts();
         }
     }
 
     void pinRollouts() {
-        const auto& text = keeper.known(rolloutsKey).value;
+        const auto& text = replica.known(kRolloutsKey).value;
         std::int64_t number = 0;
-        for (const auto& rollout : cues::readRollouts(text)) number = std::max(number, rollout.number);
-        if (board.rollouts(number, text)) tellAll(board.order());  // not where ages alone have changed
+        for (const auto& rollout : messages::decodeRollouts(text)) number = std::max(number, rollout.number);
+        if (cache.rollouts(number, text)) tellAll(cache.order());  // not where ages alone have changed
     }
 
     // Before rollouts have been read from a majority nothing is said of them.
     Task<> readFirst() {
         for (;;) {
-            const auto value = co_await keeper.read(rolloutsKey, second);
+            const auto value = co_await replica.read(kRolloutsKey, kSecond);
             if (value) break;
         }
         startedReading = true;
@@ -234,72 +236,72 @@
     Task<> tellKnown() {
         std::set<std::string> told;
         for (Nanos at = 0;;) {
-            co_await sleep(lookEvery);
+            co_await sleep(kLookEvery);
             auto heard = hears();
-            if (heard == told && now() - at < tellKnownEvery) continue;
+            if (heard == told && now() - at < kTellKnownEvery) continue;
             at = now(), told = std::move(heard);
             sayKnown();
         }
     }
 
     void sayKnown() {
-        Json ballots = Json::object();
-        for (const auto& key : keys)
-            if (const auto& known = keeper.known(key); known.ballot.round > 0)
-                ballots[key] = cues::write(known.ballot);
-        const auto packed = Link::pack(Json{{"t", "known"},
-                                            {"ballots", std::move(ballots)},
-                                            {"hears", duties.hears()},
-                                            {"ages", rollouts.ages()}});
+        Json proposalNumbers = Json::object();
+        for (const auto& key : kKeys)
+            if (const auto& known = replica.known(key); known.proposalNumber.round > 0)
+                proposalNumbers[key] = messages::write(known.proposalNumber);
+        const auto packed = PeerConnection::pack(Json{{"t", "known"},
+                                                      {"ballots", std::move(proposalNumbers)},
+                                                      {"hears", duties.hears()},
+                                                      {"ages", rollouts.ages()}});
         for (const auto& [address, dialer] : dialers)
             if (dialer)
                 if (auto link = dialer->link()) link->send(packed);
     }
 
-    // ---- Duties, each by one prompter. ----
+    // ---- Duties, each by one control node. ----
 
     std::set<std::string> hears() const {
         std::set<std::string> all;
         for (const auto& [address, dialer] : dialers)
-            if (dialer && dialer->link() && keeper.hears(address)) all.insert(address);
+            if (dialer && dialer->link() && replica.hears(address)) all.insert(address);
         return all;
     }
 
-    std::vector<std::string> foyerNames() const {
+    std::vector<std::string> proxyNames() const {
         std::vector<std::string> names;
-        for (const auto& [name, _] : foyers) names.push_back(name);
+        for (const auto& [name, _] : proxies) names.push_back(name);
         return names;
     }
 
     // ---- Status. ----
 
-    // What this prompter knows; nothing is asked of others.
+    // What this control node knows; nothing is asked of others.
     Json status() const {
-        Json told{
-            {"node", boot.name},
-            {"blank", !keeper.votes()},
-            {"members", keeper.members().size()},
-            {"reached", keeper.reached()},
-            {"register", keeper.describe()},
-            {"configuration", board.version() ? playbill::versionText(board.version()) : ""},
-            {"duty", Json::array()},
-            {"duties", duties.describe()},
-            {"foyers", Json::object()},
-            {"pods", Json::object()},
-            {"rollouts",
-             Json::parse(keeper.known(rolloutsKey).value.empty() ? "[]" : keeper.known(rolloutsKey).value)},
-            {"votes", rollouts.votes()},
-            {"calls", operatorCalls.calls()},
-            {"list_calls", list.calls()},
-            {"list_refused", list.refused()}};
-        for (const auto& duty : {listDuty, rolloutsDuty})
+        Json told{{"node", boot.name},
+                  {"blank", !replica.votes()},
+                  {"members", replica.members().size()},
+                  {"reached", replica.reached()},
+                  {"register", replica.describe()},
+                  {"configuration", cache.version() ? config::formatVersion(cache.version()) : ""},
+                  {"duty", Json::array()},
+                  {"duties", duties.describe()},
+                  {"foyers", Json::object()},
+                  {"pods", Json::object()},
+                  {"rollouts", Json::parse(replica.known(kRolloutsKey).value.empty()
+                                               ? "[]"
+                                               : replica.known(kRolloutsKey).value)},
+                  {"votes", rollouts.votes()},
+                  {"calls", operatorCalls.calls()},
+                  {"list_calls", list.calls()},
+                  {"list_refused", list.refused()}};
+        for (const auto& duty : {kListDuty, kRolloutsDuty})
             if (duties.has(duty)) told["duty"].push_back(duty);
-        for (const auto& [name, foyer] : foyers)
-            told["foyers"][name] = {{"at", foyer.address},
-                                    {"life", foyer.life},
-                                    {"missed_by", foyer.missedBy.size()},
-                                    {"configuration", playbill::versionText(foyer.applied)}};
-        for (const auto& [_, member] : board.troupe().members()) {
+        for (const auto& [name, proxy] : proxies)
+            told["foyers"][name] = {{"at", proxy.address},
+                                    {"life", proxy.life},
+                                    {"missed_by", proxy.missedBy.size()},
+                                    {"configuration", config::formatVersion(proxy.applied)}};
+        for (const auto& [_, member] : cache.endpoints().members()) {
             auto& counts = told["pods"][member.service][member.version];
             if (counts.is_null()) counts = {0, 0};
             auto& count = counts[member.draining ? 1 : 0];
@@ -312,15 +314,15 @@
         signals(
             io,
             [this] {
-                start(io, "leave", [](Prompter& self) -> Task<> {
-                    co_await self.keeper.leave();
+                start(io, "leave", [](ControlPlane& self) -> Task<> {
+                    co_await self.replica.leave();
                     log("left", {});
                     self.io.stop();
                 }(*this));
             },
             [this] {
                 try {
-                    boot = playbill::Boot::fromEnvironment();
+                    boot = config::BootstrapSettings::fromEnvironment();
                     dialSeeds();
                     log("settings_read", {});
                 } catch (const std::exception& wrong_) {
@@ -328,12 +330,12 @@
                 }
             });
         log("start", {});
-        keeper.open();
+        replica.open();
         dialSeeds();
-        for (const auto& member : keeper.members()) dial(member);
-        start(io, "links", serveLinks(io, peers, owner));
+        for (const auto& member : replica.members()) dial(member);
+        start(io, "links", servePeerConnections(io, peers, owner));
         start(io, "control", operatorCalls.serve(control));
-        start(io, "register", keeper.maintain());
+        start(io, "register", replica.maintain());
         start(io, "register", readFirst());
         start(io, "known", tellKnown());
         start(io, "duties", duties.run());
@@ -342,27 +344,27 @@
         io.run();
     }
 
-    playbill::Boot boot;
+    config::BootstrapSettings boot;
     asio::io_context io{1};
-    Keeper keeper;
+    ReplicaNode replica;
     tcp::acceptor control, peers;
-    std::shared_ptr<Link::Owner> owner;
+    std::shared_ptr<PeerConnection::Owner> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;  // by address
-    std::map<std::string, Foyer> foyers;                     // by name
-    callboard::Callboard board{{}};
+    std::map<std::string, ProxyInstance> proxies;            // by name
+    subscription::ConfigurationCache cache{{}};
     Kept keptBody, keptList;  // packed, as last asked for
-    DutyHolder duties;
-    ListDuty list;
-    RolloutsDuty rollouts;
-    OperatorCalls operatorCalls;
+    LeaseHolder duties;
+    EndpointDiscovery list;
+    RolloutController rollouts;
+    AdminApi operatorCalls;
     bool startedReading = false, rosterDue = false;
 };
 
 }  // namespace
 
-void run(const playbill::Boot& boot, bool metrics) {
+void run(const config::BootstrapSettings& boot, bool metrics) {
     openLog(boot.name);
-    Prompter(boot, metrics).run();
+    ControlPlane(boot, metrics).run();
 }
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -8,51 +8,53 @@
 #include "messages/codec.hpp"
 #include "transport/log.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
-using namespace wings;
+using namespace transport;
 namespace http = boost::beast::http;
 
 namespace {
 
-constexpr Nanos pollEvery = 500 * ms, pollWithin = 700 * ms, pollPause = 300 * ms;
-constexpr Nanos compareEvery = 5 * second;
-constexpr Nanos refusedPause = 20 * ms, refusedAtMost = second;  // doubled from page to page that is refused
-constexpr Nanos oldAfter = 2 * second;  // what has been read of a list, while the rest of it is refused
-constexpr double listPart = 0.7;        // of the platform's calls a second that the list may take
-constexpr std::uint64_t bodyAtMost = 96 << 20;
+constexpr Nanos kPollEvery = 500 * kMillisecond, kPollWithin = 700 * kMillisecond,
+                kPollPause = 300 * kMillisecond;
+constexpr Nanos kCompareEvery = 5 * kSecond;
+constexpr Nanos kRefusedPause = 20 * kMillisecond,
+                kRefusedAtMost = kSecond;  // doubled from page to page that is refused
+constexpr Nanos kOldAfter = 2 * kSecond;   // what has been read of a list, while the rest of it is refused
+constexpr double kListPart = 0.7;          // of the platform's calls a second that the list may take
+constexpr std::uint64_t kBodyAtMost = 96 << 20;
 
 }  // namespace
 
 // Between two calls, if they are to stay within the platform's rate for all.
-Nanos ListDuty::callGap() const {
-    return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * listPart)) : 0;
+Nanos EndpointDiscovery::callGap() const {
+    return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * kListPart)) : 0;
 }
 
-Task<> ListDuty::poll() {
+Task<> EndpointDiscovery::poll() {
     auto stream = std::make_shared<beast::tcp_stream>(io_);
     beast::flat_buffer buffer;
     bool connected = false, anew = false;
     for (;;) {
         const auto term = term_();
         if (term == 0) {
-            board_.unlisted();
-            co_await sleep(pollPause / 3);
+            cache_.markEndpointsStale();
+            co_await sleep(kPollPause / 3);
             continue;
         }
         const Nanos started = now();
-        std::vector<troupe::Member> members;
+        std::vector<discovery::Endpoint> members;
         std::string token;
         bool whole = false;
         int pages = 0;
-        const Nanos firstPause = std::max(callGap() * 2, refusedPause);
+        const Nanos firstPause = std::max(callGap() * 2, kRefusedPause);
         Nanos pause = firstPause;
         try {
             for (int page = 0; page < 1000; ++page) {
-                stream->expires_after(span(pollWithin));
+                stream->expires_after(span(kPollWithin));
                 if (!connected) {
                     co_await stream->async_connect(endpoint(boot_.list), asio::use_awaitable);
-                    tune(stream->socket(), 2 * second);
+                    configureSocket(stream->socket(), 2 * kSecond);
                     connected = true, buffer.clear();
                 }
                 http::request<http::empty_body> request(
@@ -60,7 +62,7 @@
                 request.set(http::field::host, boot_.list);
                 co_await http::async_write(*stream, request, asio::use_awaitable);
                 http::response_parser<http::string_body> parser;
-                parser.body_limit(bodyAtMost);
+                parser.body_limit(kBodyAtMost);
                 co_await http::async_read(*stream, buffer, parser, asio::use_awaitable);
                 const auto& response = parser.get();
                 if (!response.keep_alive()) connected = false, stream->close();
@@ -69,10 +71,10 @@
                     ++refused_;  // the same page again, when there is room
                     log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", 429}});
                     co_await sleep(pause);
-                    pause = std::max(firstPause, std::min(pause * 2, refusedAtMost));
+                    pause = std::max(firstPause, std::min(pause * 2, kRefusedAtMost));
                     if (term_() != term) break;  // the duty has gone, or was had anew
                     // Pods have come and gone since the first page. Once: an old list is better than none.
-                    if (!anew && !token.empty() && now() - started > oldAfter) {
+                    if (!anew && !token.empty() && now() - started > kOldAfter) {
                         anew = true;
                         break;
                     }
@@ -83,7 +85,7 @@
                 if (response.result_int() != 200)
                     throw std::runtime_error("status " + std::to_string(response.result_int()));
                 const auto body = Json::parse(response.body());
-                for (const auto& entry : body.at("instance_list")) members.push_back(cues::listed(entry));
+                for (const auto& entry : body.at("instance_list")) members.push_back(messages::listed(entry));
                 const auto next = body.find("next_token");
                 whole = next == body.end() || next->is_null();
                 if (whole) break;
@@ -98,20 +100,20 @@
         }
         if (whole) anew = false;
         if (whole && term_() == term) took(members, term);
-        const Nanos every = std::max(whole ? pollEvery : pollPause, callGap() * pages);
-        co_await sleep(std::max(started + every - now(), 20 * ms));
+        const Nanos every = std::max(whole ? kPollEvery : kPollPause, callGap() * pages);
+        co_await sleep(std::max(started + every - now(), 20 * kMillisecond));
     }
 }
 
-void ListDuty::took(const std::vector<troupe::Member>& members, std::uint64_t term) {
-    const bool first = !board_.listed() || board_.edition().term != term;
-    const auto change = board_.list(members, term);
-    if (!board_.listed()) return;  // a higher term has been heard of
+void EndpointDiscovery::took(const std::vector<discovery::Endpoint>& members, std::uint64_t term) {
+    const bool first = !cache_.listed() || cache_.endpointListVersion().term != term;
+    const auto change = cache_.list(members, term);
+    if (!cache_.listed()) return;  // a higher term has been heard of
     if (!change.is_null()) tell_(change);
     // Now and then all of it is compared: what was missed by any way is mended.
-    if (!first && now() - compared_ < compareEvery) return;
+    if (!first && now() - compared_ < kCompareEvery) return;
     compared_ = now();
-    tell_(board_.digest());
+    tell_(cache_.digest());
 }
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/endpoint_discovery.hpp
+++ b/src/control_plane/endpoint_discovery.hpp
@@ -5,33 +5,34 @@
 #include "subscription/configuration_cache.hpp"
 #include "transport/event_loop.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
-class ListDuty {
+class EndpointDiscovery {
   public:
     using Json = nlohmann::json;
 
-    // `term`: of the duty while it is this prompter's, else 0; `tell`: to all foyers. All outlive this.
-    ListDuty(wings::asio::io_context& io, const playbill::Boot& boot, callboard::Callboard& board,
-             std::function<std::uint64_t()> term, std::function<void(const Json&)> tell)
-        : io_(io), boot_(boot), board_(board), term_(std::move(term)), tell_(std::move(tell)) {}
+    // `term`: of the duty while it is this control node's, else 0; `tell`: to all proxies. All outlive this.
+    EndpointDiscovery(transport::asio::io_context& io, const config::BootstrapSettings& boot,
+                      subscription::ConfigurationCache& cache, std::function<std::uint64_t()> term,
+                      std::function<void(const Json&)> tell)
+        : io_(io), boot_(boot), cache_(cache), term_(std::move(term)), tell_(std::move(tell)) {}
 
-    wings::Task<> poll();  // for good; off duty it only waits
+    transport::Task<> poll();  // for good; off duty it only waits
 
     std::uint64_t calls() const { return calls_; }      // pages asked for
     std::uint64_t refused() const { return refused_; }  // of these, over the platform's rate
 
   private:
     Nanos callGap() const;
-    void took(const std::vector<troupe::Member>& members, std::uint64_t term);
+    void took(const std::vector<discovery::Endpoint>& members, std::uint64_t term);
 
-    wings::asio::io_context& io_;
-    const playbill::Boot& boot_;
-    callboard::Callboard& board_;
+    transport::asio::io_context& io_;
+    const config::BootstrapSettings& boot_;
+    subscription::ConfigurationCache& cache_;
     std::function<std::uint64_t()> term_;
     std::function<void(const Json&)> tell_;
     std::uint64_t calls_ = 0, refused_ = 0;
     Nanos compared_ = 0;
 };
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/lease_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -2,87 +2,89 @@
 
 #include "transport/log.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
-using namespace wings;
+using namespace transport;
 
 namespace {
 
-constexpr Nanos lookEvery = 100 * ms;
-constexpr Nanos rowLife = 1500 * ms;  // three times as long as between two words of another
-constexpr Nanos decideWithin = 900 * ms;
+constexpr Nanos kLookEvery = 100 * kMillisecond;
+constexpr Nanos kRowLife = 1500 * kMillisecond;  // three times as long as between two words of another
+constexpr Nanos kDecideWithin = 900 * kMillisecond;
 
 }  // namespace
 
-DutyHolder::DutyHolder(Keeper& keeper, duties::Self self, std::function<std::set<std::string>()> hears,
-                       std::function<std::uint64_t()> listTerm)
-    : keeper_(keeper), self_(std::move(self)), hears_(std::move(hears)), listTerm_(std::move(listTerm)) {
-    for (const auto& name : {listDuty, rolloutsDuty}) watches_.emplace(name, duties::Watch(name, self_));
+LeaseHolder::LeaseHolder(ReplicaNode& replica, leases::ProcessIdentity self,
+                         std::function<std::set<std::string>()> hears,
+                         std::function<std::uint64_t()> listTerm)
+    : replica_(replica), self_(std::move(self)), hears_(std::move(hears)), listTerm_(std::move(listTerm)) {
+    for (const auto& name : {kListDuty, kRolloutsDuty})
+        watches_.emplace(name, leases::LeaseMonitor(name, self_));
 }
 
-const duties::Duties& DutyHolder::held() const {
-    const auto& known = keeper_.known(dutiesKey);
-    if (known.ballot != readAt_) readAt_ = known.ballot, read_ = duties::read(known.value);
+const leases::Leases& LeaseHolder::held() const {
+    const auto& known = replica_.known(kDutiesKey);
+    if (known.proposalNumber != readAt_) readAt_ = known.proposalNumber, read_ = leases::read(known.value);
     return read_;
 }
 
-bool DutyHolder::has(const std::string& duty) const {
-    if (!confirmed_ || !keeper_.inContact()) return false;
+bool LeaseHolder::has(const std::string& duty) const {
+    if (!confirmed_ || !replica_.hasQuorumContact()) return false;
     const auto at = held().find(duty);
-    return at != held().end() && duties::holds(at->second, self_);
+    return at != held().end() && leases::holds(at->second, self_);
 }
 
-std::uint64_t DutyHolder::term(const std::string& duty) const {
+std::uint64_t LeaseHolder::term(const std::string& duty) const {
     const auto at = held().find(duty);
     return at == held().end() ? 0 : at->second.term;
 }
 
-void DutyHolder::heard(const std::string& from, const Json& hears) {
+void LeaseHolder::heard(const std::string& from, const Json& hears) {
     rows_[from] = {hears.get<std::set<std::string>>(), now()};
 }
 
-duties::Hears DutyHolder::rows() const {
-    duties::Hears rows;
+leases::Reachability LeaseHolder::rows() const {
+    leases::Reachability rows;
     const auto own = hears_();
     for (const auto& [from, row] : rows_)
-        if (own.contains(from) && now() - row.at < rowLife) rows[from] = row.hears;
+        if (own.contains(from) && now() - row.at < kRowLife) rows[from] = row.hears;
     rows[self_.address] = own;
     return rows;
 }
 
-Task<> DutyHolder::run() {
+Task<> LeaseHolder::run() {
     for (;;) {
-        co_await sleep(lookEvery);
-        if (!keeper_.inContact()) {
+        co_await sleep(kLookEvery);
+        if (!replica_.hasQuorumContact()) {
             confirmed_ = false;
             continue;
         }
         confirmed_ = true;  // in contact: every key was read from a majority since
         for (auto& [name, watch] : watches_) {
             const auto at = held().find(name);
-            const auto before = at == held().end() ? duties::Duty() : at->second;
-            if (watch.due(before, keeper_.members(), rows(), now())) co_await take(name, before.term);
+            const auto before = at == held().end() ? leases::Lease() : at->second;
+            if (watch.due(before, replica_.members(), rows(), now())) co_await take(name, before.term);
         }
-        if (listTerm_() <= term(listDuty) || !has(listDuty)) continue;
-        const auto value = co_await keeper_.read(dutiesKey, decideWithin);  // another may have it by now
-        if (value && has(listDuty) && listTerm_() > term(listDuty)) co_await take(listDuty, listTerm_());
+        if (listTerm_() <= term(kListDuty) || !has(kListDuty)) continue;
+        const auto value = co_await replica_.read(kDutiesKey, kDecideWithin);  // another may have it by now
+        if (value && has(kListDuty) && listTerm_() > term(kListDuty)) co_await take(kListDuty, listTerm_());
     }
 }
 
-Task<> DutyHolder::take(std::string duty, std::uint64_t seen) {
+Task<> LeaseHolder::take(std::string duty, std::uint64_t seen) {
     const auto before = held().contains(duty) ? held().at(duty).holder : "";
-    const reg::Change change = duties::taking(duty, self_, seen);
-    const auto value = co_await keeper_.change(dutiesKey, change, decideWithin);
+    const consensus::Change change = leases::taking(duty, self_, seen);
+    const auto value = co_await replica_.change(kDutiesKey, change, kDecideWithin);
     if (!value) co_return;
-    const auto after = duties::read(*value)[duty];
-    if (duties::holds(after, self_)) log("duty", {{"duty", duty}, {"term", after.term}, {"before", before}});
+    const auto after = leases::read(*value)[duty];
+    if (leases::holds(after, self_)) log("duty", {{"duty", duty}, {"term", after.term}, {"before", before}});
 }
 
-Json DutyHolder::describe() const {
+Json LeaseHolder::describe() const {
     Json told = Json::object();
     for (const auto& [name, duty] : held())
         told[name] = {{"holder", duty.holder}, {"term", duty.term}, {"mine", has(name)}};
     return told;
 }
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/replica_node.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -1,6 +1,6 @@
-// The prompter's part in the register: its own copy on disk, runs at keys over the members' links, who the
-// members are and whether a majority of them is in reach. The rules are src/register's and src/membership's;
-// here are the disk's thread, messages and time. docs/design/control.md.
+// The control node's part in the register: its own copy on disk, runs at keys over the members' links, who
+// the members are and whether a majority of them is in reach. The rules are src/consensus's and
+// src/membership's; here are the disk's thread, messages and time. docs/design/control.md.
 #pragma once
 
 #include <array>
@@ -15,19 +15,20 @@
 #include "storage/replica_store.hpp"
 #include "transport/peer_connection.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
-using wings::Json;
-using wings::Link;
-using wings::Task;
+using transport::Json;
+using transport::PeerConnection;
+using transport::Task;
 
-inline const std::string configurationKey = "configuration", rolloutsKey = "rollouts", dutiesKey = "duties";
-inline const std::array<std::string, 3> keys{configurationKey, rolloutsKey, dutiesKey};
+inline const std::string kConfigurationKey = "configuration", kRolloutsKey = "rollouts",
+                         kDutiesKey = "duties";
+inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kDutiesKey};
 
-class Keeper {
+class ReplicaNode {
   public:
     struct Known {
-        reg::Ballot ballot;
+        consensus::ProposalNumber proposalNumber;
         std::string value;
     };
     // What the host does with it. `learnt`: a newer value of a key is surely in force. `moved`: there are
@@ -38,38 +39,39 @@
     };
 
     // Opens the disk's book; `anew`: what is there is damaged and put aside. Called on the disk's thread too.
-    using Opener = std::function<std::unique_ptr<promptbook::Book>(bool anew)>;
-    static Opener onDisk(const playbill::Boot& boot);  // in the settings' data_dir
+    using Opener = std::function<std::unique_ptr<storage::ReplicaStore>(bool anew)>;
+    static Opener onDisk(const config::BootstrapSettings& boot);  // in the settings' data_dir
 
-    Keeper(wings::asio::io_context& io, const playbill::Boot& boot, Owner owner, Opener opener);
-    ~Keeper();
+    ReplicaNode(transport::asio::io_context& io, const config::BootstrapSettings& boot, Owner owner,
+                Opener opener);
+    ~ReplicaNode();
 
     void open();  // the disk, and what is on it
-    // Messages of prompters ("reg", "reply", "learn", "known", "ping", "pong", "standing"); true where it was
-    // one of them.
-    bool heard(Link& link, const Json& message);
-    // A link to a prompter is open; `to` is its address. Replies come back on it.
-    void joined(const std::string& to, std::shared_ptr<Link> link);
-    void parted(const std::string& to);
+    // Messages of control nodes ("reg", "reply", "learn", "known", "ping", "pong", "standing"); true where it
+    // was one of them.
+    bool heard(PeerConnection& link, const Json& message);
+    // A link to a control node is open; `to` is its address. Replies come back on it.
+    void joined(const std::string& to, std::shared_ptr<PeerConnection> link);
+    void onPeerDisconnected(const std::string& to);
     Json greeting() const;  // fields of a hello: what others need to find all members ("members": addresses)
-    void greeted(const Json& hello);  // another prompter's
+    void onHello(const Json& hello);  // another control node's
 
     // Null where no majority could be had in time; out of contact, at once.
     // `look`: first see whether a majority agrees on a value that needs no change.
-    Task<std::optional<std::string>> change(std::string key, reg::Change change, Nanos within,
+    Task<std::optional<std::string>> change(std::string key, consensus::Change change, Nanos within,
                                             bool look = true);
     Task<std::optional<std::string>> read(std::string key, Nanos within);
 
     const Known& known(const std::string& key) const;
     // Whether a majority of the members has answered of late, and every key was read from a majority since
-    // that is so. Out of contact nothing is confirmed, no duty is kept, and what is told to foyers is told as
-    // not sure.
-    bool inContact() const { return contact_; }
+    // that is so. Out of contact nothing is confirmed, no duty is kept, and what is told to proxies is told
+    // as not sure.
+    bool hasQuorumContact() const { return contact_; }
     bool formed() const { return epoch_.number > 0; }
     bool votes() const { return confirmed_ && copy_.counts(); }  // this copy is part of majorities
     std::set<std::string> members() const;                       // addresses
-    const reg::Epoch& epoch() const { return epoch_; }
-    bool hears(const std::string& address) const;  // that prompter has answered a ping of late
+    const consensus::Epoch& epoch() const { return epoch_; }
+    bool hears(const std::string& address) const;  // that control node has answered a ping of late
     std::size_t reached() const { return links_.size(); }
     Json describe() const;  // for `status`: epoch, members, contact, what is not borne
     // Keeps contact, members and what is known up to date; once the disk is open.
@@ -80,101 +82,104 @@
     struct Pending;
     // Something for the disk's thread, one after the other: a request to the own copy, or an update as it is.
     struct Job {
-        std::optional<reg::Request> request;
-        std::function<void(const reg::Reply&)> reply;
-        reg::Update update;
+        std::optional<consensus::Request> request;
+        std::function<void(const consensus::Reply&)> reply;
+        consensus::Update update;
         std::optional<std::string>
             kept;  // a key that a learner keeps: what of it, is seen when its turn comes
         std::map<std::string, std::string> notes;
         std::function<void()> after;
     };
-    // Another prompter, as it last told of itself.
+    // Another control node, as it last told of itself.
     struct Peer {
-        reg::Member member;
+        consensus::Member member;
         bool eligible = false, leaving = false, seated = false;
         std::uint64_t epoch = 0;
-        std::map<std::string, reg::Ballot> held;
+        std::map<std::string, consensus::ProposalNumber> held;
         Nanos heardAt = 0;     // any word of it
         Nanos answeredAt = 0;  // the last ping that it answered was sent then
     };
     void enqueue(Job job);
     Task<> work();
-    Task<bool> write(reg::Update update, std::map<std::string, std::string> notes);
-    void learn(const std::string& key, const reg::Ballot& ballot, const std::string& value);
-    Task<std::optional<std::string>> run(std::string key, reg::Change change, Nanos within, bool look,
+    Task<bool> write(consensus::Update update, std::map<std::string, std::string> notes);
+    void learn(const std::string& key, const consensus::ProposalNumber& proposalNumber,
+               const std::string& value);
+    Task<std::optional<std::string>> run(std::string key, consensus::Change change, Nanos within, bool look,
                                          int again);
-    void rumour(const std::string& key, const reg::Ballot& ballot);
-    void inForce(const std::string& key, const reg::Ballot& ballot);
+    void rumour(const std::string& key, const consensus::ProposalNumber& proposalNumber);
+    void inForce(const std::string& key, const consensus::ProposalNumber& proposalNumber);
     void retain(const std::string& key);
-    std::optional<reg::Cells> keeps(const std::string& key) const;
+    std::optional<consensus::RegisterStates> keeps(const std::string& key) const;
     void install();
     void tellUnborne();
     bool stands() const;  // the newest epoch known to be open is on this disk
-    bool answers(const reg::Epoch& epoch) const;
-    reg::Member self() const;
+    bool answers(const consensus::Epoch& epoch) const;
+    consensus::Member self() const;
     Json holds() const;
     Json about() const;
     void heardOf(const Json& told);
     void heardHolds(Peer& peer, const Json& held);
-    void ping(Link& link);
+    void ping(PeerConnection& link);
     void pingAll();
     Json pinging(bool whole) const;
     void pong(const Json& message);
     void confirm();
     void renew(const char* why);
     bool reachable() const;
-    void adopt(const reg::Epoch& epoch);
+    void adopt(const consensus::Epoch& epoch);
     void follow(const Json& told);
     Json standing() const;
     void tellStanding();
     std::vector<membership::Candidate> candidates() const;
-    std::vector<reg::Member> planned(bool leaving) const;
-    membership::Tolerance tolerance() const;
-    Task<bool> propose(std::vector<reg::Member> members);
-    Task<bool> succeed(reg::Epoch from, reg::Epoch to);
+    std::vector<consensus::Member> planned(bool leaving) const;
+    membership::FaultTolerance tolerance() const;
+    Task<bool> propose(std::vector<consensus::Member> members);
+    Task<bool> succeed(consensus::Epoch from, consensus::Epoch to);
     Task<> steward();
     Task<> readAll();
     bool behind(const std::string& key) const;
     Task<> catchUp();
     void ask(std::uint64_t id, const Pending& pending, const std::string* only);
-    void answered(std::uint64_t id, const std::string& from, const Json& about, const reg::Reply& reply);
+    void answered(std::uint64_t id, const std::string& from, const Json& about,
+                  const consensus::Reply& reply);
     std::uint32_t number(const std::string& address) const;
-    reg::Cell held(const std::string& key) const;
+    consensus::RegisterState held(const std::string& key) const;
 
-    wings::asio::io_context& io_;
-    const playbill::Boot& boot_;
+    transport::asio::io_context& io_;
+    const config::BootstrapSettings& boot_;
     Owner owner_;
     std::string me_;
     std::vector<std::string> seeds_;  // internal addresses
-    reg::Copy copy_;
+    consensus::Acceptor copy_;
     bool open_ = false;       // the disk is, with an identity on it
     bool confirmed_ = false;  // nobody has seen a later life of this disk
     Opener opener_;
-    std::unique_ptr<promptbook::Book> book_;
-    wings::asio::thread_pool disk_{1};
+    std::unique_ptr<storage::ReplicaStore> book_;
+    transport::asio::thread_pool disk_{1};
     std::deque<Job> jobs_;
     bool working_ = false;
     std::uint64_t writes_ = 0;  // of this disk, ever
-    reg::Epoch epoch_;          // newest known to be open; of number 0: the founding, or none known
-    std::optional<std::pair<reg::Epoch, reg::Epoch>> successor_;  // decided, not known to be open
+    consensus::Epoch epoch_;    // newest known to be open; of number 0: the founding, or none known
+    std::optional<std::pair<consensus::Epoch, consensus::Epoch>> successor_;  // decided, not known to be open
     Nanos successorSince_ = 0, halfwaySince_ = 0, wantedSince_ = 0, contactSince_ = 0, epochSince_ = 0;
     const Nanos began_;
     bool contact_ = false, leaving_ = false, changing_ = false, reading_ = false, catching_ = false;
     bool metOnce_ = false;
     std::string unborne_;
-    Json aboutTold_;                     // what all who are linked were last told of this prompter
+    Json aboutTold_;                     // what all who are linked were last told of this control node
     std::map<std::string, Peer> peers_;  // by address
-    std::map<std::string, std::uint64_t> witnessed_;      // by disk: its writes, as others have told them
-    std::map<std::string, std::string> confirmedBy_;      // address and disk of those who saw no later life
-    std::map<std::string, std::shared_ptr<Link>> links_;  // by address, that replies come back on
+    std::map<std::string, std::uint64_t> witnessed_;  // by disk: its writes, as others have told them
+    std::map<std::string, std::string> confirmedBy_;  // address and disk of those who saw no later life
+    std::map<std::string, std::shared_ptr<PeerConnection>> links_;  // by address, that replies come back on
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
     std::uint64_t runs_ = 0;
     std::map<std::string, std::uint64_t> above_;
     std::map<std::string, Known> known_;
-    std::map<std::string, reg::Ballot> inForce_;                     // told to be
-    std::map<std::string, std::pair<reg::Ballot, Nanos>> rumoured_;  // told to be held somewhere, since when
-    std::set<std::string> keeping_;                                  // kept ones that wait for the disk
-    std::map<std::string, Nanos> acceptedAt_;                        // own cells accepted and not yet learnt
+    std::map<std::string, consensus::ProposalNumber> inForce_;  // told to be
+    std::map<std::string, std::pair<consensus::ProposalNumber, Nanos>>
+        rumoured_;                             // told to be held somewhere, since when
+    std::set<std::string> keeping_;            // kept ones that wait for the disk
+    std::map<std::string, Nanos> acceptedAt_;  // own cells accepted and not yet learnt
 };
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/rollout_controller.hpp
+++ b/src/control_plane/rollout_controller.hpp
@@ -1,4 +1,4 @@
-// The duty for rollouts: foyers' votes are counted, and orders moved from stage to stage in the register.
+// The duty for rollouts: proxies' votes are counted, and orders moved from stage to stage in the register.
 #pragma once
 
 #include "control_plane/replica_node.hpp"
@@ -6,23 +6,24 @@
 #include "verdict/rollout.hpp"
 #include "verdict/stages.hpp"
 
-namespace lichenlanding::prompter {
+namespace lichenlanding::control_plane {
 
-class RolloutsDuty {
+class RolloutController {
   public:
-    // `held`: whether the duty is this prompter's now; `foyers`: names of those that may vote. All outlive
-    // this.
-    RolloutsDuty(Keeper& keeper, std::function<bool()> held, std::function<std::vector<std::string>()> foyers)
-        : keeper_(keeper), held_(std::move(held)), foyers_(std::move(foyers)) {}
+    // `held`: whether the duty is this control node's now; `proxies`: names of those that may vote. All
+    // outlive this.
+    RolloutController(ReplicaNode& replica, std::function<bool()> held,
+                      std::function<std::vector<std::string>()> proxies)
+        : replica_(replica), held_(std::move(held)), proxies_(std::move(proxies)) {}
 
-    void heard(const Json& vote);  // a foyer's
+    void heard(const Json& vote);  // a proxy's
     Task<> steer();                // for good; off duty it only waits
     Json votes() const;            // those that count now, for `status`
 
-    // Ages of the running orders go by steady clocks: on duty or not, each prompter counts on from what the
-    // register and the others say, so that it knows them when the duty comes to it.
+    // Ages of the running orders go by steady clocks: on duty or not, each control node counts on from what
+    // the register and the others say, so that it knows them when the duty comes to it.
     void learnt();                 // the register has another value
-    void learn(const Json& ages);  // another prompter's ages()
+    void learn(const Json& ages);  // another control node's ages()
     Json ages() const;
 
   private:
@@ -33,16 +34,16 @@
         Json about;
     };
 
-    Task<> steer(cues::Rollout rollout);
+    Task<> steer(messages::Rollout rollout);
     Task<> writeAges();
 
-    Keeper& keeper_;
+    ReplicaNode& replica_;
     std::function<bool()> held_;
-    std::function<std::vector<std::string>()> foyers_;
+    std::function<std::vector<std::string>()> proxies_;
     std::map<std::string, std::map<std::string, Vote>> votes_;  // by rollout and voter
     verdict::Ages ages_;
     std::set<std::string> running_;  // orders, as `ages_` names them
     Nanos written_ = 0;
 };
 
-}  // namespace lichenlanding::prompter
+}  // namespace lichenlanding::control_plane
--- a/src/discovery/endpoint_set.cpp
+++ b/src/discovery/endpoint_set.cpp
@@ -1,8 +1,8 @@
 #include "discovery/endpoint_set.hpp"
 
-namespace lichenlanding::troupe {
+namespace lichenlanding::discovery {
 
-bool Troupe::apply(const Event& event) {
+bool EndpointSet::apply(const EndpointEvent& event) {
     const auto& id = event.member.id;
     if (event.gone) {
         if (!event.aside) left_.insert(id);
@@ -21,8 +21,9 @@
     return false;
 }
 
-std::vector<Event> Troupe::towards(const std::vector<Member>& listed, std::uint64_t after) const {
-    std::vector<Event> events;
+std::vector<EndpointEvent> EndpointSet::eventsTowards(const std::vector<Endpoint>& listed,
+                                                      std::uint64_t after) const {
+    std::vector<EndpointEvent> events;
     std::set<std::string> there;
     for (const auto& member : listed) {
         there.insert(member.id);
@@ -35,4 +36,4 @@
     return events;
 }
 
-}  // namespace lichenlanding::troupe
+}  // namespace lichenlanding::discovery
--- a/src/discovery/endpoint_set.hpp
+++ b/src/discovery/endpoint_set.hpp
@@ -13,38 +13,38 @@
 
 #include "state.hpp"
 
-namespace lichenlanding::troupe {
+namespace lichenlanding::discovery {
 
-struct Member {
+struct Endpoint {
     std::string id, service, address, zone, version;
     int slots = 1;
     bool draining = false;
     Nanos warmup = 0;  // how much longer it is slow, from when it was listed
-    bool operator==(const Member& other) const {
+    bool operator==(const Endpoint& other) const {
         return id == other.id && address == other.address && draining == other.draining;
     }
 };
 
-struct Event {
+struct EndpointEvent {
     std::uint64_t number = 0;
-    Member member;
+    Endpoint member;
     bool gone = false;   // then only the id counts
     bool aside = false;  // gone, as far as is known: not seen to go
 };
 
-class Troupe {
+class EndpointSet {
   public:
     // True where the view has changed.
-    bool apply(const Event& event);
-    const std::map<std::string, Member>& members() const { return members_; }
+    bool apply(const EndpointEvent& event);
+    const std::map<std::string, Endpoint>& members() const { return members_; }
     bool left(const std::string& id) const { return left_.contains(id); }  // was seen gone
 
     // The events that bring this view to what a whole list says, numbered from `after` + 1.
-    std::vector<Event> towards(const std::vector<Member>& listed, std::uint64_t after) const;
+    std::vector<EndpointEvent> eventsTowards(const std::vector<Endpoint>& listed, std::uint64_t after) const;
 
   private:
-    std::map<std::string, Member> members_;
+    std::map<std::string, Endpoint> members_;
     std::set<std::string> left_;  // seen gone; ids are never used again
 };
 
-}  // namespace lichenlanding::troupe
+}  // namespace lichenlanding::discovery
--- a/src/hashing/rendezvous.cpp
+++ b/src/hashing/rendezvous.cpp
@@ -2,7 +2,7 @@
 
 #include "limits/fleet.hpp"
 
-namespace lichenlanding::company {
+namespace lichenlanding::hashing {
 
 std::uint64_t hash(std::string_view about, std::string_view name) {
     std::uint64_t value = 0xcbf29ce484222325ull;  // FNV-1a, then splitmix64's finalizer
@@ -29,4 +29,4 @@
     return chosen(names, "watch\n" + me, few);
 }
 
-}  // namespace lichenlanding::company
+}  // namespace lichenlanding::hashing
--- a/src/hashing/rendezvous.hpp
+++ b/src/hashing/rendezvous.hpp
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-namespace lichenlanding::company {
+namespace lichenlanding::hashing {
 
 // The same on every machine and in every run.
 std::uint64_t hash(std::string_view about, std::string_view name);
@@ -19,4 +19,4 @@
 // changed by one at most when one comes or goes.
 std::vector<std::string> watched(std::vector<std::string> names, const std::string& me);
 
-}  // namespace lichenlanding::company
+}  // namespace lichenlanding::hashing
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -9,11 +9,11 @@
 // Member and name of each, once.
 #define DUTY_FIELDS(X) X(holder, "holder") X(life, "life") X(term, "term")
 
-namespace lichenlanding::duties {
+namespace lichenlanding::leases {
 
 using Json = nlohmann::json;
 
-std::string write(const Duties& duties) {
+std::string write(const Leases& duties) {
     auto all = Json::object();
     for (const auto& [name, duty] : duties) {
         auto& json = all[name];
@@ -24,8 +24,8 @@
     return all.dump();
 }
 
-Duties read(const std::string& text) {
-    Duties duties;
+Leases read(const std::string& text) {
+    Leases duties;
     if (text.empty()) return duties;
     const auto all = Json::parse(text);
     for (const auto& [name, json] : all.items()) {
@@ -37,11 +37,11 @@
     return duties;
 }
 
-bool holds(const Duty& duty, const Self& self) {
+bool holds(const Lease& duty, const ProcessIdentity& self) {
     return duty.term > 0 && duty.holder == self.address && duty.life == self.life;
 }
 
-bool reaches(const std::string& holder, const std::set<std::string>& members, const Hears& hears) {
+bool reaches(const std::string& holder, const std::set<std::string>& members, const Reachability& hears) {
     if (!members.contains(holder)) return false;
     const auto hearing = std::count_if(members.begin(), members.end(), [&](const auto& member) {
         const auto row = hears.find(member);
@@ -50,7 +50,8 @@
     return static_cast<std::size_t>(hearing) + 1 >= members.size() / 2 + 1;
 }
 
-bool Watch::due(const Duty& held, const std::set<std::string>& members, const Hears& hears, Nanos now) {
+bool LeaseMonitor::due(const Lease& held, const std::set<std::string>& members, const Reachability& hears,
+                       Nanos now) {
     if (!members.contains(self_.address) || holds(held, self_)) {
         absentSince_ = -1;
         return false;
@@ -66,13 +67,13 @@
         for (const auto& heard : row->second)
             if (members.contains(heard) && heard != held.holder && heard != self_.address)
                 candidates.push_back(heard);
-    const auto chosen = company::chosen(candidates, duty_, candidates.size());
+    const auto chosen = hashing::chosen(candidates, duty_, candidates.size());
     const auto rank = std::find(chosen.begin(), chosen.end(), self_.address) - chosen.begin();
-    const Nanos wait = held.term == 0 ? 0 : absentFor;  // nobody has had it: nobody is waited for
-    return now - absentSince_ >= wait + rank * standbyStep;
+    const Nanos wait = held.term == 0 ? 0 : kAbsentFor;  // nobody has had it: nobody is waited for
+    return now - absentSince_ >= wait + rank * kStandbyStep;
 }
 
-reg::Change taking(std::string duty, Self self, std::uint64_t seen) {
+consensus::Change taking(std::string duty, ProcessIdentity self, std::uint64_t seen) {
     return [duty = std::move(duty), self = std::move(self), seen](const std::string& value) {
         auto all = read(value);
         auto& held = all[duty];
@@ -82,4 +83,4 @@
     };
 }
 
-}  // namespace lichenlanding::duties
+}  // namespace lichenlanding::leases
--- a/src/leases/leases.hpp
+++ b/src/leases/leases.hpp
@@ -13,54 +13,54 @@
 #include "consensus/consensus.hpp"
 #include "state.hpp"
 
-namespace lichenlanding::duties {
+namespace lichenlanding::leases {
 
-struct Duty {
+struct Lease {
     std::string holder;      // its address
     std::uint64_t life = 0;  // drawn by the holder's process at its start
     std::uint64_t term = 0;  // rises with each holder; 0: nobody has had it
-    bool operator==(const Duty&) const = default;
+    bool operator==(const Lease&) const = default;
 };
-using Duties = std::map<std::string, Duty>;  // by the duty's name
+using Leases = std::map<std::string, Lease>;  // by the duty's name
 
 // As the register keeps them; "" is none. Throws nlohmann::json::exception on text of another shape.
-std::string write(const Duties& duties);
-Duties read(const std::string& text);
+std::string write(const Leases& duties);
+Leases read(const std::string& text);
 
-struct Self {
+struct ProcessIdentity {
     std::string address;
     std::uint64_t life = 0;
 };
 
 // A member that comes back under its address as another process has no duty any more.
-bool holds(const Duty& duty, const Self& self);
+bool holds(const Lease& duty, const ProcessIdentity& self);
 
 // Who hears whom of late, by address: the own row from the own links, the others' as they told it.
-using Hears = std::map<std::string, std::set<std::string>>;
+using Reachability = std::map<std::string, std::set<std::string>>;
 
 // Whether `holder` reaches a majority of the members, as far as those say that are heard. A cut between two
 // of them alone takes no duty away: it would go to and fro between them.
-bool reaches(const std::string& holder, const std::set<std::string>& members, const Hears& hears);
+bool reaches(const std::string& holder, const std::set<std::string>& members, const Reachability& hears);
 
-constexpr Nanos absentFor = 200'000'000;    // a holder that reaches no majority for so long has lost the duty
-constexpr Nanos standbyStep = 400'000'000;  // each next candidate waits so much longer
+constexpr Nanos kAbsentFor = 200'000'000;  // a holder that reaches no majority for so long has lost the duty
+constexpr Nanos kStandbyStep = 400'000'000;  // each next candidate waits so much longer
 
 // When one member stands for one duty.
-class Watch {
+class LeaseMonitor {
   public:
-    Watch(std::string duty, Self self) : duty_(std::move(duty)), self_(std::move(self)) {}
+    LeaseMonitor(std::string duty, ProcessIdentity self) : duty_(std::move(duty)), self_(std::move(self)) {}
     // Whether to take it by a ballot now. The taker is chosen by rendezvous among the members heard, the next
     // ones follow it in steps, so two seldom race; where they do, the ballot decides.
-    bool due(const Duty& held, const std::set<std::string>& members, const Hears& hears, Nanos now);
+    bool due(const Lease& held, const std::set<std::string>& members, const Reachability& hears, Nanos now);
 
   private:
     std::string duty_;
-    Self self_;
+    ProcessIdentity self_;
     Nanos absentSince_ = -1;
     std::uint64_t term_ = 0;  // that the absence was seen in
 };
 
 // The ballot's change: raises the term above `seen`, and leaves things as they are where another was sooner.
-reg::Change taking(std::string duty, Self self, std::uint64_t seen);
+consensus::Change taking(std::string duty, ProcessIdentity self, std::uint64_t seen);
 
-}  // namespace lichenlanding::duties
+}  // namespace lichenlanding::leases
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -9,7 +9,7 @@
 namespace lichenlanding::membership {
 namespace {
 
-using Members = std::vector<reg::Member>;
+using Members = std::vector<consensus::Member>;
 
 // Whether the loss of the `lost` fullest places leaves more than half.
 template <typename Place>
@@ -30,10 +30,10 @@
     Members chosen, left = pool;
     std::map<std::string, int> zones, regions;
     while (chosen.size() < count && !left.empty()) {
-        const auto rank = [&](const reg::Member& one) {
+        const auto rank = [&](const consensus::Member& one) {
             const bool held = std::find(now.begin(), now.end(), one) != now.end();
             return std::tuple(regions[one.region], zones[one.zone], !held,
-                              company::hash("member", one.address), one.disk);
+                              hashing::hash("member", one.address), one.disk);
         };
         const auto best = std::min_element(left.begin(), left.end(), [&](const auto& one, const auto& other) {
             return rank(one) < rank(other);
@@ -47,19 +47,19 @@
 
 }  // namespace
 
-std::vector<std::string> notBorne(const Members& members, const Tolerance& tolerance) {
+std::vector<std::string> unmetTolerance(const Members& members, const FaultTolerance& tolerance) {
     std::vector<std::string> all;
     const auto ask = [&](int lost, const char* what, auto place) {
         if (lost > 0 && !bears(members, lost, place))
             all.push_back(std::to_string(lost) + " " + what + (lost > 1 ? "s" : ""));
     };
-    ask(tolerance.machines, "machine", [](const reg::Member& one) { return one.address; });
-    ask(tolerance.zones, "zone", [](const reg::Member& one) { return one.zone; });
-    ask(tolerance.regions, "region", [](const reg::Member& one) { return one.region; });
+    ask(tolerance.machines, "machine", [](const consensus::Member& one) { return one.address; });
+    ask(tolerance.zones, "zone", [](const consensus::Member& one) { return one.zone; });
+    ask(tolerance.regions, "region", [](const consensus::Member& one) { return one.region; });
     return all;
 }
 
-Members plan(const Members& now, const std::vector<Candidate>& candidates, const Tolerance& tolerance) {
+Members plan(const Members& now, const std::vector<Candidate>& candidates, const FaultTolerance& tolerance) {
     Members pool;
     for (const auto& candidate : candidates) {
         const bool held = std::find(now.begin(), now.end(), candidate.member) != now.end();
@@ -71,7 +71,7 @@
     std::size_t unborne = 0;
     for (auto count = least; count <= std::max(least, pool.size()); count += 2) {
         auto these = spread(pool, count, now);
-        const auto bad = notBorne(these, tolerance).size();
+        const auto bad = unmetTolerance(these, tolerance).size();
         if (chosen.empty() || bad < unborne) chosen = these, unborne = bad;
         if (bad == 0) break;
     }
@@ -89,7 +89,7 @@
     return chosen;
 }
 
-Json write(const reg::Epoch& epoch) {
+Json write(const consensus::Epoch& epoch) {
     Json members = Json::array();
     for (const auto& one : epoch.members)
         members.push_back(
@@ -97,8 +97,8 @@
     return {{"number", epoch.number}, {"members", std::move(members)}};
 }
 
-reg::Epoch readEpoch(const Json& from) {
-    reg::Epoch epoch;
+consensus::Epoch decodeEpoch(const Json& from) {
+    consensus::Epoch epoch;
     from.at("number").get_to(epoch.number);
     for (const auto& one : from.at("members"))
         epoch.members.push_back({one.at("address").get<std::string>(), one.at("disk").get<std::string>(),
@@ -106,77 +106,81 @@
     return epoch;
 }
 
-Json write(const reg::Standing& standing) {
+Json write(const consensus::EpochState& standing) {
     Json told{{"epoch", write(standing.epoch)}, {"open", standing.open}};
     if (standing.next) told["next"] = write(*standing.next);
     if (standing.before) told["before"] = write(*standing.before);
     return told;
 }
 
-reg::Standing readStanding(const Json& from) {
-    reg::Standing standing;
-    standing.epoch = readEpoch(from.at("epoch"));
+consensus::EpochState decodeEpochState(const Json& from) {
+    consensus::EpochState standing;
+    standing.epoch = decodeEpoch(from.at("epoch"));
     from.at("open").get_to(standing.open);
-    if (from.contains("next")) standing.next = readEpoch(from.at("next"));
-    if (from.contains("before")) standing.before = readEpoch(from.at("before"));
+    if (from.contains("next")) standing.next = decodeEpoch(from.at("next"));
+    if (from.contains("before")) standing.before = decodeEpoch(from.at("before"));
     return standing;
 }
 
-Json write(const reg::Request& request) {
+Json write(const consensus::Request& request) {
     Json told{{"kind", static_cast<int>(request.kind)}, {"epoch", request.epoch}};
     if (!request.key.empty()) told["key"] = request.key;
-    if (request.ballot.round > 0) told["ballot"] = cues::write(request.ballot);
-    if (request.kind == reg::Request::Kind::accept) told["value"] = cues::writeText(request.value);
-    if (request.held.round > 0) told["held"] = cues::write(request.held);
-    for (const auto& [key, ballot] : request.holds) told["holds"][key] = cues::write(ballot);
+    if (request.proposalNumber.round > 0) told["ballot"] = messages::write(request.proposalNumber);
+    if (request.kind == consensus::Request::Kind::accept)
+        told["value"] = messages::encodeBytes(request.value);
+    if (request.held.round > 0) told["held"] = messages::write(request.held);
+    for (const auto& [key, proposalNumber] : request.holds)
+        told["holds"][key] = messages::write(proposalNumber);
     if (request.to) told["to"] = write(*request.to);
     if (request.from) told["from"] = write(*request.from);
     if (request.open) told["open"] = true;
     return told;
 }
 
-reg::Request readRequest(const Json& from) {
-    reg::Request request;
+consensus::Request decodeRequest(const Json& from) {
+    consensus::Request request;
     const auto kind = from.at("kind").get<int>();
-    request.kind = static_cast<reg::Request::Kind>(kind);
+    request.kind = static_cast<consensus::Request::Kind>(kind);
     from.at("epoch").get_to(request.epoch);
     if (from.contains("key")) from.at("key").get_to(request.key);
-    if (from.contains("ballot")) request.ballot = cues::readBallot(from.at("ballot"));
-    if (request.kind == reg::Request::Kind::accept) request.value = cues::readText(from.at("value"));
-    if (from.contains("held")) request.held = cues::readBallot(from.at("held"));
+    if (from.contains("ballot")) request.proposalNumber = messages::decodeProposalNumber(from.at("ballot"));
+    if (request.kind == consensus::Request::Kind::accept)
+        request.value = messages::decodeBytes(from.at("value"));
+    if (from.contains("held")) request.held = messages::decodeProposalNumber(from.at("held"));
     if (from.contains("holds"))
-        for (const auto& [key, ballot] : from.at("holds").items())
-            request.holds[key] = cues::readBallot(ballot);
-    if (from.contains("to")) request.to = readEpoch(from.at("to"));
-    if (from.contains("from")) request.from = readEpoch(from.at("from"));
+        for (const auto& [key, proposalNumber] : from.at("holds").items())
+            request.holds[key] = messages::decodeProposalNumber(proposalNumber);
+    if (from.contains("to")) request.to = decodeEpoch(from.at("to"));
+    if (from.contains("from")) request.from = decodeEpoch(from.at("from"));
     if (from.contains("open")) from.at("open").get_to(request.open);
     // What a copy would have to guess is no request.
-    using Kind = reg::Request::Kind;
+    using Kind = consensus::Request::Kind;
     const bool ofEpochs = request.kind == Kind::seal || request.kind == Kind::install;
     if (kind < 0 || kind > static_cast<int>(Kind::install) || ofEpochs != request.to.has_value())
         from.at("no such request");
     return request;
 }
 
-Json write(const reg::Reply& reply) {
+Json write(const consensus::Reply& reply) {
     Json told{{"refused", reply.refused}, {"taken", reply.taken},   {"epoch", reply.epoch},
-              {"sealed", reply.sealed},   {"writes", reply.writes}, {"cell", cues::write(reply.cell)}};
-    if (reply.spared) told["spared"] = true;
-    for (const auto& [key, cell] : reply.cells) told["cells"][key] = cues::write(cell);
+              {"sealed", reply.sealed},   {"writes", reply.writes}, {"cell", messages::write(reply.cell)}};
+    if (reply.valueOmitted) told["spared"] = true;
+    for (const auto& [key, cell] : reply.cells) told["cells"][key] = messages::write(cell);
     return told;
 }
 
-reg::Reply readReply(const Json& from) {
-    reg::Reply reply;
+consensus::Reply decodeReply(const Json& from) {
+    consensus::Reply reply;
     from.at("refused").get_to(reply.refused);
     from.at("taken").get_to(reply.taken);
     from.at("epoch").get_to(reply.epoch);
     from.at("sealed").get_to(reply.sealed);
     from.at("writes").get_to(reply.writes);
-    reply.cell = cues::readCell(from.at("cell"));
-    reply.spared = from.contains("spared");
+    reply.cell = messages::decodeRegisterState(from.at("cell"));
+    reply.valueOmitted = from.contains("spared");
     if (from.contains("cells"))
-        for (const auto& [key, cell] : from.at("cells").items()) reply.cells[key] = cues::readCell(cell);
+        for (const auto& [key, cell] : from.at("cells").items())
+            reply.cells[key] = messages::decodeRegisterState(cell);
     return reply;
 }
 
--- a/src/messages/codec.cpp
+++ b/src/messages/codec.cpp
@@ -15,9 +15,9 @@
 // reading.
 #define ROLLOUT_SPANS(X) X(age, "age") X(inStage, "in_stage")
 
-namespace lichenlanding::cues {
+namespace lichenlanding::messages {
 
-Json write(const troupe::Member& member) {
+Json write(const discovery::Endpoint& member) {
     Json json;
 #define X(field, name) json[name] = member.field;
     MEMBER_FIELDS(X)
@@ -25,16 +25,16 @@
     return json;
 }
 
-troupe::Member readMember(const Json& from) {
-    troupe::Member member;
+discovery::Endpoint decodeEndpoint(const Json& from) {
+    discovery::Endpoint member;
 #define X(field, name) from.at(name).get_to(member.field);
     MEMBER_FIELDS(X)
 #undef X
     return member;
 }
 
-troupe::Member listed(const Json& entry) {
-    troupe::Member member;
+discovery::Endpoint listed(const Json& entry) {
+    discovery::Endpoint member;
     entry.at("instance_id").get_to(member.id);
     entry.at("service_name").get_to(member.service);
     entry.at("address").get_to(member.address);
@@ -43,31 +43,33 @@
     entry.at("capacity_slots").get_to(member.slots);
     member.draining = entry.at("state").get<std::string>() != "ready";
     if (const auto left = entry.find("warmup_left"); left != entry.end() && left->is_string())
-        member.warmup = playbill::span(left->get_ref<const std::string&>());
+        member.warmup = config::span(left->get_ref<const std::string&>());
     return member;
 }
 
-Json writeText(const std::string& bytes) {
+Json encodeBytes(const std::string& bytes) {
     return Json::binary(std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
 }
 
-std::string readText(const Json& from) {
+std::string decodeBytes(const Json& from) {
     const auto& bytes = from.get_binary();
     return {bytes.begin(), bytes.end()};
 }
 
-Json write(const reg::Ballot& ballot) { return Json::array({ballot.round, ballot.writer}); }
+Json write(const consensus::ProposalNumber& proposalNumber) {
+    return Json::array({proposalNumber.round, proposalNumber.writer});
+}
 
-reg::Ballot readBallot(const Json& from) {
+consensus::ProposalNumber decodeProposalNumber(const Json& from) {
     return {from.at(0).get<std::uint64_t>(), from.at(1).get<std::uint32_t>()};
 }
 
-Json write(const reg::Cell& cell) {
-    return Json::array({write(cell.promised), write(cell.accepted), writeText(cell.value)});
+Json write(const consensus::RegisterState& cell) {
+    return Json::array({write(cell.promised), write(cell.accepted), encodeBytes(cell.value)});
 }
 
-reg::Cell readCell(const Json& from) {
-    return {readBallot(from.at(0)), readBallot(from.at(1)), readText(from.at(2))};
+consensus::RegisterState decodeRegisterState(const Json& from) {
+    return {decodeProposalNumber(from.at(0)), decodeProposalNumber(from.at(1)), decodeBytes(from.at(2))};
 }
 
 Json write(const verdict::Totals& totals) {
@@ -81,7 +83,7 @@
     return json;
 }
 
-verdict::Totals readTotals(const Json& from) {
+verdict::Totals decodeTotals(const Json& from) {
     verdict::Totals totals;
     for (const auto& [route, sides] : from.items())
         for (std::size_t side = 0; side < 2; ++side) {
@@ -107,7 +109,7 @@
     return list.dump();
 }
 
-std::vector<Rollout> readRollouts(const std::string& text) {
+std::vector<Rollout> decodeRollouts(const std::string& text) {
     std::vector<Rollout> rollouts;
     if (text.empty()) return rollouts;
     for (const auto& json : Json::parse(text)) {
@@ -122,4 +124,4 @@
     return rollouts;
 }
 
-}  // namespace lichenlanding::cues
+}  // namespace lichenlanding::messages
--- a/src/messages/codec.hpp
+++ b/src/messages/codec.hpp
@@ -10,26 +10,26 @@
 #include "discovery/endpoint_set.hpp"
 #include "verdict/rollout.hpp"
 
-namespace lichenlanding::cues {
+namespace lichenlanding::messages {
 
 using Json = nlohmann::json;
 
-Json write(const troupe::Member& member);
-troupe::Member readMember(const Json& from);
+Json write(const discovery::Endpoint& member);
+discovery::Endpoint decodeEndpoint(const Json& from);
 // One entry of the platform's list.
-troupe::Member listed(const Json& entry);
+discovery::Endpoint listed(const Json& entry);
 
 // Bytes that need not be text.
-Json writeText(const std::string& bytes);
-std::string readText(const Json& from);
+Json encodeBytes(const std::string& bytes);
+std::string decodeBytes(const Json& from);
 
-Json write(const reg::Ballot& ballot);
-reg::Ballot readBallot(const Json& from);
-Json write(const reg::Cell& cell);
-reg::Cell readCell(const Json& from);
+Json write(const consensus::ProposalNumber& proposalNumber);
+consensus::ProposalNumber decodeProposalNumber(const Json& from);
+Json write(const consensus::RegisterState& cell);
+consensus::RegisterState decodeRegisterState(const Json& from);
 
 Json write(const verdict::Totals& totals);
-verdict::Totals readTotals(const Json& from);
+verdict::Totals decodeTotals(const Json& from);
 
 // One order to bring a version in. Stages: 0 a share; 1 a rehearsal, all traffic for a moment; 2 all traffic,
 // before the old pods are let go.
@@ -45,6 +45,6 @@
 };
 
 std::string write(const std::vector<Rollout>& rollouts);
-std::vector<Rollout> readRollouts(const std::string& text);  // "" is none
+std::vector<Rollout> decodeRollouts(const std::string& text);  // "" is none
 
-}  // namespace lichenlanding::cues
+}  // namespace lichenlanding::messages
--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -10,21 +10,22 @@
 #include "text.hpp"
 #include "transport/log.hpp"
 
-namespace lichenlanding::foyer {
+namespace lichenlanding::proxy {
 namespace {
 
-using namespace wings;
-using casting::Event;
+using namespace transport;
+using routing::AttemptEvent;
 
-constexpr std::size_t aheadAtMost = 32;    // requests of one connection that are read and unanswered
-constexpr Nanos connectWithin = 250 * ms;  // a pod's connection comes up, or it is left
-constexpr Nanos bodyWithin = 30 * second;  // a request's body
-constexpr Nanos closeWithin = 20 * ms;     // a connection that was closed here has ended its call
-constexpr Nanos unreadFor = 10 * second;   // a client that does not take its answers
-constexpr Nanos startWithin = 150 * ms, startLook = 10 * ms;
-constexpr Nanos lingerFor = 300 * ms;     // after the last answer, for what is still on its way
-constexpr Nanos whileUnready = 300 * ms;  // told to clients that come before the first configuration
-constexpr Nanos clientTimeUnlessTold = 60 * second;
+constexpr std::size_t kAheadAtMost = 32;  // requests of one connection that are read and unanswered
+constexpr Nanos kConnectWithin = 250 * kMillisecond;  // a pod's connection comes up, or it is left
+constexpr Nanos kBodyWithin = 30 * kSecond;           // a request's body
+constexpr Nanos kCloseWithin = 20 * kMillisecond;     // a connection that was closed here has ended its call
+constexpr Nanos kUnreadFor = 10 * kSecond;            // a client that does not take its answers
+constexpr Nanos kStartWithin = 150 * kMillisecond, kStartLook = 10 * kMillisecond;
+constexpr Nanos kLingerFor = 300 * kMillisecond;  // after the last answer, for what is still on its way
+constexpr Nanos kWhileUnready =
+    300 * kMillisecond;  // told to clients that come before the first configuration
+constexpr Nanos kClientTimeUnlessTold = 60 * kSecond;
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
@@ -83,7 +84,7 @@
 
 }  // namespace
 
-struct Front::Exchange {
+struct HttpServer::RequestContext {
     Request request;
     Response response;
     bool ready = false;
@@ -92,20 +93,20 @@
     // A request's body that is too large to hold: its first part is in the request, the rest comes through
     // here.
     std::shared_ptr<http::request_parser<http::buffer_body>> upload;
-    bool uploading = false;      // some of the rest has been taken: it cannot go to another pod
-    std::unique_ptr<Rest> rest;  // of an answer that is too large to hold
-    casting::Try way;
-    std::shared_ptr<const playbill::Playbill> playbill;  // keeps the route
-    std::shared_ptr<Bell> bell;
-    std::vector<std::shared_ptr<Call>> calls;
+    bool uploading = false;            // some of the rest has been taken: it cannot go to another pod
+    std::unique_ptr<UnreadBody> rest;  // of an answer that is too large to hold
+    routing::RoutedRequest way;
+    std::shared_ptr<const config::Configuration> configuration;  // keeps the route
+    std::shared_ptr<AsyncEvent> bell;
+    std::vector<std::shared_ptr<UpstreamRequest>> calls;
 };
 
-struct Front::Session {
-    Session(tcp::socket&& taken, asio::io_context& io) : socket(std::move(taken)), room(io) {}
+struct HttpServer::ClientConnection {
+    ClientConnection(tcp::socket&& taken, asio::io_context& io) : socket(std::move(taken)), room(io) {}
     tcp::socket socket;
     beast::flat_buffer buffer;
-    std::deque<std::shared_ptr<Exchange>> queue;
-    Bell room;
+    std::deque<std::shared_ptr<RequestContext>> queue;
+    AsyncEvent room;
     std::uint64_t number = 0;
     bool writing = false, dead = false, idle = false;
     bool readerIn = true;                // the reading coroutine runs
@@ -123,63 +124,64 @@
     bool resting() const { return idle && queue.empty() && !writing && !away; }
     // Bytes that have come and that the reader's turn will take up.
     bool waiting() {
-        Code code;
+        ErrorCode code;
         return socket.available(code) > 0 && !code;
     }
 
     void kill() {
         dead = true;
-        Code ignored;
+        ErrorCode ignored;
         socket.close(ignored);
         if (fetching) fetching->close(ignored);
-        room.ring();
+        room.notify();
     }
 };
 
-Front::Front(asio::io_context& io, casting::Casting& casting, Upstream& upstream, std::function<bool()> awake)
-    : io_(io), casting_(casting), upstream_(upstream), awake_(std::move(awake)) {}
-Front::~Front() = default;
+HttpServer::HttpServer(asio::io_context& io, routing::Router& router, UpstreamClient& upstream,
+                       std::function<bool()> awake)
+    : io_(io), router_(router), upstream_(upstream), awake_(std::move(awake)) {}
+HttpServer::~HttpServer() = default;
 
-Task<> Front::serve(tcp::acceptor& acceptor) {
+Task<> HttpServer::serve(tcp::acceptor& acceptor) {
     while (acceptor.is_open()) {
-        Code code;
-        auto socket = co_await acceptor.async_accept(told(code));
+        ErrorCode code;
+        auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
         if (code) {
             log("accept_failed", {{"step", "accept"}, {"error", code.message()}});
-            co_await sleep(20 * ms);
+            co_await sleep(20 * kMillisecond);
             continue;
         }
-        Code ignored;
+        ErrorCode ignored;
         socket.set_option(tcp::no_delay(true), ignored);
-        auto session = std::make_shared<Session>(std::move(socket), io_);
+        auto session = std::make_shared<ClientConnection>(std::move(socket), io_);
         session->number = ++arrivals_;
         sessions_[session->number] = session;
         start(io_, "client", read(session));
     }
 }
 
-void Front::drain() { draining_ = true; }
+void HttpServer::drain() { draining_ = true; }
 
-void Front::closeIdle() {
+void HttpServer::closeIdle() {
     ending_ = true;
-    std::vector<std::shared_ptr<Session>> idle;
+    std::vector<std::shared_ptr<ClientConnection>> idle;
     for (const auto& [_, session] : sessions_)
         if (session->resting() && !session->waiting()) idle.push_back(session);
     for (const auto& session : idle) {
         // Not closed: what has been read, and whose turn has not come, is still served.
-        Code ignored;
+        ErrorCode ignored;
         session->socket.cancel(ignored);
     }
 }
 
-void Front::sweep(Nanos now) {
-    const Nanos idleTimeout = casting_.playbill() ? casting_.playbill()->bounds.idleTimeout : 0;
-    std::vector<std::shared_ptr<Session>> late, deaf;
+void HttpServer::sweep(Nanos now) {
+    const Nanos idleTimeout = router_.configuration() ? router_.configuration()->bounds.idleTimeout : 0;
+    std::vector<std::shared_ptr<ClientConnection>> late, deaf;
     for (const auto& [_, session] : sessions_) {
         if (session->fetching && now > session->fetchBy) deaf.push_back(session);
         else if (session->writing && !session->away && session->writingSince > 0 &&
-                 now - session->writingSince > unreadFor)
+                 now - session->writingSince > kUnreadFor)
             deaf.push_back(session);
         else if (session->resting()) {
             // A change of the time binds those that rest already only where it is longer.
@@ -193,62 +195,63 @@
     for (const auto& session : deaf) session->kill();
     for (const auto& session : late) {
         session->late = true;
-        Code ignored;
+        ErrorCode ignored;
         session->socket.cancel(ignored);
     }
 }
 
 // Adds what comes next of a request's body.
-Task<Code> Front::readBlock(std::shared_ptr<Session> session, http::request_parser<http::buffer_body>& parser,
-                            std::string& body) {
+Task<ErrorCode> HttpServer::readBlock(std::shared_ptr<ClientConnection> session,
+                                      http::request_parser<http::buffer_body>& parser, std::string& body) {
     const auto had = body.size();
     body.resize(had + room(parser));
     parser.get().body().data = body.data() + had;
     parser.get().body().size = body.size() - had;
-    Code code;
-    co_await http::async_read(session->socket, session->buffer, parser, told(code));
+    ErrorCode code;
+    co_await http::async_read(session->socket, session->buffer, parser, withErrorCode(code));
     body.resize(body.size() - parser.get().body().size);
     if (code == http::error::need_buffer) code = {};
     co_return code;
 }
 
 // The rest of a large body, from the client to the pod, block by block.
-Task<Code> Front::upload(std::shared_ptr<Session> session, std::shared_ptr<Exchange> exchange,
-                         tcp::socket& pod) {
+Task<ErrorCode> HttpServer::upload(std::shared_ptr<ClientConnection> session,
+                                   std::shared_ptr<RequestContext> exchange, tcp::socket& pod) {
     exchange->uploading = true;
     auto& parser = *exchange->upload;
     const bool chunked = !parser.content_length();
     const auto& held = exchange->request.body();
-    Code code;
+    ErrorCode code;
     if (chunked) {
         const auto first = http::make_chunk(asio::const_buffer(held.data(), held.size()));
-        co_await asio::async_write(pod, first, told(code));
+        co_await asio::async_write(pod, first, withErrorCode(code));
     } else {
-        co_await asio::async_write(pod, asio::buffer(held), told(code));
+        co_await asio::async_write(pod, asio::buffer(held), withErrorCode(code));
     }
     while (!code && !parser.is_done()) {
         std::string block;
-        session->readBy = now() + bodyWithin;
+        session->readBy = now() + kBodyWithin;
         code = co_await readBlock(session, parser, block);
         if (code || block.empty()) continue;
         if (chunked) {
             const auto next = http::make_chunk(asio::const_buffer(block.data(), block.size()));
-            co_await asio::async_write(pod, next, told(code));
+            co_await asio::async_write(pod, next, withErrorCode(code));
         } else {
-            co_await asio::async_write(pod, asio::buffer(block), told(code));
+            co_await asio::async_write(pod, asio::buffer(block), withErrorCode(code));
         }
     }
     session->readBy = 0;
     if (!code && chunked) {
         const auto last = http::make_chunk_last();
-        co_await asio::async_write(pod, last, told(code));
+        co_await asio::async_write(pod, last, withErrorCode(code));
     }
     co_return code;
 }
 
 // The rest of a large answer, from the pod to the client. False where either has broken off: then the
 // connection ends, so that what was cut short does not look whole.
-Task<bool> Front::passOn(std::shared_ptr<Session> session, std::shared_ptr<Exchange> exchange) {
+Task<bool> HttpServer::passOn(std::shared_ptr<ClientConnection> session,
+                              std::shared_ptr<RequestContext> exchange) {
     auto& parser = *exchange->rest->parser;
     auto& line = *exchange->rest->line;
     auto& response = exchange->response;
@@ -256,16 +259,16 @@
     chunked ? response.chunked(true) : response.content_length(*parser.content_length());
     http::response<http::empty_body> head(http::response_header<>(response.base()));
     http::response_serializer<http::empty_body> serializer(head);
-    Code code;
-    co_await http::async_write_header(session->socket, serializer, told(code));
+    ErrorCode code;
+    co_await http::async_write_header(session->socket, serializer, withErrorCode(code));
     auto block = std::move(response.body());
     while (!code) {
         session->writingSince = now();
         if (chunked && !block.empty()) {
             const auto next = http::make_chunk(asio::const_buffer(block.data(), block.size()));
-            co_await asio::async_write(session->socket, next, told(code));
+            co_await asio::async_write(session->socket, next, withErrorCode(code));
         } else if (!block.empty()) {
-            co_await asio::async_write(session->socket, asio::buffer(block), told(code));
+            co_await asio::async_write(session->socket, asio::buffer(block), withErrorCode(code));
         }
         if (code || parser.is_done()) break;
         block.resize(room(parser));
@@ -273,37 +276,37 @@
         // A pod's silence is no reason to end the answer before its time is over.
         session->writingSince = 0;
         session->fetching = &line.socket, session->fetchBy = exchange->way.deadline;
-        co_await http::async_read(line.socket, line.buffer, parser, told(code));
+        co_await http::async_read(line.socket, line.buffer, parser, withErrorCode(code));
         session->fetching = nullptr;
         block.resize(block.size() - parser.get().body().size);
         if (code == http::error::need_buffer) code = {};
     }
     if (!code && chunked) {
         const auto last = http::make_chunk_last();
-        co_await asio::async_write(session->socket, last, told(code));
+        co_await asio::async_write(session->socket, last, withErrorCode(code));
     }
     co_return !code;
 }
 
-Task<> Front::read(std::shared_ptr<Session> session) {
+Task<> HttpServer::read(std::shared_ptr<ClientConnection> session) {
     const auto bounds = [&] {
-        return casting_.playbill() ? casting_.playbill()->bounds : playbill::Bounds{};
+        return router_.configuration() ? router_.configuration()->bounds : config::ClientLimits{};
     };
     const auto answer = [&](Response response) {
-        auto exchange = std::make_shared<Exchange>();
+        auto exchange = std::make_shared<RequestContext>();
         exchange->response = std::move(response);
         exchange->last = true;
         session->queue.push_back(exchange);
         ready(session, exchange);
     };
     while (!session->dead) {
-        Code code;
+        ErrorCode code;
         if (session->closing) session->buffer.consume(session->buffer.size());
         if (session->buffer.size() == 0) {
             session->idle = true;
             if (!session->away) session->readBy = 0, session->rest(now(), bounds().idleTimeout);
             const auto space = session->buffer.prepare(4096);
-            const auto read = co_await session->socket.async_read_some(space, told(code));
+            const auto read = co_await session->socket.async_read_some(space, withErrorCode(code));
             session->idle = false;
             if (code) break;
             if (session->closing) continue;
@@ -314,19 +317,19 @@
         parser->header_limit(static_cast<std::uint32_t>(limits.headerBytes));
         parser->body_limit(static_cast<std::uint64_t>(limits.bodyBytes));
         session->readBy = now() + limits.headerTimeout;
-        co_await http::async_read_header(session->socket, session->buffer, *parser, told(code));
+        co_await http::async_read_header(session->socket, session->buffer, *parser, withErrorCode(code));
         std::string body;
         if (!code && !parser->is_done()) {
-            session->readBy = now() + bodyWithin;
+            session->readBy = now() + kBodyWithin;
             const bool asks = boost::beast::iequals(parser->get()[http::field::expect], "100-continue");
             // Behind the answers that are due first.
             while (asks && !session->queue.empty() && !session->dead)
-                co_await session->room.wait(now() + second);
+                co_await session->room.wait(now() + kSecond);
             if (asks && !session->closing && !session->dead) {
                 static const std::string text = "HTTP/1.1 100 Continue\r\n\r\n";
-                co_await asio::async_write(session->socket, asio::buffer(text), told(code));
+                co_await asio::async_write(session->socket, asio::buffer(text), withErrorCode(code));
             }
-            while (!code && !parser->is_done() && body.size() < holdAtMost)
+            while (!code && !parser->is_done() && body.size() < kHoldAtMost)
                 code = co_await readBlock(session, *parser, body);
         }
         if (!session->away) session->readBy = 0;
@@ -351,7 +354,7 @@
                 answer(own(400, "request cannot be read"));
             break;
         }
-        auto exchange = std::make_shared<Exchange>();
+        auto exchange = std::make_shared<RequestContext>();
         exchange->request = Request(http::request_header<>(parser->get().base()));
         exchange->request.body() = std::move(body);
         exchange->last = !exchange->request.keep_alive() || (draining_ && ending_);
@@ -360,8 +363,8 @@
         session->queue.push_back(exchange);
         start(io_, "request", play(session, exchange));
         if (exchange->last) break;
-        while (session->queue.size() >= aheadAtMost && !session->dead)
-            co_await session->room.wait(now() + second);
+        while (session->queue.size() >= kAheadAtMost && !session->dead)
+            co_await session->room.wait(now() + kSecond);
     }
     session->readerIn = false;
     if (session->dead || (session->queue.empty() && !session->writing)) {
@@ -370,7 +373,8 @@
     }
 }
 
-void Front::ready(const std::shared_ptr<Session>& session, const std::shared_ptr<Exchange>& exchange) {
+void HttpServer::ready(const std::shared_ptr<ClientConnection>& session,
+                       const std::shared_ptr<RequestContext>& exchange) {
     exchange->ready = true;
     if (session->writing || !session->queue.front()->ready) return;
     session->writing = true;
@@ -378,7 +382,7 @@
     start(io_, "answer", write(session));
 }
 
-Task<> Front::write(std::shared_ptr<Session> session) {
+Task<> HttpServer::write(std::shared_ptr<ClientConnection> session) {
     while (!session->dead && !session->queue.empty() && session->queue.front()->ready) {
         const auto exchange = session->queue.front();
         auto& response = exchange->response;
@@ -394,31 +398,31 @@
         http::response_serializer<http::string_body> serializer(response);
         if (exchange->skipBody) serializer.split(true);
         session->writingSince = now();
-        Code code;
+        ErrorCode code;
         if (exchange->rest) {
             if (!co_await passOn(session, exchange)) code = asio::error::broken_pipe;
         } else if (exchange->skipBody)
-            co_await http::async_write_header(session->socket, serializer, told(code));
-        else co_await http::async_write(session->socket, serializer, told(code));
+            co_await http::async_write_header(session->socket, serializer, withErrorCode(code));
+        else co_await http::async_write(session->socket, serializer, withErrorCode(code));
         session->queue.pop_front();
         session->writingSince = 0;
         if (code) {
             session->kill();
             break;
         }
-        if (session->queue.empty() && casting_.playbill())
-            session->rest(now(), casting_.playbill()->bounds.idleTimeout);
-        session->room.ring();
+        if (session->queue.empty() && router_.configuration())
+            session->rest(now(), router_.configuration()->bounds.idleTimeout);
+        session->room.notify();
         if (last) {
-            Code ignored;
+            ErrorCode ignored;
             session->socket.shutdown(tcp::socket::shutdown_send, ignored);
             // What the client has sent meanwhile is read away for a moment: closing on it would reset the
             // connection under an answer that may not have arrived. One coroutine reads, never two.
             session->away = true;
-            session->readBy = now() + lingerFor;
+            session->readBy = now() + kLingerFor;
             char bytes[1024];
             while (!session->readerIn && !code && !session->dead)
-                co_await session->socket.async_read_some(asio::buffer(bytes), told(code));
+                co_await session->socket.async_read_some(asio::buffer(bytes), withErrorCode(code));
             break;
         }
     }
@@ -429,19 +433,20 @@
     }
 }
 
-Task<> Front::send(std::shared_ptr<Session> session, std::shared_ptr<Exchange> exchange,
-                   std::shared_ptr<Call> call) {
+Task<> HttpServer::send(std::shared_ptr<ClientConnection> session, std::shared_ptr<RequestContext> exchange,
+                        std::shared_ptr<UpstreamRequest> call) {
     auto& way = exchange->way;
     auto& attempt = *call->attempt;
     auto& actor = *attempt.actor();
-    Tail tail;
+    BodyWriter tail;
     if (exchange->upload)
         tail = [this, session, exchange](tcp::socket& pod) { return upload(session, exchange, pod); };
     try {
         co_await upstream_.call(call, std::shared_ptr<const Request>(exchange, &exchange->request),
-                                way.deadline, !way.route->repeatable, casting_.linesAtMost(actor), tail);
+                                way.deadline, !way.route->repeatable, router_.maxConnections(actor), tail);
     } catch (const std::exception& error) {
-        call->end = attempt.state() == casting::State::unsent ? Event::unreached : Event::cut;
+        call->end =
+            attempt.state() == routing::AttemptState::unsent ? AttemptEvent::unreached : AttemptEvent::cut;
         call->line.reset(), call->rest.reset();
         log("send_failed", {{"step", "send"}, {"peer", actor.listed.address}, {"error", error.what()}});
     }
@@ -451,62 +456,64 @@
         const auto parts = split(view(load->value()), ',');
         int running = 0, waiting = 0;
         if (parts.size() >= 2 && parse(parts[0], running) && parse(parts[1], waiting))
-            casting_.reported(actor, running, waiting, at);
+            router_.reported(actor, running, waiting, at);
     }
     const auto status = static_cast<int>(response.result_int());
     try {
-        casting_.ended(way, attempt, call->end, status, at - call->began, at);
+        router_.ended(way, attempt, call->end, status, at - call->began, at);
     } catch (const std::logic_error& error) {
         // A fault of ours, told by the table. What is not known counts as run.
         ++outOfOrder;
         log("attempt_out_of_order",
             {{"step", "send"}, {"peer", actor.listed.address}, {"error", error.what()}});
         if (attempt.inFlight())
-            casting_.ended(way, attempt,
-                           attempt.state() == casting::State::unsent ? Event::unreached : Event::cut, status,
-                           at - call->began, at);
+            router_.ended(way, attempt,
+                          attempt.state() == routing::AttemptState::unsent ? AttemptEvent::unreached
+                                                                           : AttemptEvent::cut,
+                          status, at - call->began, at);
     }
-    exchange->bell->ring();
+    exchange->bell->notify();
 }
 
 // The client has its answer. What has not been written is left; what is with a pod may run on, and ends with
 // the request's time at the latest.
-Task<> Front::settle(std::shared_ptr<Exchange> exchange) {
+Task<> HttpServer::settle(std::shared_ptr<RequestContext> exchange) {
     const auto& way = exchange->way;
     for (const auto& call : exchange->calls)
-        if (call->attempt->state() == casting::State::unsent) call->abort();
-    while (casting::inFlight(way.attempts) > 0) {
-        co_await exchange->bell->wait(std::max(way.deadline, now() + closeWithin));
+        if (call->attempt->state() == routing::AttemptState::unsent) call->abort();
+    while (routing::inFlight(way.attempts) > 0) {
+        co_await exchange->bell->wait(std::max(way.deadline, now() + kCloseWithin));
         if (now() < way.deadline) continue;
         for (const auto& call : exchange->calls) call->abort();
     }
 }
 
-Task<> Front::play(std::shared_ptr<Session> session, std::shared_ptr<Exchange> exchange) {
+Task<> HttpServer::play(std::shared_ptr<ClientConnection> session, std::shared_ptr<RequestContext> exchange) {
     auto& request = exchange->request;
     const auto finish = [&](Response response, std::uint64_t& count) {
         ++count;
         exchange->response = std::move(response);
         ready(session, exchange);
     };
-    // A foyer that has just come up, or stood still, waits a moment for what prompters are about to tell it.
+    // A proxy that has just come up, or stood still, waits a moment for what control nodes are about to tell
+    // it.
     const bool stood = !awake_();
-    for (const Nanos until = now() + startWithin; !(casting_.ready() && awake_()) && now() < until;)
-        co_await sleep(startLook);
+    for (const Nanos until = now() + kStartWithin; !(router_.ready() && awake_()) && now() < until;)
+        co_await sleep(kStartLook);
     if (stood && !session->dead && ended(session->socket))
-        co_return finish(own(503, "its client has gone", whileUnready), refused);
-    if (!casting_.playbill()) co_return finish(own(503, "no configuration yet", whileUnready), refused);
+        co_return finish(own(503, "its client has gone", kWhileUnready), refused);
+    if (!router_.configuration()) co_return finish(own(503, "no configuration yet", kWhileUnready), refused);
     if (request["X-Attempt-Id"].empty()) co_return finish(own(400, "X-Attempt-Id is missing"), refused);
-    Nanos clientTime = clientTimeUnlessTold;
+    Nanos clientTime = kClientTimeUnlessTold;
     if (const auto told = view(request["X-Deadline-Ms"]); !told.empty()) {
         double millis = 0;
         if (!parse(told, millis) || !(millis >= 0))
             co_return finish(own(400, "X-Deadline-Ms is no number"), refused);
         clientTime = static_cast<Nanos>(std::min(millis, 6e5) * 1e6);
     }
-    exchange->playbill = casting_.playbill();
+    exchange->configuration = router_.configuration();
     auto& way = exchange->way;
-    if (!casting_.begin(way, view(request[http::field::host]), view(request.target()), now(), clientTime))
+    if (!router_.begin(way, view(request[http::field::host]), view(request.target()), now(), clientTime))
         co_return finish(own(404, "no route"), refused);
     strip(request);
     const auto method = request.method();
@@ -516,43 +523,43 @@
     else if (!request.body().empty() ||
              (method != http::verb::get && method != http::verb::head && method != http::verb::delete_))
         request.content_length(request.body().size());
-    exchange->bell = std::make_shared<Bell>(io_);
-    const auto answerOf = [&](const std::shared_ptr<Call>& call) {
+    exchange->bell = std::make_shared<AsyncEvent>(io_);
+    const auto answerOf = [&](const std::shared_ptr<UpstreamRequest>& call) {
         exchange->rest = std::move(call->rest);
         finish(std::move(call->response), served);
     };
-    std::shared_ptr<Call> fallback;  // an answer of a pod that another attempt might better
-    std::vector<bool> looked;        // by call: its end was looked at
-    std::size_t seen = 0;            // of these
+    std::shared_ptr<UpstreamRequest> fallback;  // an answer of a pod that another attempt might better
+    std::vector<bool> looked;                   // by call: its end was looked at
+    std::size_t seen = 0;                       // of these
     Nanos hedgeAt = way.deadline;
-    bool wanted = true, aborted = false;  // another attempt, if casting has one; all were ended
+    bool wanted = true, aborted = false;  // another attempt, if routing has one; all were ended
     for (;;) {
         if (wanted && !exchange->uploading && !session->dead) {
-            if (auto attempt = casting_.next(way, now())) {
-                auto call = std::make_shared<Call>(std::move(attempt));
+            if (auto attempt = router_.next(way, now())) {
+                auto call = std::make_shared<UpstreamRequest>(std::move(attempt));
                 call->began = now();
                 exchange->calls.push_back(call);
                 looked.push_back(false);
-                hedgeAt = exchange->upload ? way.deadline : casting_.hedgeAt(way, now());
+                hedgeAt = exchange->upload ? way.deadline : router_.hedgeAt(way, now());
                 start(io_, "send", send(session, exchange, call));
             } else if (!exchange->upload) {
                 // For want of budget or of pods, and maybe not for long.
-                hedgeAt = casting_.hedgeAgainAt(way, now());
+                hedgeAt = router_.nextHedgeCheckAt(way, now());
             }
         }
         wanted = false;
-        if (casting::inFlight(way.attempts) == 0 && seen == exchange->calls.size())
+        if (routing::inFlight(way.attempts) == 0 && seen == exchange->calls.size())
             break;  // given up, at once
-        Nanos until = aborted ? now() + closeWithin : std::min(way.deadline, hedgeAt);
+        Nanos until = aborted ? now() + kCloseWithin : std::min(way.deadline, hedgeAt);
         for (const auto& call : exchange->calls)
-            if (call->attempt->state() == casting::State::unsent && !call->aborted)
-                until = std::min(until, call->began + connectWithin);
+            if (call->attempt->state() == routing::AttemptState::unsent && !call->aborted)
+                until = std::min(until, call->began + kConnectWithin);
         const bool rang = co_await exchange->bell->wait(until);
         const auto at = now();
         if (!rang) {
             for (const auto& call : exchange->calls)
-                if (at >= way.deadline ||
-                    (call->attempt->state() == casting::State::unsent && at >= call->began + connectWithin))
+                if (at >= way.deadline || (call->attempt->state() == routing::AttemptState::unsent &&
+                                           at >= call->began + kConnectWithin))
                     call->abort();
             aborted = at >= way.deadline;
             if (aborted && exchange->uploading) session->kill();  // its client may send no more
@@ -562,20 +569,20 @@
             const auto& call = exchange->calls[index];
             if (call->attempt->inFlight() || looked[index]) continue;
             looked[index] = true, ++seen;
-            if (call->end == Event::answered &&
+            if (call->end == AttemptEvent::answered &&
                 (call->response.result_int() < 500 || !way.route->repeatable)) {
                 answerOf(call);
                 co_return co_await settle(exchange);
             }
-            if (call->end == Event::answered) fallback = call;
-            if (casting::inFlight(way.attempts) == 0) wanted = true;
+            if (call->end == AttemptEvent::answered) fallback = call;
+            if (routing::inFlight(way.attempts) == 0) wanted = true;
         }
     }
     if (fallback) co_return answerOf(fallback);
-    const auto refusal = casting_.refusal(way);
+    const auto refusal = router_.refusal(way);
     finish(own(refusal.status, refusal.status == 503 ? "no pod can take it now" : "the pod's answer was lost",
                refusal.retryAfter),
            refusal.status == 503 ? refused : failed);
 }
 
-}  // namespace lichenlanding::foyer
+}  // namespace lichenlanding::proxy
