--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -11,38 +11,38 @@
 #include "transport/peer_connection.hpp"
 #include "verdict/stages.hpp"
 
-namespace lichenlanding::foyer {
+namespace lichenlanding::proxy {
 namespace {
 
-using namespace wings;
+using namespace transport;
 
-constexpr Nanos sweepEvery = 250 * ms;
-constexpr Nanos takeOnFor = 3000 * ms;   // after SIGTERM, until clients have been led away
-constexpr Nanos leaveBefore = 500 * ms;  // of the grace, kept back
-constexpr Nanos asleep = second;         // between two sweeps: the machine stood still
-constexpr Nanos wakeWithin = 150 * ms;   // for news, after that
+constexpr Nanos kSweepEvery = 250 * kMillisecond;
+constexpr Nanos kTakeOnFor = 3000 * kMillisecond;   // after SIGTERM, until clients have been led away
+constexpr Nanos kLeaveBefore = 500 * kMillisecond;  // of the grace, kept back
+constexpr Nanos kAsleep = kSecond;                  // between two sweeps: the machine stood still
+constexpr Nanos kWakeWithin = 150 * kMillisecond;   // for news, after that
 
-struct Foyer {
-    explicit Foyer(const playbill::Boot& boot_)
+struct Proxy {
+    explicit Proxy(const config::BootstrapSettings& boot_)
         : boot(boot_),
           seed(std::random_device{}()),
-          casting(boot, seed),
+          router(boot, seed),
           upstream(io),
-          front(io, casting, upstream, [this] { return awake(); }),
+          front(io, router, upstream, [this] { return awake(); }),
           clients(listen(io, boot.front)),
           probes(listen(io, boot.readiness)),
           doors(listen(io, boot.internal(boot.ip))) {
         std::random_device draw;
         life = (static_cast<std::uint64_t>(draw()) << 32) | draw();
-        owner = std::make_shared<Link::Owner>();
-        owner->greet = [this](Link& link) { return greet(link); };
-        owner->heard = [this](Link& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](Link& link) { closed(link); };
+        owner = std::make_shared<PeerConnection::Owner>();
+        owner->greet = [this](PeerConnection& link) { return greet(link); };
+        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
+        owner->closed = [this](PeerConnection& link) { closed(link); };
     }
 
-    // ---- Company: links to prompters and to voters. ----
+    // ---- Company: links to control nodes and to voters. ----
 
-    Json greet(Link&) const {
+    Json greet(PeerConnection&) const {
         return {{"t", "hello"},
                 {"kind", "foyer"},
                 {"name", boot.name},
@@ -61,9 +61,9 @@
         for (const auto& seedAddress : boot.seeds) dial(boot.internal(hostOf(seedAddress)));
     }
 
-    void heard(Link& link, const Json& message) {
+    void heard(PeerConnection& link, const Json& message) {
         const auto& kind = message.at("t").get_ref<const std::string&>();
-        const bool prompter = link.kind == "prompter";
+        const bool controlNode = link.kind == "prompter";
         if (kind == "hello") {
             link.kind = message.at("kind").get<std::string>();
             if (link.kind == "prompter")
@@ -75,102 +75,103 @@
         } else if (kind == "counts") {
             pool(message);
         } else {
-            news(link, message, prompter);
+            news(link, message, controlNode);
         }
     }
 
-    // What a foyer or a prompter tells, or asks for. Each says whether it speaks, or was told, for a
+    // What a proxy or a control node tells, or asks for. Each says whether it speaks, or was told, for a
     // majority.
-    void news(Link& link, const Json& message, bool prompter) {
-        using From = callboard::Callboard::From;
+    void news(PeerConnection& link, const Json& message, bool controlNode) {
+        using MessageSource = subscription::ConfigurationCache::MessageSource;
         const bool sure = message.value("sure", true);
         const auto& kind = message.at("t").get_ref<const std::string&>();
         if (kind != "want") {
-            if (prompter) reached(confidence.heard(link.peer, sure, now()));
-            if (!confidence.takes(sure, board.version() > 0, now())) return;
+            if (controlNode) reached(quorumContact.heard(link.peer, sure, now()));
+            if (!quorumContact.takes(sure, cache.version() > 0, now())) return;
         }
-        board.heard(message, prompter ? From::prompter : From::neighbour, now(), [&](Json reply) {
-            if (reply.at("t") != "want") reply["sure"] = confidence.sure();
-            link.send(reply);
-        });
-        if (sure && board.version() > 0 &&
-            (kind == "configuration" || (kind == "digest" && message.at("configuration") <= board.version())))
-            confidence.holds(true);
-        // Foyers that turn from pod to pod together do so by the clock of who tells them the list, not by
+        cache.heard(message, controlNode ? MessageSource::controlNode : MessageSource::neighbour, now(),
+                    [&](Json reply) {
+                        if (reply.at("t") != "want") reply["sure"] = quorumContact.sure();
+                        link.send(reply);
+                    });
+        if (sure && cache.version() > 0 &&
+            (kind == "configuration" || (kind == "digest" && message.at("configuration") <= cache.version())))
+            quorumContact.holds(true);
+        // Proxies that turn from pod to pod together do so by the clock of who tells them the list, not by
         // theirs.
-        if (prompter && kind == "digest" && message.contains("clock"))
-            casting.common(message.at("clock").get<std::int64_t>() * ms - now());
-        if (board.listed()) casting.listed();
+        if (controlNode && kind == "digest" && message.contains("clock"))
+            router.common(message.at("clock").get<std::int64_t>() * kMillisecond - now());
+        if (cache.listed()) router.listed();
     }
 
-    void reached(callboard::Confidence::Change change) {
-        using Change = callboard::Confidence::Change;
+    void reached(subscription::QuorumContact::Change change) {
+        using Change = subscription::QuorumContact::Change;
         if (change == Change::none) return;
         log(change == Change::unsure ? "news_unsure" : "news_sure",
             {{"step", "news"},
-             {"configuration", playbill::versionText(board.version())},
-             {"held_sure", confidence.sure()}});
+             {"configuration", config::formatVersion(cache.version())},
+             {"held_sure", quorumContact.sure()}});
     }
 
     Json digest() const {
-        auto told = board.digest();
-        told["sure"] = confidence.sure();
+        auto told = cache.digest();
+        told["sure"] = quorumContact.sure();
         return told;
     }
 
-    void closed(Link& link) {
-        if (link.kind == "prompter") reached(confidence.parted(link.peer, now()));
+    void closed(PeerConnection& link) {
+        if (link.kind == "prompter") reached(quorumContact.onPeerDisconnected(link.peer, now()));
         if (rosters.erase(link.peer) > 0) enrol();
         for (const auto& name : watching)
-            if (const auto at = foyers.find(name);
-                at != foyers.end() && at->second == link.peer && link.kind == "foyer") {
+            if (const auto at = proxies.find(name);
+                at != proxies.end() && at->second == link.peer && link.kind == "foyer") {
                 log("neighbour_lost", {{"step", "watch"}, {"peer", name}});
-                const auto packed = Link::pack(Json{{"t", "lost"}, {"name", name}});
-                for (const auto& to : prompters()) to->send(packed);
+                const auto packed = PeerConnection::pack(Json{{"t", "lost"}, {"name", name}});
+                for (const auto& to : controlNodes()) to->send(packed);
             }
     }
 
-    void take(const std::string& squeezed) {
+    void take(const std::string& compressed) {
         try {
-            casting.take(
-                std::make_shared<const playbill::Playbill>(playbill::Playbill::read(unsqueeze(squeezed))));
+            router.take(std::make_shared<const config::Configuration>(
+                config::Configuration::read(decompress(compressed))));
         } catch (const std::exception& wrong) {
             log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
         }
-        const auto version = casting.playbill() ? casting.playbill()->version : 0;
-        const auto packed = Link::pack(Json{{"t", "ack"}, {"configuration", version}});
-        for (const auto& link : prompters()) link->send(packed);
+        const auto version = router.configuration() ? router.configuration()->version : 0;
+        const auto packed = PeerConnection::pack(Json{{"t", "ack"}, {"configuration", version}});
+        for (const auto& link : controlNodes()) link->send(packed);
     }
 
-    static std::vector<std::shared_ptr<Link>> open(const std::map<std::string, std::shared_ptr<Dialer>>& all,
-                                                   const char* kind) {
-        std::vector<std::shared_ptr<Link>> links;
+    static std::vector<std::shared_ptr<PeerConnection>> open(
+        const std::map<std::string, std::shared_ptr<Dialer>>& all, const char* kind) {
+        std::vector<std::shared_ptr<PeerConnection>> links;
         for (const auto& [_, dialer] : all)
             if (auto link = dialer->link(); link && link->kind == kind) links.push_back(link);
         return links;
     }
-    std::vector<std::shared_ptr<Link>> prompters() const { return open(dialers, "prompter"); }
+    std::vector<std::shared_ptr<PeerConnection>> controlNodes() const { return open(dialers, "prompter"); }
 
-    // Who there is, by the prompters reached; what was last known while none is.
+    // Who there is, by the control nodes reached; what was last known while none is.
     void enrol() {
-        if (!rosters.empty() || foyers.empty()) foyers.clear();
-        for (const auto& [_, roster] : rosters) foyers.insert(roster.begin(), roster.end());
-        foyers[boot.name] = boot.internal(boot.ip);
-        casting.company(foyers.size(), now());
+        if (!rosters.empty() || proxies.empty()) proxies.clear();
+        for (const auto& [_, roster] : rosters) proxies.insert(roster.begin(), roster.end());
+        proxies[boot.name] = boot.internal(boot.ip);
+        router.company(proxies.size(), now());
         std::vector<std::string> names;
-        for (const auto& [name, _] : foyers) names.push_back(name);
-        watching = company::watched(std::move(names), boot.name);
+        for (const auto& [name, _] : proxies) names.push_back(name);
+        watching = hashing::watched(std::move(names), boot.name);
         keepPeers();
     }
 
-    // Links to other foyers: to those watched, and while an order runs to its voters.
+    // Links to other proxies: to those watched, and while an order runs to its voters.
     void keepPeers() {
         std::set<std::string> wanted;
-        for (const auto& name : watching) wanted.insert(foyers.at(name));
-        for (const auto& rollout : casting.rollouts())
+        for (const auto& name : watching) wanted.insert(proxies.at(name));
+        for (const auto& rollout : router.rollouts())
             if (rollout.running())
                 for (const auto& voter : votersOf(rollout))
-                    if (voter != boot.name) wanted.insert(foyers.at(voter));
+                    if (voter != boot.name) wanted.insert(proxies.at(voter));
         std::erase_if(peers, [&](const auto& peer) {
             const bool drop = !wanted.contains(peer.first);
             if (drop) peer.second->stop();
@@ -188,24 +189,24 @@
     Task<> watch() {
         for (;;) {
             co_await sleep(boot.heartbeat);
-            const auto packed = Link::pack(digest());
+            const auto packed = PeerConnection::pack(digest());
             for (const auto& name : watching)
-                if (const auto peer = peers.find(foyers.at(name)); peer != peers.end())
+                if (const auto peer = peers.find(proxies.at(name)); peer != peers.end())
                     if (const auto link = peer->second->link()) link->send(packed);
         }
     }
 
     // ---- Rollouts: totals to voters, judgements of our own. ----
 
-    std::vector<std::string> votersOf(const cues::Rollout& rollout) const {
+    std::vector<std::string> votersOf(const messages::Rollout& rollout) const {
         std::vector<std::string> names;
-        for (const auto& [name, _] : foyers) names.push_back(name);
-        return company::chosen(names, rollout.service + "\n" + rollout.target, verdict::voterCount);
+        for (const auto& [name, _] : proxies) names.push_back(name);
+        return hashing::chosen(names, rollout.service + "\n" + rollout.target, verdict::kVoterCount);
     }
 
     void watchRollouts() {
         keepPeers();
-        const auto& all = casting.rollouts();
+        const auto& all = router.rollouts();
         const bool running =
             std::any_of(all.begin(), all.end(), [](const auto& one) { return one.running(); });
         if (!running || counting) return;
@@ -217,24 +218,24 @@
         Nanos told = 0;
         std::uint64_t badTold = 0;
         for (bool running = true; running;) {
-            co_await sleep(verdict::urgentEvery);
-            const bool due = now() - told >= verdict::countsEvery || casting.badSeen() > badTold;
+            co_await sleep(verdict::kUrgentEvery);
+            const bool due = now() - told >= verdict::kCountsEvery || router.canaryFailures() > badTold;
             running = false;
-            for (const auto& rollout : casting.rollouts()) {
+            for (const auto& rollout : router.rollouts()) {
                 if (!rollout.running()) continue;
                 running = true;
                 if (due) tell(rollout);
                 judge(rollout);
             }
-            if (due) told = now(), badTold = casting.badSeen();
+            if (due) told = now(), badTold = router.canaryFailures();
         }
         counting = false;
         pools.clear();
         keepPeers();
     }
 
-    void tell(const cues::Rollout& rollout) {
-        const auto& totals = casting.totals(rollout.service, rollout.target);
+    void tell(const messages::Rollout& rollout) {
+        const auto& totals = router.totals(rollout.service, rollout.target);
         const auto key = rollout.service + "\n" + rollout.target;
         ++counted;
         std::shared_ptr<const std::string> packed;
@@ -243,15 +244,15 @@
                 pools[key].take(boot.name, life, counted, totals);
                 continue;
             }
-            const auto peer = peers.find(foyers.at(voter));
+            const auto peer = peers.find(proxies.at(voter));
             if (peer == peers.end()) continue;
             if (!packed)
-                packed = Link::pack(Json{{"t", "counts"},
-                                         {"from", boot.name},
-                                         {"life", life},
-                                         {"number", counted},
-                                         {"rollout", key},
-                                         {"totals", cues::write(totals)}});
+                packed = PeerConnection::pack(Json{{"t", "counts"},
+                                                   {"from", boot.name},
+                                                   {"life", life},
+                                                   {"number", counted},
+                                                   {"rollout", key},
+                                                   {"totals", messages::write(totals)}});
             if (auto link = peer->second->link()) link->send(packed);
         }
     }
@@ -259,16 +260,16 @@
     void pool(const Json& message) {
         pools[message.at("rollout").get<std::string>()].take(
             message.at("from").get<std::string>(), message.at("life").get<std::uint64_t>(),
-            message.at("number").get<std::uint64_t>(), cues::readTotals(message.at("totals")));
+            message.at("number").get<std::uint64_t>(), messages::decodeTotals(message.at("totals")));
     }
 
-    void judge(const cues::Rollout& rollout) {
+    void judge(const messages::Rollout& rollout) {
         const auto chosen = votersOf(rollout);
         if (std::find(chosen.begin(), chosen.end(), boot.name) == chosen.end()) return;
         const auto key = rollout.service + "\n" + rollout.target;
         auto& next = judgeNext[key];
         if (now() < next) return;
-        next = now() + verdict::judgeEvery;
+        next = now() + verdict::kJudgeEvery;
         const auto judged = verdict::judge(pools[key].sum(), chance);
         const Json vote{{"t", "vote"},
                         {"from", boot.name},
@@ -281,27 +282,28 @@
                         {"bad", judged.bad},
                         {"lower", judged.bounds.lowerChance},
                         {"upper", judged.bounds.upperChance}};
-        const auto packed = Link::pack(vote);
-        for (const auto& link : prompters()) link->send(packed);
+        const auto packed = PeerConnection::pack(vote);
+        for (const auto& link : controlNodes()) link->send(packed);
     }
 
     // ---- Readiness, stopping, small change. ----
 
-    bool ready() const { return !leaving && casting.ready(); }
-    // After a standstill what is known may be old: requests wait a moment for a prompter's word.
-    bool awake() const { return now() - turned < asleep && now() >= doubtUntil; }
+    bool ready() const { return !leaving && router.ready(); }
+    // After a standstill what is known may be old: requests wait a moment for a control node's word.
+    bool awake() const { return now() - turned < kAsleep && now() >= doubtUntil; }
 
     Task<> tend() {
         for (bool was = false;;) {
-            co_await sleep(sweepEvery);
-            if (const Nanos gap = now() - std::exchange(turned, now()); gap > asleep) {
-                doubtUntil = now() + wakeWithin;
-                log("woke", {{"stood_ms", gap / ms}});
+            co_await sleep(kSweepEvery);
+            if (const Nanos gap = now() - std::exchange(turned, now()); gap > kAsleep) {
+                doubtUntil = now() + kWakeWithin;
+                log("woke", {{"stood_ms", gap / kMillisecond}});
             }
-            if (confidence.waited(board.version() > 0, now())) {
-                log("news_taken_unsure", {{"step", "news"}, {"waited_ms", confidence.unsureWait / ms}});
-                const auto packed = Link::pack(digest());
-                for (const auto& link : prompters()) link->send(packed);
+            if (quorumContact.waited(cache.version() > 0, now())) {
+                log("news_taken_unsure",
+                    {{"step", "news"}, {"waited_ms", quorumContact.unsureWait / kMillisecond}});
+                const auto packed = PeerConnection::pack(digest());
+                for (const auto& link : controlNodes()) link->send(packed);
             }
             front.sweep(now());
             upstream.sweep(now());
@@ -309,24 +311,24 @@
                 was = ready();
                 log(was ? "ready" : "unready",
                     {{"configuration",
-                      casting.playbill() ? playbill::versionText(casting.playbill()->version) : ""},
-                     {"pods", casting.actors().size()},
-                     {"foyers", foyers.size()},
+                      router.configuration() ? config::formatVersion(router.configuration()->version) : ""},
+                     {"pods", router.hosts().size()},
+                     {"foyers", proxies.size()},
                      {"leaving", leaving}});
             }
         }
     }
 
     Task<> leave() {
-        const Nanos began = now(), end = began + boot.grace - leaveBefore;
+        const Nanos began = now(), end = began + boot.grace - kLeaveBefore;
         log("leaving", {{"open", front.open()}});
         front.drain();
-        co_await sleep(std::min(takeOnFor, boot.grace / 2));
-        Code ignored;
+        co_await sleep(std::min(kTakeOnFor, boot.grace / 2));
+        ErrorCode ignored;
         clients.close(ignored);
         while (front.open() > 0 && now() < end) {
             front.closeIdle();
-            co_await sleep(30 * ms);
+            co_await sleep(30 * kMillisecond);
         }
         log("left", {{"open", front.open()},
                      {"served", front.served},
@@ -337,7 +339,7 @@
 
     void reload() {
         try {
-            boot = playbill::Boot::fromEnvironment();
+            boot = config::BootstrapSettings::fromEnvironment();
             dialSeeds();
             log("settings_read", {});
         } catch (const std::exception& wrong) {
@@ -356,46 +358,48 @@
             [this] { reload(); });
         log("start", {{"seed", seed}, {"life", life}});
         dialSeeds();
-        start(io, "links", serveLinks(io, doors, owner));
+        start(io, "links", servePeerConnections(io, doors, owner));
         start(io, "clients", front.serve(clients));
-        start(io, "readiness", serveProbes(io, probes, [this] { return ready(); }));
+        start(io, "readiness", serveReadiness(io, probes, [this] { return ready(); }));
         start(io, "tend", tend());
         start(io, "watch", watch());
         io.run();
     }
 
-    playbill::Boot boot;
+    config::BootstrapSettings boot;
     asio::io_context io{1};
     std::uint32_t seed;
     std::uint64_t life = 0, counted = 0;
-    casting::Casting casting;
-    Upstream upstream;
-    Front front;
+    routing::Router router;
+    UpstreamClient upstream;
+    HttpServer front;
     tcp::acceptor clients, probes, doors;
-    std::shared_ptr<Link::Owner> owner;
-    std::map<std::string, std::shared_ptr<Dialer>> dialers, peers;      // by address: prompters, foyers
-    std::map<std::string, std::map<std::string, std::string>> rosters;  // by prompter: foyers and addresses
-    std::map<std::string, std::string> foyers;
+    std::shared_ptr<PeerConnection::Owner> owner;
+    std::map<std::string, std::shared_ptr<Dialer>> dialers, peers;  // by address: control nodes, proxies
+    std::map<std::string, std::map<std::string, std::string>>
+        rosters;  // by control node: proxies and addresses
+    std::map<std::string, std::string> proxies;
     std::map<std::string, verdict::Pool> pools;
     std::map<std::string, Nanos> judgeNext;
     std::mt19937 chance{std::random_device{}()};
-    callboard::Callboard board{{[this](const std::string& squeezed) { take(squeezed); },
-                                [this](const std::string& text) {
-                                    casting.rollouts(cues::readRollouts(text), now());
-                                    watchRollouts();
-                                },
-                                [this](const troupe::Event& event) { casting.apply(event, now()); }}};
-    callboard::Confidence confidence;
-    std::vector<std::string> watching;  // foyers
+    subscription::ConfigurationCache cache{
+        {[this](const std::string& compressed) { take(compressed); },
+         [this](const std::string& text) {
+             router.rollouts(messages::decodeRollouts(text), now());
+             watchRollouts();
+         },
+         [this](const discovery::EndpointEvent& event) { router.apply(event, now()); }}};
+    subscription::QuorumContact quorumContact;
+    std::vector<std::string> watching;  // proxies
     Nanos turned = now(), doubtUntil = 0;
     bool leaving = false, counting = false;
 };
 
 }  // namespace
 
-void run(const playbill::Boot& boot) {
+void run(const config::BootstrapSettings& boot) {
     openLog(boot.name);
-    Foyer(boot).run();
+    Proxy(boot).run();
 }
 
-}  // namespace lichenlanding::foyer
+}  // namespace lichenlanding::proxy
--- a/src/proxy/upstream.hpp
+++ b/src/proxy/upstream.hpp
@@ -1,5 +1,5 @@
-// Connections from a foyer to pods: kept ones by pod, and one call on one of them. Decides nothing; what an
-// end means is for casting.
+// Connections from a proxy to pods: kept ones by pod, and one call on one of them. Decides nothing; what an
+// end means is for routing.
 #pragma once
 
 #include <boost/beast/http/buffer_body.hpp>
@@ -13,7 +13,7 @@
 #include "routing/router.hpp"
 #include "transport/event_loop.hpp"
 
-namespace lichenlanding::foyer {
+namespace lichenlanding::proxy {
 
 namespace asio = boost::asio;
 
@@ -21,20 +21,21 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-struct Line {
-    Line(asio::io_context& io, std::shared_ptr<casting::Actor> to) : socket(io), actor(std::move(to)) {
+struct UpstreamConnection {
+    UpstreamConnection(asio::io_context& io, std::shared_ptr<routing::UpstreamHost> to)
+        : socket(io), actor(std::move(to)) {
         ++actor->lines;
     }
-    ~Line() { --actor->lines; }
-    Line(const Line&) = delete;
-    wings::tcp::socket socket;
-    std::shared_ptr<casting::Actor> actor;
-    wings::beast::flat_buffer buffer;
+    ~UpstreamConnection() { --actor->lines; }
+    UpstreamConnection(const UpstreamConnection&) = delete;
+    transport::tcp::socket socket;
+    std::shared_ptr<routing::UpstreamHost> actor;
+    transport::beast::flat_buffer buffer;
     Nanos idleSince = 0, idleFor = 0;
 };
 
 // Bodies up to this are held whole (and can go to a second pod); larger ones pass through as they come.
-constexpr std::size_t holdAtMost = 256 << 10;
+constexpr std::size_t kHoldAtMost = 256 << 10;
 
 // Bytes to offer a parser for what comes next. One more than is left where that is known: with none over,
 // Beast ends the read before it has seen that the body is whole, and the next read would wait for bytes that
@@ -47,22 +48,22 @@
 }
 
 // The part of a pod's answer that has not been read yet.
-struct Rest {
-    std::shared_ptr<Line> line;
+struct UnreadBody {
+    std::shared_ptr<UpstreamConnection> line;
     std::unique_ptr<http::response_parser<http::buffer_body>> parser;
 };
 
 // Writes what follows the part of a request's body that is held, to the pod.
-using Tail = std::function<wings::Task<wings::Code>(wings::tcp::socket& pod)>;
+using BodyWriter = std::function<transport::Task<transport::ErrorCode>(transport::tcp::socket& pod)>;
 
 // One attempt of a request, on the wire.
-struct Call {
-    explicit Call(std::shared_ptr<casting::Attempt> attempt_) : attempt(std::move(attempt_)) {}
-    std::shared_ptr<casting::Attempt> attempt;
-    std::shared_ptr<Line> line;
-    casting::Event end = casting::Event::unreached;  // once the call is back
+struct UpstreamRequest {
+    explicit UpstreamRequest(std::shared_ptr<routing::Attempt> attempt_) : attempt(std::move(attempt_)) {}
+    std::shared_ptr<routing::Attempt> attempt;
+    std::shared_ptr<UpstreamConnection> line;
+    routing::AttemptEvent end = routing::AttemptEvent::unreached;  // once the call is back
     Response response;
-    std::unique_ptr<Rest> rest;  // of an answer too large to hold
+    std::unique_ptr<UnreadBody> rest;  // of an answer too large to hold
     bool aborted = false;
     Nanos began = 0;
 
@@ -70,29 +71,30 @@
     void abort();
 };
 
-class Upstream {
+class UpstreamClient {
   public:
-    explicit Upstream(asio::io_context& io) : io_(io) {}
+    explicit UpstreamClient(asio::io_context& io) : io_(io) {}
 
     // Sends `request` (its connection headers already off) and reads one whole answer. Fills the call, and
     // tells its attempt when the first byte is written; the end is for the caller to tell.
     // `careful`: the request may not run twice, so no connection is used that the pod may just be closing.
-    wings::Task<> call(std::shared_ptr<Call> call, std::shared_ptr<const Request> request, Nanos deadline,
-                       bool careful, int linesAtMost, Tail tail = {});
+    transport::Task<> call(std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request,
+                           Nanos deadline, bool careful, int maxConnections, BodyWriter tail = {});
     // Ends idle connections that the pod will soon end, and those to pods that are gone.
     void sweep(Nanos now);
 
   private:
-    wings::Task<wings::Code> answer(std::shared_ptr<Call> call, std::shared_ptr<Line> line, bool head);
-    std::shared_ptr<Line> kept(const casting::Actor& actor, bool careful);
-    void keep(const std::shared_ptr<casting::Actor>& actor, std::shared_ptr<Line> line);
+    transport::Task<transport::ErrorCode> answer(std::shared_ptr<UpstreamRequest> call,
+                                                 std::shared_ptr<UpstreamConnection> line, bool head);
+    std::shared_ptr<UpstreamConnection> kept(const routing::UpstreamHost& actor, bool careful);
+    void keep(const std::shared_ptr<routing::UpstreamHost>& actor, std::shared_ptr<UpstreamConnection> line);
 
     asio::io_context& io_;
-    struct Place {
-        std::shared_ptr<casting::Actor> actor;
-        std::deque<std::shared_ptr<Line>> idle;  // the one used last behind
+    struct HostPool {
+        std::shared_ptr<routing::UpstreamHost> actor;
+        std::deque<std::shared_ptr<UpstreamConnection>> idle;  // the one used last behind
     };
-    std::map<std::string, Place> places_;  // by pod
+    std::map<std::string, HostPool> places_;  // by pod
 };
 
-}  // namespace lichenlanding::foyer
+}  // namespace lichenlanding::proxy
--- a/src/routing/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -4,52 +4,52 @@
 #include <stdexcept>
 #include <string>
 
-namespace lichenlanding::casting {
+namespace lichenlanding::routing {
 
-const char* name(State state) {
+const char* name(AttemptState state) {
     switch (state) {
-        case State::unsent:
+        case AttemptState::unsent:
             return "unsent";
-        case State::surelyNotRun:
+        case AttemptState::surelyNotRun:
             return "surely not run";
-        case State::maybeRun:
+        case AttemptState::maybeRun:
             return "maybe run";
-        case State::answered:
+        case AttemptState::answered:
             return "answered";
     }
     return "";
 }
 
-const char* name(Event event) {
+const char* name(AttemptEvent event) {
     switch (event) {
-        case Event::written:
+        case AttemptEvent::written:
             return "written";
-        case Event::unreached:
+        case AttemptEvent::unreached:
             return "unreached";
-        case Event::turned:
+        case AttemptEvent::turned:
             return "turned";
-        case Event::elsewhere:
+        case AttemptEvent::elsewhere:
             return "elsewhere";
-        case Event::answered:
+        case AttemptEvent::answered:
             return "answered";
-        case Event::cut:
+        case AttemptEvent::cut:
             return "cut";
-        case Event::spoilt:
+        case AttemptEvent::spoilt:
             return "spoilt";
-        case Event::overdue:
+        case AttemptEvent::overdue:
             return "overdue";
     }
     return "";
 }
 
-std::optional<State> after(std::span<const Transition> table, State from, Event event) {
+std::optional<AttemptState> after(std::span<const Transition> table, AttemptState from, AttemptEvent event) {
     for (const auto& transition : table)
         if (transition.from == from && transition.event == event) return transition.to;
     return std::nullopt;
 }
 
-void Attempt::on(Event event) {
-    const auto to = end_ ? std::nullopt : after(transitions, state_, event);
+void Attempt::on(AttemptEvent event) {
+    const auto to = end_ ? std::nullopt : after(kTransitions, state_, event);
     if (!to)
         throw std::logic_error(std::string("attempt: ") + name(event) + " after " +
                                (end_ ? name(*end_) : name(state_)));
@@ -57,14 +57,14 @@
     if (ends(event)) end_ = event;
 }
 
-State stateOf(const Attempts& attempts) {
-    const auto any = [&](State state) {
+AttemptState requestState(const Attempts& attempts) {
+    const auto any = [&](AttemptState state) {
         return std::any_of(attempts.begin(), attempts.end(),
                            [&](const auto& attempt) { return attempt->state() == state; });
     };
-    for (const auto state : {State::answered, State::maybeRun, State::surelyNotRun})
+    for (const auto state : {AttemptState::answered, AttemptState::maybeRun, AttemptState::surelyNotRun})
         if (any(state)) return state;
-    return State::unsent;
+    return AttemptState::unsent;
 }
 
 std::size_t inFlight(const Attempts& attempts) {
@@ -74,30 +74,32 @@
 
 std::size_t arrivals(const Attempts& attempts) {
     return static_cast<std::size_t>(std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) {
-        return attempt->end() != Event::unreached;
+        return attempt->end() != AttemptEvent::unreached;
     }));
 }
 
-bool mayPromise(const Attempts& attempts) {
-    const auto state = stateOf(attempts);
-    return inFlight(attempts) == 0 && (state == State::unsent || state == State::surelyNotRun);
+bool mayPromiseNotRun(const Attempts& attempts) {
+    const auto state = requestState(attempts);
+    return inFlight(attempts) == 0 && (state == AttemptState::unsent || state == AttemptState::surelyNotRun);
 }
 
-bool maySend(const Attempts& attempts, bool repeatable) { return repeatable || mayPromise(attempts); }
+bool mayAttempt(const Attempts& attempts, bool repeatable) {
+    return repeatable || mayPromiseNotRun(attempts);
+}
 
-std::optional<Event> judge(const Answer& answer) {
+std::optional<AttemptEvent> judge(const ResponseHead& answer) {
     // MIXED: a late answer to an earlier request stands in the place of this one's; the id tells them apart.
-    if (answer.id == Answer::Id::other) return std::nullopt;
-    if (!answer.delimited) return Event::spoilt;
-    const bool own = answer.id == Answer::Id::own;
+    if (answer.id == ResponseHead::Id::other) return std::nullopt;
+    if (!answer.delimited) return AttemptEvent::spoilt;
+    const bool own = answer.id == ResponseHead::Id::own;
     if (answer.status / 100 == 2)
-        return own && answer.stamped && !answer.encoded && !answer.notExecuted ? Event::answered
-                                                                               : Event::spoilt;
-    if (answer.status == 421) return Event::elsewhere;
-    if (answer.notExecuted) return answer.status >= 400 ? Event::turned : Event::spoilt;
+        return own && answer.stamped && !answer.encoded && !answer.notExecuted ? AttemptEvent::answered
+                                                                               : AttemptEvent::spoilt;
+    if (answer.status == 421) return AttemptEvent::elsewhere;
+    if (answer.notExecuted) return answer.status >= 400 ? AttemptEvent::turned : AttemptEvent::spoilt;
     // REFUSED: what promises that nothing ran is passed on only with the pod's word for it.
-    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return Event::spoilt;
-    return Event::answered;
+    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return AttemptEvent::spoilt;
+    return AttemptEvent::answered;
 }
 
-}  // namespace lichenlanding::casting
+}  // namespace lichenlanding::routing
--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -11,18 +11,18 @@
 #include <span>
 #include <vector>
 
-namespace lichenlanding::casting {
+namespace lichenlanding::routing {
 
-struct Actor;
+struct UpstreamHost;
 
-enum class State {
+enum class AttemptState {
     unsent,        // no byte was handed to a connection, so far
     surelyNotRun,  // it never will be, or this pod has said of this very send that it was not run
     maybeRun,      // some were, and nothing says that it has not run
     answered,      // a whole answer of this pod to this request
 };
 
-enum class Event {
+enum class AttemptEvent {
     written,    // the first byte is about to be handed over. The send goes on; all other events end it
     unreached,  // the connection never came up, or was left before the first byte
     turned,     // X-Not-Executed, under the send's own id
@@ -34,66 +34,66 @@
 };
 
 struct Transition {
-    State from;
-    Event event;
-    State to;
+    AttemptState from;
+    AttemptEvent event;
+    AttemptState to;
 };
 
 // What is not here cannot happen. From maybeRun only the pod's own word leads to surelyNotRun; silence, a
 // reset or a close never do, whatever was known before.
-inline constexpr std::array<Transition, 8> transitions{{
-    {State::unsent, Event::written, State::maybeRun},
-    {State::unsent, Event::unreached, State::surelyNotRun},
-    {State::maybeRun, Event::turned, State::surelyNotRun},
-    {State::maybeRun, Event::elsewhere, State::surelyNotRun},
-    {State::maybeRun, Event::answered, State::answered},
-    {State::maybeRun, Event::cut, State::maybeRun},
-    {State::maybeRun, Event::spoilt, State::maybeRun},
-    {State::maybeRun, Event::overdue, State::maybeRun},
+inline constexpr std::array<Transition, 8> kTransitions{{
+    {AttemptState::unsent, AttemptEvent::written, AttemptState::maybeRun},
+    {AttemptState::unsent, AttemptEvent::unreached, AttemptState::surelyNotRun},
+    {AttemptState::maybeRun, AttemptEvent::turned, AttemptState::surelyNotRun},
+    {AttemptState::maybeRun, AttemptEvent::elsewhere, AttemptState::surelyNotRun},
+    {AttemptState::maybeRun, AttemptEvent::answered, AttemptState::answered},
+    {AttemptState::maybeRun, AttemptEvent::cut, AttemptState::maybeRun},
+    {AttemptState::maybeRun, AttemptEvent::spoilt, AttemptState::maybeRun},
+    {AttemptState::maybeRun, AttemptEvent::overdue, AttemptState::maybeRun},
 }};
 
 // The state that follows by the table; none where it has no such transition.
-std::optional<State> after(std::span<const Transition> table, State from, Event event);
+std::optional<AttemptState> after(std::span<const Transition> table, AttemptState from, AttemptEvent event);
 
-constexpr bool ends(Event event) { return event != Event::written; }
+constexpr bool ends(AttemptEvent event) { return event != AttemptEvent::written; }
 
-const char* name(State state);
-const char* name(Event event);
+const char* name(AttemptState state);
+const char* name(AttemptEvent event);
 
 class Attempt {
   public:
-    explicit Attempt(std::shared_ptr<Actor> actor) : actor_(std::move(actor)) {}
+    explicit Attempt(std::shared_ptr<UpstreamHost> actor) : actor_(std::move(actor)) {}
 
     // Throws std::logic_error where the table has no such transition or the attempt has ended: then nothing
     // changes.
-    void on(Event event);
+    void on(AttemptEvent event);
 
-    State state() const { return state_; }
+    AttemptState state() const { return state_; }
     bool inFlight() const { return !end_; }
-    std::optional<Event> end() const { return end_; }  // none while in flight
-    const std::shared_ptr<Actor>& actor() const { return actor_; }
+    std::optional<AttemptEvent> end() const { return end_; }  // none while in flight
+    const std::shared_ptr<UpstreamHost>& actor() const { return actor_; }
 
   private:
-    std::shared_ptr<Actor> actor_;
-    State state_ = State::unsent;
-    std::optional<Event> end_;
+    std::shared_ptr<UpstreamHost> actor_;
+    AttemptState state_ = AttemptState::unsent;
+    std::optional<AttemptEvent> end_;
 };
 
 using Attempts = std::vector<std::shared_ptr<Attempt>>;  // of one request, in order
 
 // Of the request, over all its attempts: the state from which it can least be sent again.
-State stateOf(const Attempts& attempts);
+AttemptState requestState(const Attempts& attempts);
 std::size_t inFlight(const Attempts& attempts);
 // That pods have seen or may still see: all but those that ended unreached.
 std::size_t arrivals(const Attempts& attempts);
 
 // TWICE: whether it may be sent to one more pod, now.
-bool maySend(const Attempts& attempts, bool repeatable);
+bool mayAttempt(const Attempts& attempts, bool repeatable);
 // REFUSED: whether 429, 503, 408 or 421 may be answered, which promise that it has not run and never will.
-bool mayPromise(const Attempts& attempts);
+bool mayPromiseNotRun(const Attempts& attempts);
 
 // What the head of a pod's answer says, as far as it decides.
-struct Answer {
+struct ResponseHead {
     enum class Id { own, other, none };
     int status = 0;
     Id id = Id::none;          // X-Attempt-Id, against the send's
@@ -105,6 +105,6 @@
 
 // The event that a whole answer makes of it; none where it belongs to another request, and is to be read past
 // or, where that can't be done, to count as spoilt.
-std::optional<Event> judge(const Answer& answer);
+std::optional<AttemptEvent> judge(const ResponseHead& answer);
 
-}  // namespace lichenlanding::casting
+}  // namespace lichenlanding::routing
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -20,122 +20,123 @@
 #include "routing/attempt.hpp"
 #include "verdict/rollout.hpp"
 
-namespace lichenlanding::casting {
+namespace lichenlanding::routing {
 
-// A pod as this foyer knows it. Kept until nothing is out at it and it has left the list.
-struct Actor {
-    troupe::Member listed;
+// A pod as this proxy knows it. Kept until nothing is out at it and it has left the list.
+struct UpstreamHost {
+    discovery::Endpoint listed;
     bool gone = false;
     int out = 0;      // own requests out
     int lines = 0;    // own connections open, kept by the host
     Nanos since = 0;  // first seen here
-    Nanos warmUntil = 0;
-    Nanos restUntil = 0;        // nothing is sent before, while others can
-    int failures = 0;           // in a row
-    double pace = 1;            // own answers' times against those of the route at all pods, averaged
-    int held = 0, heldOut = 0;  // requests by its own last report, and own ones out then
-    Nanos heldAt = 0;
-    Nanos owes = 0;  // since when it has owed an answer without giving any; 0: not
+    Nanos slowStartUntil = 0;
+    Nanos backoffUntil = 0;  // nothing is sent before, while others can
+    int failures = 0;        // in a row
+    double pace = 1;         // own answers' times against those of the route at all pods, averaged
+    int held = 0, inFlightAtReport = 0;  // requests by its own last report, and own ones out then
+    Nanos reportedAt = 0;
+    Nanos unansweredSince = 0;  // since when it has owed an answer without giving any; 0: not
 };
 
 // How long an idle connection is used again, from what its pod says (0: nothing); and whether a request that
 // may run only once may go on one that has been idle for `age`.
-Nanos keptFor(Nanos told);
-bool surelyKept(Nanos age, Nanos kept);
+Nanos idleLimit(Nanos told);
+bool safeToReuse(Nanos age, Nanos kept);
 
 // One request of a client, on its way.
-struct Try {
-    const playbill::Route* route = nullptr;
+struct RoutedRequest {
+    const config::Route* route = nullptr;
     std::string service;
     Nanos arrived = 0, deadline = 0;  // the client's, or the route's timeout if that is sooner
     Attempts attempts;
 };
 
 // What a client is told when no pod's answer can be had.
-struct Refusal {
+struct LocalReply {
     int status = 503;
     Nanos retryAfter = 0;  // 0: none
 };
 
-class Casting {
+class Router {
   public:
-    Casting(const playbill::Boot& boot, std::uint64_t seed);
+    Router(const config::BootstrapSettings& boot, std::uint64_t seed);
 
-    void take(std::shared_ptr<const playbill::Playbill> playbill);  // of a lower version: no change
-    const std::shared_ptr<const playbill::Playbill>& playbill() const { return playbill_; }
-    void apply(const troupe::Event& event, Nanos now);
-    // So many foyers are known, this one among them. Shares of what the fleet may spend shrink at once, and
+    void take(std::shared_ptr<const config::Configuration> configuration);  // of a lower version: no change
+    const std::shared_ptr<const config::Configuration>& configuration() const { return configuration_; }
+    void apply(const discovery::EndpointEvent& event, Nanos now);
+    // So many proxies are known, this one among them. Shares of what the fleet may spend shrink at once, and
     // grow only when fewer have been known over a whole window.
-    void company(std::size_t foyers, Nanos now);
-    void rollouts(std::vector<cues::Rollout> rollouts, Nanos now);
-    const std::vector<cues::Rollout>& rollouts() const { return rollouts_; }
+    void company(std::size_t proxies, Nanos now);
+    void rollouts(std::vector<messages::Rollout> rollouts, Nanos now);
+    const std::vector<messages::Rollout>& rollouts() const { return rollouts_; }
 
-    // What is to be added to `now` for a time that all foyers have much alike.
+    // What is to be added to `now` for a time that all proxies have much alike.
     void common(Nanos offset) { offset_ = offset; }
 
     // Whether all is there that a send needs: a configuration, rollouts and pods.
-    bool ready() const { return playbill_ && rolloutsKnown_ && listed_; }
+    bool ready() const { return configuration_ && rolloutsKnown_ && listed_; }
     void listed() { listed_ = true; }
 
     // A request that has come in: false where no route takes it.
-    bool begin(Try& request, std::string_view host, std::string_view path, Nanos now, Nanos clientTime);
+    bool begin(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
+               Nanos clientTime);
 
     // The send to make now, added to the request's attempts, or null: give up, unless one is in flight still.
-    std::shared_ptr<Attempt> next(Try& request, Nanos now);
+    std::shared_ptr<Attempt> next(RoutedRequest& request, Nanos now);
     // Whether a second send beside one that is out would be worth it, and when to ask.
-    Nanos hedgeAt(const Try& request, Nanos sentAt) const;
+    Nanos hedgeAt(const RoutedRequest& request, Nanos sentAt) const;
     // When to ask again, where next() has had none to give for now.
-    Nanos hedgeAgainAt(const Try& request, Nanos now) const;
+    Nanos nextHedgeCheckAt(const RoutedRequest& request, Nanos now) const;
     // Tells the attempt how it ended; `status` of the answer, 0 without one. Throws as Attempt::on().
-    void ended(Try& request, Attempt& attempt, Event end, int status, Nanos took, Nanos now);
-    void reported(Actor& actor, int running, int waiting, Nanos now);
+    void ended(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status, Nanos took, Nanos now);
+    void reported(UpstreamHost& actor, int running, int waiting, Nanos now);
     // What is answered where next() has nothing more and nothing is in flight.
-    Refusal refusal(const Try& request) const;
+    LocalReply refusal(const RoutedRequest& request) const;
 
-    // Connections to one pod that this foyer may have open.
-    int linesAtMost(const Actor& actor) const;
-    const std::map<std::string, std::shared_ptr<Actor>>& actors() const { return actors_; }
+    // Connections to one pod that this proxy may have open.
+    int maxConnections(const UpstreamHost& actor) const;
+    const std::map<std::string, std::shared_ptr<UpstreamHost>>& hosts() const { return hosts_; }
 
     // Outcomes of a running rollout, for the voters.
     const verdict::Totals& totals(const std::string& service, const std::string& target) const;
-    std::uint64_t badSeen() const { return bad_; }  // bad answers of versions on trial, over all
+    std::uint64_t canaryFailures() const { return bad_; }  // bad answers of versions on trial, over all
 
   private:
-    struct Budget;
-    struct Trial;
+    struct RetryBudget;
+    struct Canary;
     enum class Side { none, earlier, fresh };
-    Side side(const Actor& actor) const;
-    using Places = std::vector<const std::shared_ptr<Actor>*>;
-    bool warm(const Actor& actor, Nanos now) const;  // its outcomes count for a version
+    Side side(const UpstreamHost& actor) const;
+    using Places = std::vector<const std::shared_ptr<UpstreamHost>*>;
+    bool warm(const UpstreamHost& actor, Nanos now) const;  // its outcomes count for a version
     std::size_t few(std::size_t pods) const;
     void focus(Places& near, Places& far, const std::string& target, Nanos now) const;
     double crowding(const std::string& service) const;
-    double cost(const Actor& actor, Nanos now) const;
+    double cost(const UpstreamHost& actor, Nanos now) const;
     std::size_t sharers(Nanos now) const;
-    bool usable(const Actor& actor, Nanos now) const;
-    bool mayGoOn(const Try& request, Nanos now) const;
-    Budget& budget(const std::string& service);
-    Trial* trial(const std::string& service);
+    bool usable(const UpstreamHost& actor, Nanos now) const;
+    bool mayGoOn(const RoutedRequest& request, Nanos now) const;
+    RetryBudget& budget(const std::string& service);
+    Canary* trial(const std::string& service);
 
     std::string zone_;
     double ratio_, slack_, share_, beyond_;
     Nanos window_;
     std::mt19937_64 chance_;
-    std::size_t foyers_ = 1;
-    std::deque<std::pair<Nanos, std::size_t>> known_;  // foyers, of late
-    std::shared_ptr<const playbill::Playbill> playbill_;
-    std::map<std::string, std::shared_ptr<Actor>> actors_;
-    std::map<std::string, std::vector<std::shared_ptr<Actor>>> byService_;
-    std::map<std::string, std::shared_ptr<Budget>> budgets_;
-    std::map<std::string, std::shared_ptr<Trial>> trials_;  // by service and target
-    std::map<std::string, std::set<std::string>> settled_;  // versions that no order brought, by service
+    std::size_t proxies_ = 1;
+    std::deque<std::pair<Nanos, std::size_t>> known_;  // proxies, of late
+    std::shared_ptr<const config::Configuration> configuration_;
+    std::map<std::string, std::shared_ptr<UpstreamHost>> hosts_;
+    std::map<std::string, std::vector<std::shared_ptr<UpstreamHost>>> byService_;
+    std::map<std::string, std::shared_ptr<RetryBudget>> budgets_;
+    std::map<std::string, std::shared_ptr<Canary>> trials_;  // by service and target
+    std::map<std::string, std::set<std::string>> settled_;   // versions that no order brought, by service
     std::map<std::pair<std::string, std::string>, double>
         crowds_;                             // by service and zone: the usual wait there
     std::map<std::string, double> typical_;  // by route: an answer's usual time, ns
-    std::vector<cues::Rollout> rollouts_;
+    std::vector<messages::Rollout> rollouts_;
     std::uint64_t bad_ = 0;
     Nanos offset_ = 0;
     bool rolloutsKnown_ = false, listed_ = false;
 };
 
-}  // namespace lichenlanding::casting
+}  // namespace lichenlanding::routing
--- a/src/scale_test/hollow.cpp
+++ b/src/scale_test/hollow.cpp
@@ -15,13 +15,13 @@
 #include "transport/log.hpp"
 #include "transport/peer_connection.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 namespace {
 
-using namespace wings;
+using namespace transport;
 
-constexpr Nanos tallyEvery = 200 * ms;
-constexpr Nanos awayFor = 500 * ms;  // a restart
+constexpr Nanos kTallyEvery = 200 * kMillisecond;
+constexpr Nanos kAwayFor = 500 * kMillisecond;  // a restart
 
 void fact(const char* what, Json about) {
     about["fact"] = what;
@@ -29,17 +29,17 @@
     std::fprintf(stderr, "%s\n", about.dump().c_str());
 }
 
-// Messages of all foyers of this process, by the kind of the other side and their own.
+// Messages of all proxies of this process, by the kind of the other side and their own.
 struct Tally {
     std::map<std::string, std::map<std::string, std::uint64_t>> heard, sent;
 };
 
-// Who there is, by name and address. All foyers of a process are told the same many times over, so what is
-// worked out of it is kept once for all: a process of them has one thread where each foyer has its own
+// Who there is, by name and address. All proxies of a process are told the same many times over, so what is
+// worked out of it is kept once for all: a process of them has one thread where each proxy has its own
 // machine.
 struct Roster {
     std::uint64_t sum = 0;
-    std::map<std::string, std::string> foyers;
+    std::map<std::string, std::string> proxies;
 };
 
 struct Room {
@@ -49,15 +49,15 @@
     std::mt19937_64 chance{std::random_device{}()};
     std::map<std::uint64_t, std::weak_ptr<const Roster>> rosters{};  // by a hash over all of it
 
-    std::shared_ptr<const Roster> roster(const Json& foyers) {
-        std::uint64_t sum = foyers.size();
-        for (const auto& [name, address] : foyers.items())
-            sum += company::hash(name, address.get_ref<const std::string&>());
+    std::shared_ptr<const Roster> roster(const Json& proxies) {
+        std::uint64_t sum = proxies.size();
+        for (const auto& [name, address] : proxies.items())
+            sum += hashing::hash(name, address.get_ref<const std::string&>());
         auto& kept = rosters[sum];
         auto same = kept.lock();
         if (!same) {
             Roster made{sum, {}};
-            foyers.get_to(made.foyers);
+            proxies.get_to(made.proxies);
             kept = same = std::make_shared<const Roster>(std::move(made));
         }
         std::erase_if(rosters, [](const auto& one) { return one.second.expired(); });
@@ -65,30 +65,30 @@
     }
 };
 
-class HollowFoyer : public std::enable_shared_from_this<HollowFoyer> {
+class HollowProxy : public std::enable_shared_from_this<HollowProxy> {
   public:
-    HollowFoyer(Room& room, std::int64_t n) : room_(room), name_(hollowName(n)), ip_(hollowAddress(n)) {}
+    HollowProxy(Room& room, std::int64_t n) : room_(room), name_(hollowName(n)), ip_(hollowAddress(n)) {}
 
     void open() {
         const auto self = shared_from_this();
-        owner_ = std::make_shared<Link::Owner>();
-        owner_->greet = [self](Link& link) { return self->greet(link); };
-        owner_->heard = [self](Link& link, const Json& message) {
+        owner_ = std::make_shared<PeerConnection::Owner>();
+        owner_->greet = [self](PeerConnection& link) { return self->greet(link); };
+        owner_->heard = [self](PeerConnection& link, const Json& message) {
             if (!self->left_) self->heard(link, message);
         };
-        owner_->closed = [self](Link& link) {
+        owner_->closed = [self](PeerConnection& link) {
             if (!self->left_) self->closed(link);
         };
         door_ = std::make_unique<tcp::acceptor>(listen(room_.io, at(ip_)));
         enrol();
         for (const auto& seed : room_.told.at("seeds")) dial(seed.get<std::string>());
-        start(room_.io, "links", serveLinks(room_.io, *door_, owner_));
+        start(room_.io, "links", servePeerConnections(room_.io, *door_, owner_));
         start(room_.io, "watch", watch(self));
     }
 
     void leave() {
         left_ = true;
-        Code ignored;
+        ErrorCode ignored;
         door_->close(ignored);
         for (const auto* all : {&dialers_, &peers_})
             for (const auto& [_, dialer] : *all) dialer->stop();
@@ -101,16 +101,16 @@
         return ip + ":" + std::to_string(room_.told.at("port").get<int>());
     }
 
-    void send(Link& link, const Json& message) {
+    void send(PeerConnection& link, const Json& message) {
         count(room_.tally.sent, link, message);
         link.send(message);
     }
-    static void count(std::map<std::string, std::map<std::string, std::uint64_t>>& in, const Link& link,
-                      const Json& message) {
+    static void count(std::map<std::string, std::map<std::string, std::uint64_t>>& in,
+                      const PeerConnection& link, const Json& message) {
         ++in[link.kind.empty() ? "new" : link.kind][message.at("t").get<std::string>()];
     }
 
-    Json greet(Link& link) {
+    Json greet(PeerConnection& link) {
         std::erase_if(links_, [](const auto& one) { return one.expired(); });
         links_.push_back(link.weak_from_this());
         return {{"t", "hello"}, {"kind", "foyer"}, {"name", name_}, {"at", at(ip_)}, {"life", life_}};
@@ -123,7 +123,7 @@
         dialer->go();
     }
 
-    void heard(Link& link, const Json& message) {
+    void heard(PeerConnection& link, const Json& message) {
         const auto& kind = message.at("t").get_ref<const std::string&>();
         if (kind == "hello") {
             link.kind = message.at("kind").get<std::string>();
@@ -131,7 +131,7 @@
                 fact("link", {{"name", name_}, {"to", link.peer}, {"open", true}});
                 for (const auto& member : message.at("members")) dial(member.get<std::string>());
             } else {
-                link.pace(room_.told.at("heartbeat_ms").get<Nanos>() * ms);
+                link.pace(room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
             }
         }
         count(room_.tally.heard, link, message);
@@ -142,31 +142,32 @@
             news(link, message, kind);
         }
         if (std::exchange(configurationNew_, false)) took();
-        if (!ready_ && board_.listed() && board_.version() > 0 && rolloutsKnown_) {
+        if (!ready_ && cache_.listed() && cache_.version() > 0 && rolloutsKnown_) {
             ready_ = true;
-            fact("ready", {{"name", name_}, {"pods", board_.troupe().members().size()}});
+            fact("ready", {{"name", name_}, {"pods", cache_.endpoints().members().size()}});
         }
     }
 
-    void news(Link& link, const Json& message, const std::string& kind) {
-        using From = callboard::Callboard::From;
-        const bool prompter = link.kind == "prompter", sure = message.value("sure", true);
+    void news(PeerConnection& link, const Json& message, const std::string& kind) {
+        using MessageSource = subscription::ConfigurationCache::MessageSource;
+        const bool controlNode = link.kind == "prompter", sure = message.value("sure", true);
         if (kind != "want") {
-            if (prompter) confidence_.heard(link.peer, sure, now());
-            if (!confidence_.takes(sure, board_.version() > 0, now())) return;
+            if (controlNode) confidence_.heard(link.peer, sure, now());
+            if (!confidence_.takes(sure, cache_.version() > 0, now())) return;
         }
-        board_.heard(message, prompter ? From::prompter : From::neighbour, now(), [&](Json reply) {
-            if (reply.at("t") != "want") reply["sure"] = confidence_.sure();
-            send(link, reply);
-        });
-        if (sure && board_.version() > 0 &&
+        cache_.heard(message, controlNode ? MessageSource::controlNode : MessageSource::neighbour, now(),
+                     [&](Json reply) {
+                         if (reply.at("t") != "want") reply["sure"] = confidence_.sure();
+                         send(link, reply);
+                     });
+        if (sure && cache_.version() > 0 &&
             (kind == "configuration" ||
-             (kind == "digest" && message.at("configuration") <= board_.version())))
+             (kind == "digest" && message.at("configuration") <= cache_.version())))
             confidence_.holds(true);
     }
 
-    void closed(Link& link) {
-        if (link.kind == "prompter") confidence_.parted(link.peer, now());
+    void closed(PeerConnection& link) {
+        if (link.kind == "prompter") confidence_.onPeerDisconnected(link.peer, now());
         if (link.kind == "prompter") fact("link", {{"name", name_}, {"to", link.peer}, {"open", false}});
         if (rosters_.erase(link.peer) > 0) enrol();
         if (link.kind != "foyer") return;
@@ -180,27 +181,27 @@
     }
 
     void took() {
-        const auto version = board_.version();
+        const auto version = cache_.version();
         fact("configuration", {{"name", name_}, {"version", version}});
         tell({{"t", "ack"}, {"configuration", version}});
     }
 
     void enrol() {
-        // What was last known stands while no prompter says anything. By their sums: each once.
+        // What was last known stands while no control node says anything. By their sums: each once.
         if (!rosters_.empty() || known_.empty()) {
             std::map<std::uint64_t, std::shared_ptr<const Roster>> told;
             for (const auto& [_, roster] : rosters_) told[roster->sum] = roster;
             if (told == known_ && !told.empty()) return;
             known_ = std::move(told);
         }
-        std::map<std::string, std::string> foyers;
-        for (const auto& [_, roster] : known_) foyers.insert(roster->foyers.begin(), roster->foyers.end());
+        std::map<std::string, std::string> proxies;
+        for (const auto& [_, roster] : known_) proxies.insert(roster->proxies.begin(), roster->proxies.end());
         std::vector<std::string> names;
-        for (const auto& [name, _] : foyers) names.push_back(name);
+        for (const auto& [name, _] : proxies) names.push_back(name);
         watching_.clear();
         std::set<std::string> wanted;
-        for (const auto& name : company::watched(std::move(names), name_))
-            wanted.insert(watching_[name] = foyers.at(name));
+        for (const auto& name : hashing::watched(std::move(names), name_))
+            wanted.insert(watching_[name] = proxies.at(name));
         std::erase_if(peers_, [&](const auto& peer) {
             const bool drop = !wanted.contains(peer.first);
             if (drop) peer.second->stop();
@@ -214,12 +215,12 @@
         }
     }
 
-    static Task<> watch(std::shared_ptr<HollowFoyer> self) {
+    static Task<> watch(std::shared_ptr<HollowProxy> self) {
         while (!self->left_) {
-            co_await sleep(self->room_.told.at("heartbeat_ms").get<Nanos>() * ms);
-            auto digest = self->board_.digest();
+            co_await sleep(self->room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
+            auto digest = self->cache_.digest();
             digest["sure"] = self->confidence_.sure();
-            if (self->confidence_.waited(self->board_.version() > 0, now())) self->tell(digest);
+            if (self->confidence_.waited(self->cache_.version() > 0, now())) self->tell(digest);
             for (const auto& [_, address] : self->watching_)
                 if (const auto peer = self->peers_.find(address); peer != self->peers_.end())
                     if (const auto link = peer->second->link()) self->send(*link, digest);
@@ -229,53 +230,53 @@
     Room& room_;
     const std::string name_, ip_;
     const std::uint64_t life_ = room_.chance() >> 12;
-    std::shared_ptr<Link::Owner> owner_;
+    std::shared_ptr<PeerConnection::Owner> owner_;
     std::unique_ptr<tcp::acceptor> door_;
     std::map<std::string, std::shared_ptr<Dialer>> dialers_, peers_;
-    std::map<std::string, std::shared_ptr<const Roster>> rosters_;  // by prompter
+    std::map<std::string, std::shared_ptr<const Roster>> rosters_;  // by control node
     std::map<std::uint64_t, std::shared_ptr<const Roster>> known_;  // by sum
-    callboard::Confidence confidence_;
-    std::map<std::string, std::string> watching_;  // foyers and addresses
-    std::vector<std::weak_ptr<Link>> links_;
+    subscription::QuorumContact confidence_;
+    std::map<std::string, std::string> watching_;  // proxies and addresses
+    std::vector<std::weak_ptr<PeerConnection>> links_;
     bool ready_ = false, rolloutsKnown_ = false, left_ = false, configurationNew_ = false;
-    callboard::Callboard board_{{[this](const std::string&) { configurationNew_ = true; },
-                                 [this](const std::string&) { rolloutsKnown_ = true; },
-                                 [this](const troupe::Event& event) {
-                                     if (ready_ && (event.gone || event.member.draining))
-                                         fact("pod", {{"name", name_}, {"id", event.member.id}});
-                                 }}};
+    subscription::ConfigurationCache cache_{{[this](const std::string&) { configurationNew_ = true; },
+                                             [this](const std::string&) { rolloutsKnown_ = true; },
+                                             [this](const discovery::EndpointEvent& event) {
+                                                 if (ready_ && (event.gone || event.member.draining))
+                                                     fact("pod", {{"name", name_}, {"id", event.member.id}});
+                                             }}};
 };
 
 Task<> tallies(Room& room) {
     for (;;) {
-        co_await sleep(tallyEvery);
+        co_await sleep(kTallyEvery);
         fact("tally", {{"heard", room.tally.heard}, {"sent", room.tally.sent}});
     }
 }
 
-using Foyers = std::map<std::string, std::pair<std::int64_t, std::shared_ptr<HollowFoyer>>>;
+using Proxies = std::map<std::string, std::pair<std::int64_t, std::shared_ptr<HollowProxy>>>;
 
-Task<> restart(Room& room, Foyers& foyers, std::string name) {
-    const auto at = foyers.find(name);
-    if (at == foyers.end()) co_return;
+Task<> restart(Room& room, Proxies& proxies, std::string name) {
+    const auto at = proxies.find(name);
+    if (at == proxies.end()) co_return;
     at->second.second->leave();
-    co_await sleep(awayFor);
-    at->second.second = std::make_shared<HollowFoyer>(room, at->second.first);
+    co_await sleep(kAwayFor);
+    at->second.second = std::make_shared<HollowProxy>(room, at->second.first);
     at->second.second->open();
 }
 
-Task<> orders(Room& room, Foyers& foyers) {
+Task<> orders(Room& room, Proxies& proxies) {
     asio::posix::stream_descriptor in(room.io, dup(STDIN_FILENO));
     asio::streambuf buffer;
     for (;;) {
-        Code code;
-        co_await asio::async_read_until(in, buffer, '\n', told(code));
+        ErrorCode code;
+        co_await asio::async_read_until(in, buffer, '\n', withErrorCode(code));
         if (code) break;
         std::istream stream(&buffer);
         std::string word, name;
         stream >> word >> name;
         stream.ignore(1);
-        if (word == "restart") start(room.io, "restart", restart(room, foyers, name));
+        if (word == "restart") start(room.io, "restart", restart(room, proxies, name));
     }
     room.io.stop();
 }
@@ -292,18 +293,18 @@
     openLog("hollow-from-" + told.at("first").dump());
     asio::io_context io{1};
     Room room{io, told, {}};
-    Foyers foyers;
+    Proxies proxies;
     const auto first = told.at("first").get<std::int64_t>();
     for (auto n = first; n < first + told.at("count").get<std::int64_t>(); ++n) {
-        auto foyer = std::make_shared<HollowFoyer>(room, n);
-        foyer->open();
-        foyers[hollowName(n)] = {n, foyer};
+        auto proxy = std::make_shared<HollowProxy>(room, n);
+        proxy->open();
+        proxies[hollowName(n)] = {n, proxy};
     }
     start(io, "tally", tallies(room));
-    start(io, "orders", orders(room, foyers));
+    start(io, "orders", orders(room, proxies));
     io.run();
     std::fflush(stderr);
     _exit(0);  // what is left open ends with the process
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/measure.cpp
+++ b/src/scale_test/measure.cpp
@@ -16,12 +16,12 @@
 #include <filesystem>
 #include <fstream>
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 namespace {
 
 namespace fs = std::filesystem;
 
-constexpr std::uint32_t established = 1u << 1;
+constexpr std::uint32_t kEstablished = 1u << 1;
 
 std::string text(const __be32* address, __be16 port) {
     char buffer[INET_ADDRSTRLEN] = "";
@@ -59,7 +59,7 @@
     request.ask.sdiag_family = AF_INET;
     request.ask.sdiag_protocol = IPPROTO_TCP;
     request.ask.idiag_ext = 1u << (INET_DIAG_INFO - 1);
-    request.ask.idiag_states = established;
+    request.ask.idiag_states = kEstablished;
     bool more = send(link, &request, sizeof request, 0) == sizeof request;
     std::vector<char> buffer(1 << 17);
     while (more) {
@@ -155,4 +155,4 @@
     return all;
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/measure.hpp
+++ b/src/scale_test/measure.hpp
@@ -10,7 +10,7 @@
 
 #include "state.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
 // One TCP connection's end.
 struct Socket {
@@ -59,4 +59,4 @@
                                       const std::map<std::string, std::string>& roles) const;
 };
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/platform.cpp
+++ b/src/scale_test/platform.cpp
@@ -7,13 +7,13 @@
 
 #include "text.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
-using namespace wings;
+using namespace transport;
 namespace http = boost::beast::http;
 using Json = nlohmann::json;
 
-Platform::Platform(asio::io_context& io, const Plan& plan)
+Platform::Platform(asio::io_context& io, const ScenarioConfig& plan)
     : io_(io), plan_(plan), door_(listen(io, "127.0.0.1:0")), left_(static_cast<double>(plan.calls)) {
     while (made_ < plan_.pods) pods_.push_back(pod(plan_, made_++));
     start(io_, "platform", accept());
@@ -63,8 +63,8 @@
 
 Task<> Platform::accept() {
     while (door_.is_open()) {
-        Code code;
-        auto socket = co_await door_.async_accept(told(code));
+        ErrorCode code;
+        auto socket = co_await door_.async_accept(withErrorCode(code));
         if (code) co_return;
         start(io_, "platform", serve(std::move(socket)));
     }
@@ -74,8 +74,8 @@
     beast::flat_buffer buffer;
     for (;;) {
         http::request<http::empty_body> request;
-        Code code;
-        co_await http::async_read(socket, buffer, request, told(code));
+        ErrorCode code;
+        co_await http::async_read(socket, buffer, request, withErrorCode(code));
         if (code) co_return;
         ++calls;
         http::response<http::string_body> response(http::status::ok, 11);
@@ -89,9 +89,9 @@
         response.keep_alive(request.keep_alive());
         response.prepare_payload();
         bytes += response.body().size();
-        co_await http::async_write(socket, response, told(code));
+        co_await http::async_write(socket, response, withErrorCode(code));
         if (code || !response.keep_alive()) co_return;
     }
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/platform.hpp
+++ b/src/scale_test/platform.hpp
@@ -9,11 +9,11 @@
 #include "scale_test/scenario_config.hpp"
 #include "transport/event_loop.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
 class Platform {
   public:
-    Platform(wings::asio::io_context& io, const Plan& plan);
+    Platform(transport::asio::io_context& io, const ScenarioConfig& plan);
     std::string address() const;
 
     // The oldest ready pod is said to be draining, the one that drained two changes ago is gone, another is
@@ -24,19 +24,19 @@
     std::vector<Nanos> wholes;  // when a list's last page was handed out
 
   private:
-    wings::Task<> accept();
-    wings::Task<> serve(wings::tcp::socket socket);
+    transport::Task<> accept();
+    transport::Task<> serve(transport::tcp::socket socket);
     std::string page(std::size_t from);  // the body
     bool allowed();
 
-    wings::asio::io_context& io_;
-    const Plan plan_;
-    wings::tcp::acceptor door_;
-    std::deque<troupe::Member> pods_;
+    transport::asio::io_context& io_;
+    const ScenarioConfig plan_;
+    transport::tcp::acceptor door_;
+    std::deque<discovery::Endpoint> pods_;
     std::int64_t made_ = 0;
     std::size_t draining_ = 0;  // the first so many
     double left_;
-    Nanos filled_ = wings::now();
+    Nanos filled_ = transport::now();
 };
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/report.cpp
+++ b/src/scale_test/report.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <cstdio>
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
 using Json = nlohmann::json;
 
@@ -40,4 +40,4 @@
     return all + "\n";
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/scale_test.cpp
+++ b/src/scale_test/scale_test.cpp
@@ -26,20 +26,20 @@
 #include "scale_test/report.hpp"
 #include "scale_test/sizes.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 namespace {
 
-using namespace wings;
+using namespace transport;
 namespace http = boost::beast::http;
 using Json = nlohmann::json;
 
-constexpr Nanos look = 10 * ms;  // between two looks at whether something has come about
-constexpr Nanos pause = 200 * ms, callWithin = 20 * second;
-constexpr Nanos forceWithin = 30 * second;  // a change that is not everywhere by then has not come
-constexpr Nanos downFor = 5 * second;       // a prompter that is lost
-constexpr std::int64_t processesAtMost = 200;
-constexpr int heartbeat = 1500;                    // ms
-constexpr int portsFrom = 20000, portsTo = 32000;  // below those that the kernel gives to connections
+constexpr Nanos kLook = 10 * kMillisecond;  // between two looks at whether something has come about
+constexpr Nanos kPause = 200 * kMillisecond, kCallWithin = 20 * kSecond;
+constexpr Nanos kForceWithin = 30 * kSecond;  // a change that is not everywhere by then has not come
+constexpr Nanos kDownFor = 5 * kSecond;       // a control node that is lost
+constexpr std::int64_t kProcessesAtMost = 200;
+constexpr int kHeartbeat = 1500;                     // ms
+constexpr int kPortsFrom = 20000, kPortsTo = 32000;  // below those that the kernel gives to connections
 
 struct Process {
     pid_t id = -1;
@@ -51,7 +51,7 @@
 
 class Scale {
   public:
-    Scale(const Plan& plan, std::string program)
+    Scale(const ScenarioConfig& plan, std::string program)
         : plan_(plan), program_(std::move(program)), platform_(io_, plan) {
         checkRoom();
         auto made = (std::filesystem::temp_directory_path() / "scale-XXXXXX").string();
@@ -95,21 +95,21 @@
         if (plan_.descriptors() > most)
             throw std::runtime_error("foyers_per_process: a process may hold " + std::to_string(most) +
                                      " descriptors and would need " + std::to_string(plan_.descriptors()));
-        if (plan_.foyers + plan_.realFoyers + 200 > most)
+        if (plan_.proxies + plan_.realProxies + 200 > most)
             throw std::runtime_error("foyers: a prompter may hold " + std::to_string(most) + " descriptors");
-        if (plan_.processes() + plan_.prompters + plan_.realFoyers > processesAtMost)
-            throw std::runtime_error("foyers_per_process: over " + std::to_string(processesAtMost) +
+        if (plan_.processes() + plan_.controlNodes + plan_.realProxies > kProcessesAtMost)
+            throw std::runtime_error("foyers_per_process: over " + std::to_string(kProcessesAtMost) +
                                      " processes");
     }
 
     int freePorts() const {
-        for (int at = portsFrom + static_cast<int>(getpid()) * 8 % (portsTo - portsFrom), tried = 0;
-             tried < 500; ++tried, at = at + 8 < portsTo ? at + 8 : portsFrom) {
+        for (int at = kPortsFrom + static_cast<int>(getpid()) * 8 % (kPortsTo - kPortsFrom), tried = 0;
+             tried < 500; ++tried, at = at + 8 < kPortsTo ? at + 8 : kPortsFrom) {
             asio::io_context io;
             bool free = true;
             for (int one = at; one < at + 4 && free; ++one) {
                 tcp::acceptor door(io);
-                Code code;
+                ErrorCode code;
                 door.open(tcp::v4(), code);
                 door.bind({tcp::v4(), static_cast<unsigned short>(one)}, code);
                 free = !code;
@@ -126,24 +126,24 @@
 
     // ---- Processes. ----
 
-    std::string prompterAt(std::int64_t n, int port) const {
+    std::string controlNodeAt(std::int64_t n, int port) const {
         return "127.71.0." + std::to_string(n + 1) + ":" + std::to_string(port_ + port);
     }
-    static std::string prompterName(std::int64_t n) { return "prompter-" + std::to_string(n + 1); }
-    std::string foyerAt(std::int64_t n, int port) const {
+    static std::string controlNodeName(std::int64_t n) { return "prompter-" + std::to_string(n + 1); }
+    std::string proxyAt(std::int64_t n, int port) const {
         return "127.72.0." + std::to_string(n + 1) + ":" + std::to_string(port_ + port);
     }
 
     std::string settings(const std::string& name, bool core, std::int64_t n, bool bootstrap) {
-        const auto ip = hostOf(core ? prompterAt(n, 0) : foyerAt(n, 0));
+        const auto ip = hostOf(core ? controlNodeAt(n, 0) : proxyAt(n, 0));
         const auto disk = folder_ + "/" + name;
         if (core) std::filesystem::create_directories(disk);
         Json seeds = Json::array(), zones = Json::object();
-        for (std::int64_t seed = 0; seed < std::min<std::int64_t>(plan_.prompters, 3); ++seed)
-            seeds.push_back(prompterAt(seed, 1));
+        for (std::int64_t seed = 0; seed < std::min<std::int64_t>(plan_.controlNodes, 3); ++seed)
+            seeds.push_back(controlNodeAt(seed, 1));
         for (std::int64_t zone = 0; zone < plan_.zones; ++zone) zones[zoneName(zone)] = "region";
-        Json listens = core ? Json{{"control_plane", prompterAt(n, 1)}}
-                            : Json{{"front_http", foyerAt(n, 2)}, {"readiness", foyerAt(n, 3)}};
+        Json listens = core ? Json{{"control_plane", controlNodeAt(n, 1)}}
+                            : Json{{"front_http", proxyAt(n, 2)}, {"readiness", proxyAt(n, 3)}};
         const Json told{
             {"node_name", name},
             {"role", core ? "prompter" : "foyer"},
@@ -160,8 +160,8 @@
             {"quorum_member", core},
             {"limits", {{"disk_mb", core ? 256 : 0}, {"memory_mb", 256}}},
             {"data_dir", core ? Json(disk) : Json(nullptr)},
-            {"heartbeat", std::to_string(heartbeat) + "ms"},
-            {"fault_tolerance", {{"machines", (plan_.prompters - 1) / 2}, {"zones", 0}, {"regions", 0}}},
+            {"heartbeat", std::to_string(kHeartbeat) + "ms"},
+            {"fault_tolerance", {{"machines", (plan_.controlNodes - 1) / 2}, {"zones", 0}, {"regions", 0}}},
             {"cloud_api", {{"address", platform_.address()}, {"rate_per_s", plan_.calls}}}};
         const auto path = folder_ + "/" + name + ".json";
         std::ofstream(path) << told.dump();
@@ -204,31 +204,31 @@
     }
 
     void launchAll() {
-        for (std::int64_t n = 0; n < plan_.prompters; ++n)
-            launch(prompterName(n), "prompter", {"prompter"}, settings(prompterName(n), true, n, true));
-        for (std::int64_t n = 0; n < plan_.realFoyers; ++n) {
+        for (std::int64_t n = 0; n < plan_.controlNodes; ++n)
+            launch(controlNodeName(n), "prompter", {"prompter"}, settings(controlNodeName(n), true, n, true));
+        for (std::int64_t n = 0; n < plan_.realProxies; ++n) {
             const auto name = "foyer-" + std::to_string(n + 1);
             launch(name, "foyer", {"foyer"}, settings(name, false, n, true));
         }
         Json seeds = Json::array();
-        for (std::int64_t seed = 0; seed < std::min<std::int64_t>(plan_.prompters, 3); ++seed)
-            seeds.push_back(prompterAt(seed, 0));
-        for (std::int64_t first = 0; first < plan_.foyers; first += plan_.perProcess) {
+        for (std::int64_t seed = 0; seed < std::min<std::int64_t>(plan_.controlNodes, 3); ++seed)
+            seeds.push_back(controlNodeAt(seed, 0));
+        for (std::int64_t first = 0; first < plan_.proxies; first += plan_.perProcess) {
             const Json told{{"first", first},
-                            {"count", std::min(plan_.perProcess, plan_.foyers - first)},
+                            {"count", std::min(plan_.perProcess, plan_.proxies - first)},
                             {"port", port_},
                             {"seeds", seeds},
-                            {"heartbeat_ms", heartbeat}};
+                            {"heartbeat_ms", kHeartbeat}};
             launch("hollow-from-" + std::to_string(first), "hollow", {"rehearse", "hollow", told.dump()}, "");
         }
     }
 
-    // What processes say: facts of hollow foyers, log records of all.
+    // What processes say: facts of hollow proxies, log records of all.
     Task<> lines(std::string name, asio::posix::stream_descriptor* out) {
         asio::streambuf buffer;
         for (;;) {
-            Code code;
-            co_await asio::async_read_until(*out, buffer, '\n', told(code));
+            ErrorCode code;
+            co_await asio::async_read_until(*out, buffer, '\n', withErrorCode(code));
             if (code) co_return;
             std::istream stream(&buffer);
             std::string line;
@@ -263,22 +263,22 @@
         else if (fact == "link") links_[told.at("to").get<std::string>()].erase(name), ++ended_;
     }
 
-    // ---- The operator, and real foyers asked for a route. ----
+    // ---- The operator, and real proxies asked for a route. ----
 
     Task<int> call(std::string address, http::request<http::string_body> request) {
         beast::tcp_stream stream(io_);
-        stream.expires_after(span(callWithin));
-        Code code;
-        co_await stream.async_connect(endpoint(address), told(code));
+        stream.expires_after(span(kCallWithin));
+        ErrorCode code;
+        co_await stream.async_connect(endpoint(address), withErrorCode(code));
         if (code) co_return 0;
         request.set(http::field::host, request[http::field::host].empty() ? beast::string_view(address)
                                                                           : request[http::field::host]);
         request.prepare_payload();
-        co_await http::async_write(stream, request, told(code));
+        co_await http::async_write(stream, request, withErrorCode(code));
         if (code) co_return 0;
         beast::flat_buffer buffer;
         http::response<http::string_body> response;
-        co_await http::async_read(stream, buffer, response, told(code));
+        co_await http::async_read(stream, buffer, response, withErrorCode(code));
         co_return code ? 0 : static_cast<int>(response.result_int());
     }
 
@@ -290,28 +290,28 @@
             http::request<http::string_body> request(http::verb::post, "/api/rpc?call=config.replace", 11);
             request.set(http::field::content_type, "application/json");
             request.body() = body;
-            const auto status = co_await call(prompterAt(n % plan_.prompters, 1), std::move(request));
+            const auto status = co_await call(controlNodeAt(n % plan_.controlNodes, 1), std::move(request));
             if (status == 200) co_return;
             if (status >= 400 && status < 500)
                 throw std::runtime_error("a configuration was refused: " + std::to_string(status));
             ++resent_;
-            co_await sleep(pause);
+            co_await sleep(kPause);
         }
     }
 
     Task<> askRoute(std::int64_t n, std::int64_t change, std::vector<Nanos>* into, int* open) {
-        const Nanos end = now() + forceWithin;
+        const Nanos end = now() + kForceWithin;
         while (now() < end) {
             http::request<http::string_body> request(http::verb::get, changedPath(change) + "x", 11);
-            request.set(http::field::host, changedHost);
+            request.set(http::field::host, kChangedHost);
             request.set("X-Attempt-Id", "a" + std::to_string(n) + "." + std::to_string(now()));
             request.set("X-Deadline-Ms", "200");
-            const auto status = co_await call(foyerAt(n, 2), std::move(request));
+            const auto status = co_await call(proxyAt(n, 2), std::move(request));
             if (status != 0 && status != 404) {
                 into->push_back(now());
                 break;
             }
-            co_await sleep(look);
+            co_await sleep(kLook);
         }
         --*open;
     }
@@ -323,7 +323,7 @@
         const Nanos end = now() + within;
         while (!done()) {
             if (now() > end) co_return false;
-            co_await sleep(look);
+            co_await sleep(kLook);
         }
         co_return true;
     }
@@ -369,7 +369,7 @@
         std::uint64_t hollowMemory = 0;
         double busiest = 0;
         Json busiestRow;
-        std::vector<std::vector<Json>> foyerRows;
+        std::vector<std::vector<Json>> proxyRows;
         for (const auto& [name, process] : processes_) {
             const auto at = reading.costs.find(name);
             if (at == reading.costs.end()) continue;
@@ -418,12 +418,12 @@
                                   megabytes(cost.memory),
                                   megabytes(cost.peak)};
             if (process.role == "prompter" && share >= busiest) busiest = share, busiestRow = row;
-            if (process.role == "foyer" && foyerRows.empty()) foyerRows.push_back(row);
+            if (process.role == "foyer" && proxyRows.empty()) proxyRows.push_back(row);
         }
-        const auto each = [&](double value) { return value / span / static_cast<double>(plan_.foyers); };
+        const auto each = [&](double value) { return value / span / static_cast<double>(plan_.proxies); };
         Json line{{"phase", phase},
                   {"role", "hollow"},
-                  {"foyers", plan_.foyers},
+                  {"foyers", plan_.proxies},
                   {"seconds", seconds(reading.at - from.reading.at)},
                   {"cpu_s", static_cast<double>(hollowCpu) / 1e9},
                   {"memory_mb", megabytes(hollowMemory)},
@@ -437,7 +437,7 @@
             const auto out =
                 static_cast<double>(messages(tallies, "sent", role) - messages(from.tallies, "sent", role));
             line["each"][kind] = {
-                {"connections", static_cast<double>(flow.open) / static_cast<double>(plan_.foyers)},
+                {"connections", static_cast<double>(flow.open) / static_cast<double>(plan_.proxies)},
                 {"in_kb_s", each(static_cast<double>(flow.in)) / 1e3},
                 {"out_kb_s", each(static_cast<double>(flow.out)) / 1e3},
                 {"messages_in_s", each(in)},
@@ -447,11 +447,11 @@
         }
         print(line);
         if (!busiestRow.is_null()) costs_.push_back(busiestRow.get<std::vector<Json>>());
-        for (auto& row : foyerRows) costs_.push_back(std::move(row));
+        for (auto& row : proxyRows) costs_.push_back(std::move(row));
         costs_.push_back({phase + ", hollow foyer (mean)", nullptr, each(static_cast<double>(sum.in)) / 1e3,
                           each(static_cast<double>(sum.out)) / 1e3, each(heard), each(sent),
-                          static_cast<double>(sum.open) / static_cast<double>(plan_.foyers),
-                          megabytes(hollowMemory) / static_cast<double>(plan_.foyers), nullptr});
+                          static_cast<double>(sum.open) / static_cast<double>(plan_.proxies),
+                          megabytes(hollowMemory) / static_cast<double>(plan_.proxies), nullptr});
     }
 
     void time(const std::string& what, Json about) {
@@ -480,8 +480,8 @@
 
     // ---- The run. ----
 
-    // When each foyer held a version of at least `version`, if it did.
-    std::vector<Nanos> heldAt(std::int64_t version, Nanos from) const {
+    // When each proxy held a version of at least `version`, if it did.
+    std::vector<Nanos> reportedAt(std::int64_t version, Nanos from) const {
         std::vector<Nanos> all;
         for (const auto& [_, versions] : applied_)
             for (const auto& [at, held] : versions)
@@ -499,13 +499,13 @@
         launchAll();
         co_await replace(0);
         const Nanos acknowledged = now();
-        const auto all = static_cast<std::size_t>(plan_.foyers + plan_.realFoyers);
-        const bool came = co_await until([&] { return ready_.size() >= all; }, plan_.limit * second);
+        const auto all = static_cast<std::size_t>(plan_.proxies + plan_.realProxies);
+        const bool came = co_await until([&] { return ready_.size() >= all; }, plan_.limit * kSecond);
         std::vector<Nanos> times;
         for (const auto& [_, at] : ready_) times.push_back(at.front() - began);
         time("start until ready", {{"spread", spread(times)},
                                    {"missing", all - times.size()},
-                                   {"acknowledged_ms", (acknowledged - began) / ms},
+                                   {"acknowledged_ms", (acknowledged - began) / kMillisecond},
                                    {"body_bytes", bodyBytes_},
                                    {"links_ended", ended_}});
         report("start", nothing, mark());
@@ -523,27 +523,27 @@
             const Nanos sent = now();
             co_await replace(change);
             asked.emplace_back(sent, now());
-            for (std::int64_t n = 0; n < plan_.realFoyers; ++n)
+            for (std::int64_t n = 0; n < plan_.realProxies; ++n)
                 ++open, start(io_, "route",
                               askRoute(n, change, &real[static_cast<std::size_t>(change - 1)], &open));
-            const Nanos next = began + change * plan_.changeEvery * ms;
+            const Nanos next = began + change * plan_.changeEvery * kMillisecond;
             if (now() < next) co_await sleep(next - now());
         }
         co_await until(
             [&] {
-                return heldAt(1 + plan_.changes, 0).size() >= static_cast<std::size_t>(plan_.foyers) &&
+                return reportedAt(1 + plan_.changes, 0).size() >= static_cast<std::size_t>(plan_.proxies) &&
                        open == 0;
             },
-            forceWithin);
+            kForceWithin);
         const auto to = mark();
         std::vector<Nanos> acknowledgements, lasts, medians, reals;
         std::int64_t missing = 0;
         for (std::int64_t change = 1; change <= plan_.changes; ++change) {
             const auto& [sent, acknowledged] = asked[static_cast<std::size_t>(change - 1)];
             acknowledgements.push_back(acknowledged - sent);
-            auto held = heldAt(1 + change, acknowledged);
+            auto held = reportedAt(1 + change, acknowledged);
             std::sort(held.begin(), held.end());
-            if (held.size() < static_cast<std::size_t>(plan_.foyers)) ++missing;
+            if (held.size() < static_cast<std::size_t>(plan_.proxies)) ++missing;
             else lasts.push_back(held.back()), medians.push_back(held[held.size() / 2]);
             for (const auto at : real[static_cast<std::size_t>(change - 1)])
                 reals.push_back(at - acknowledged);
@@ -555,16 +555,16 @@
              {{"spread", spread(lasts)}, {"missing", missing}});
         time("change acknowledged until served by a real foyer",
              {{"spread", spread(reals)},
-              {"missing", plan_.changes * plan_.realFoyers - static_cast<std::int64_t>(reals.size())}});
+              {"missing", plan_.changes * plan_.realProxies - static_cast<std::int64_t>(reals.size())}});
         report("changes", from, to);
     }
 
-    // Until the draining of a pod is known to the last foyer; 0 where it does not get there.
+    // Until the draining of a pod is known to the last proxy; 0 where it does not get there.
     Task<Nanos> podChange() {
         const auto id = platform_.change();
         const Nanos at = now();
         const bool came = co_await until(
-            [&] { return pods_[id].size() >= static_cast<std::size_t>(plan_.foyers); }, forceWithin);
+            [&] { return pods_[id].size() >= static_cast<std::size_t>(plan_.proxies); }, kForceWithin);
         Nanos last = 0;
         for (const auto& [_, heard] : pods_[id]) last = std::max(last, heard - at);
         co_return came ? last : 0;
@@ -582,9 +582,9 @@
                 if (last > 0) into.push_back(last);
                 --left;
             }(*this, lasts, open));
-            co_await sleep(plan_.podEvery * ms);
+            co_await sleep(plan_.podEvery * kMillisecond);
         }
-        co_await until([&] { return open == 0; }, forceWithin + second);
+        co_await until([&] { return open == 0; }, kForceWithin + kSecond);
         time("pod draining until known to the last foyer",
              {{"spread", spread(lasts)},
               {"missing", plan_.podChanges - static_cast<std::int64_t>(lasts.size())}});
@@ -601,22 +601,22 @@
         std::vector<std::pair<std::string, Nanos>> asked;
         std::map<std::string, std::size_t> before;
         for (std::int64_t n = 0; n < plan_.restarts; ++n) {
-            const auto foyer = (n * 7919 + plan_.seed) % plan_.foyers;
-            const auto name = hollowName(foyer);
+            const auto proxy = (n * 7919 + plan_.seed) % plan_.proxies;
+            const auto name = hollowName(proxy);
             if (before.emplace(name, ready_[name].size()).second) {
                 asked.emplace_back(name, now());
                 const auto line = "restart " + name + "\n";
-                Code code;
+                ErrorCode code;
                 co_await asio::async_write(
                     *processes_
-                         .at("hollow-from-" + std::to_string(foyer / plan_.perProcess * plan_.perProcess))
+                         .at("hollow-from-" + std::to_string(proxy / plan_.perProcess * plan_.perProcess))
                          .in,
-                    asio::buffer(line), told(code));
+                    asio::buffer(line), withErrorCode(code));
             }
-            co_await sleep(plan_.restartEvery * ms);
+            co_await sleep(plan_.restartEvery * kMillisecond);
         }
         const auto back = [&](const auto& one) { return ready_[one.first].size() > before[one.first]; };
-        co_await until([&] { return std::all_of(asked.begin(), asked.end(), back); }, forceWithin);
+        co_await until([&] { return std::all_of(asked.begin(), asked.end(), back); }, kForceWithin);
         std::vector<Nanos> times;
         for (const auto& one : asked)
             if (back(one)) times.push_back(ready_[one.first].back() - one.second);
@@ -625,12 +625,12 @@
         report("restarts", from, mark());
     }
 
-    // The prompter that follows the platform's list.
+    // The control node that follows the platform's list.
     std::int64_t onDuty(const Mark& from, const Mark& to) const {
         std::int64_t most = 0;
         std::uint64_t bytes = 0;
-        for (std::int64_t n = 0; n < plan_.prompters; ++n) {
-            const auto flows = to.reading.flows(from.reading, prompterName(n), roles());
+        for (std::int64_t n = 0; n < plan_.controlNodes; ++n) {
+            const auto flows = to.reading.flows(from.reading, controlNodeName(n), roles());
             if (const auto flow = flows.find("outside"); flow != flows.end() && flow->second.in > bytes)
                 bytes = flow->second.in, most = n;
         }
@@ -640,37 +640,39 @@
     Task<> phaseLoss(std::int64_t lost) {
         const auto from = mark();
         const auto ended = ended_;
-        stop(processes_.at(prompterName(lost)));
+        stop(processes_.at(controlNodeName(lost)));
         const Nanos at = now();
         const auto lists = platform_.wholes.size();
-        co_await until([&] { return platform_.wholes.size() > lists; }, forceWithin);
+        co_await until([&] { return platform_.wholes.size() > lists; }, kForceWithin);
         const Nanos list = platform_.wholes.size() > lists ? platform_.wholes.back() - at : 0;
         const auto known = co_await podChange();
         const Nanos knownAt = now() - at;
         co_await replace(plan_.changes + 1);
         const Nanos acknowledged = now();
         co_await until(
-            [&] { return heldAt(2 + plan_.changes, 0).size() >= static_cast<std::size_t>(plan_.foyers); },
-            forceWithin);
-        auto held = heldAt(2 + plan_.changes, acknowledged);
-        if (now() - at < downFor) co_await sleep(at + downFor - now());
+            [&] {
+                return reportedAt(2 + plan_.changes, 0).size() >= static_cast<std::size_t>(plan_.proxies);
+            },
+            kForceWithin);
+        auto held = reportedAt(2 + plan_.changes, acknowledged);
+        if (now() - at < kDownFor) co_await sleep(at + kDownFor - now());
         const auto lostEnds = ended_ - ended;
         const auto middle = mark();
-        const auto name = prompterName(lost);
+        const auto name = controlNodeName(lost);
         const Nanos back = now();
         launch(name, "prompter", {"prompter"}, settings(name, true, lost, false));
         const bool joined = co_await until(
-            [&] { return links_[prompterAt(lost, 0)].size() >= static_cast<std::size_t>(plan_.foyers); },
-            forceWithin);
+            [&] { return links_[controlNodeAt(lost, 0)].size() >= static_cast<std::size_t>(plan_.proxies); },
+            kForceWithin);
         const Nanos linked = now() - back;
-        co_await sleep(plan_.settle * ms);
+        co_await sleep(plan_.settle * kMillisecond);
         time("prompter on duty lost until the next whole list",
              {{"spread", list > 0 ? spread({list}) : Json()}});
         time("pod draining after that, until known to the last foyer",
-             {{"spread", known > 0 ? spread({known}) : Json()}, {"known_after_ms", knownAt / ms}});
+             {{"spread", known > 0 ? spread({known}) : Json()}, {"known_after_ms", knownAt / kMillisecond}});
         time("change acknowledged without it until at the last foyer",
              {{"spread", held.empty() ? Json() : spread({*std::max_element(held.begin(), held.end())})},
-              {"missing", plan_.foyers - static_cast<std::int64_t>(held.size())}});
+              {"missing", plan_.proxies - static_cast<std::int64_t>(held.size())}});
         time("prompter back until linked to all", {{"spread", joined ? spread({linked}) : Json()},
                                                    {"links_ended_by_loss", lostEnds},
                                                    {"links_ended_by_return", ended_ - ended - lostEnds}});
@@ -681,10 +683,10 @@
     Task<> phases() {
         co_await phaseStart();
         phase_ = "steady";
-        co_await sleep(plan_.settle * ms);
+        co_await sleep(plan_.settle * kMillisecond);
         const auto from = mark();
         const auto ended = ended_;
-        co_await sleep(plan_.steady * ms);
+        co_await sleep(plan_.steady * kMillisecond);
         const auto to = mark();
         if (plan_.steady > 0) report("steady", from, to);
         print({{"phase", "steady"}, {"links_ended", ended_ - ended}, {"list_calls", platform_.calls}});
@@ -709,7 +711,7 @@
     }
 
     Task<> limit() {
-        co_await sleep(plan_.limit * second);
+        co_await sleep(plan_.limit * kSecond);
         why_ = phase_ + ": over limit_s";
         io_.stop();
     }
@@ -725,20 +727,20 @@
                 why_ = phase_ + ": over half of the machine's memory";
                 io_.stop();
             }
-            co_await sleep(second / 2);
+            co_await sleep(kSecond / 2);
         }
     }
 
-    const Plan plan_;
+    const ScenarioConfig plan_;
     std::string program_, folder_;
     asio::io_context io_{1};
     Platform platform_;
     int port_ = 0;
     std::map<std::string, Process> processes_;
-    std::map<std::string, std::vector<Nanos>> ready_;  // by foyer, one a life
+    std::map<std::string, std::vector<Nanos>> ready_;  // by proxy, one a life
     std::map<std::string, std::vector<std::pair<Nanos, std::int64_t>>> applied_;
-    std::map<std::string, std::map<std::string, Nanos>> pods_;  // draining or gone: by id and foyer
-    std::map<std::string, std::set<std::string>> links_;        // open, by prompter
+    std::map<std::string, std::map<std::string, Nanos>> pods_;  // draining or gone: by id and proxy
+    std::map<std::string, std::set<std::string>> links_;        // open, by control node
     std::map<std::string, Json> tallies_;
     std::map<std::string, std::map<std::string, std::int64_t>> logs_;  // records by role and event
     std::uint64_t ended_ = 0, resent_ = 0, most_ = 0;
@@ -751,6 +753,6 @@
 
 }  // namespace
 
-bool scale(const Plan& plan, const std::string& program) { return Scale(plan, program).run(); }
+bool scale(const ScenarioConfig& plan, const std::string& program) { return Scale(plan, program).run(); }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/scenario_config.cpp
+++ b/src/scale_test/scenario_config.cpp
@@ -6,12 +6,12 @@
 #include "hashing/rendezvous.hpp"
 #include "text.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 namespace {
 
 using Json = nlohmann::json;
 
-constexpr std::int64_t watchedBy = 12;  // more than any foyer of some thousands is watched by
+constexpr std::int64_t kWatchedBy = 12;  // more than any proxy of some thousands is watched by
 
 std::int64_t checked(const std::string& name, const std::string& text, std::int64_t least,
                      std::int64_t most) {
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-void Plan::set(const std::string& name, const std::string& value) {
+void ScenarioConfig::set(const std::string& name, const std::string& value) {
 #define X(member, key, otherwise, least, most)                    \
     if (name == key) {                                            \
         member = checked(name, value, std::int64_t{least}, most); \
@@ -36,7 +36,7 @@
     throw std::runtime_error(name + ": no such setting");
 }
 
-Json Plan::describe() const {
+Json ScenarioConfig::describe() const {
     Json all = Json::object();
 #define X(member, key, otherwise, least, most) all[key] = member;
     SCALE_SETTINGS(X)
@@ -44,17 +44,19 @@
     return all;
 }
 
-Plan Plan::from(const Json& described) {
-    Plan plan;
+ScenarioConfig ScenarioConfig::from(const Json& described) {
+    ScenarioConfig plan;
     for (const auto& [name, value] : described.items()) plan.set(name, value.dump());
     return plan;
 }
 
-std::int64_t Plan::descriptors() const { return perProcess * (prompters + 3 + watchedBy + 1) + 50; }
+std::int64_t ScenarioConfig::descriptors() const {
+    return perProcess * (controlNodes + 3 + kWatchedBy + 1) + 50;
+}
 
 std::string changedPath(std::int64_t changes) { return "/added-" + std::to_string(changes) + "/"; }
 
-std::string configuration(const Plan& plan, std::int64_t changes) {
+std::string configuration(const ScenarioConfig& plan, std::int64_t changes) {
     auto resources = Json::array();
     const auto service = [&](std::int64_t n) { return "s" + std::to_string(n % plan.services); };
     const auto route = [&](const std::string& name, const std::string& host, const std::string& path,
@@ -74,12 +76,12 @@
     for (std::int64_t n = 0; n < plan.routes; ++n) {
         // Names as random as an operator's, so that they are squeezed no better.
         const auto word = std::to_string(
-            company::hash(std::to_string(plan.seed) + "route", std::to_string(n)) % 100'000'000);
+            hashing::hash(std::to_string(plan.seed) + "route", std::to_string(n)) % 100'000'000);
         route("r-" + word + std::to_string(n), "h" + std::to_string(n % 97) + ".example",
               "/" + word + std::to_string(n) + "/", service(n));
     }
     for (std::int64_t n = 1; n <= changes; ++n)
-        route("added-" + std::to_string(n), changedHost, changedPath(n), service(n));
+        route("added-" + std::to_string(n), kChangedHost, changedPath(n), service(n));
     for (std::int64_t n = 0; n < plan.services; ++n)
         resources.push_back(
             {{"resource_type", "service_table"},
@@ -92,19 +94,19 @@
                            {"max_body_bytes", 67108864},
                            {"header_timeout", "3000ms"},
                            {"idle_timeout", "15000ms"}}}});
-    return Json{{"config_version", playbill::versionText(static_cast<std::uint32_t>(1 + changes))},
+    return Json{{"config_version", config::formatVersion(static_cast<std::uint32_t>(1 + changes))},
                 {"resources", std::move(resources)}}
         .dump();
 }
 
 std::string zoneName(std::int64_t zone) { return "zone-" + std::to_string(zone + 1); }
 
-troupe::Member pod(const Plan& plan, std::int64_t n) {
+discovery::Endpoint pod(const ScenarioConfig& plan, std::int64_t n) {
     char id[32];
     std::snprintf(id, sizeof id, "i-%08llx",
                   static_cast<unsigned long long>(
-                      company::hash(std::to_string(plan.seed) + "pod", std::to_string(n)) & 0xffffffff));
-    troupe::Member made;
+                      hashing::hash(std::to_string(plan.seed) + "pod", std::to_string(n)) & 0xffffffff));
+    discovery::Endpoint made;
     made.id = std::string(id) + std::to_string(n);
     made.service = "s" + std::to_string(n % plan.services);
     made.address = "127.73." + std::to_string(n / 200 % 250) + "." + std::to_string(n % 200 + 1) + ":9";
@@ -114,4 +116,4 @@
     return made;
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/scenario_config.hpp
+++ b/src/scale_test/scenario_config.hpp
@@ -12,9 +12,9 @@
 #define SCALE_SETTINGS(X)                               \
     X(seed, "seed", 1, 0, 4294967295)                   \
     X(limit, "limit_s", 150, 1, 600)                    \
-    X(prompters, "prompters", 3, 1, 9)                  \
-    X(foyers, "foyers", 100, 1, 3000)                   \
-    X(realFoyers, "real_foyers", 2, 0, 20)              \
+    X(controlNodes, "prompters", 3, 1, 9)               \
+    X(proxies, "foyers", 100, 1, 3000)                  \
+    X(realProxies, "real_foyers", 2, 0, 20)             \
     X(perProcess, "foyers_per_process", 100, 1, 500)    \
     X(zones, "zones", 3, 1, 9)                          \
     X(services, "services", 20, 1, 1000)                \
@@ -32,9 +32,9 @@
     X(restartEvery, "restart_every_ms", 1000, 1, 60000) \
     X(loss, "loss", 0, 0, 1)
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
-struct Plan {
+struct ScenarioConfig {
 #define X(member, name, otherwise, least, most) std::int64_t member = otherwise;
     SCALE_SETTINGS(X)
 #undef X
@@ -42,22 +42,23 @@
     // Throws std::runtime_error that names the setting and what is allowed there.
     void set(const std::string& name, const std::string& value);
     nlohmann::json describe() const;  // every setting by its name in the file
-    static Plan from(const nlohmann::json& described);
+    static ScenarioConfig from(const nlohmann::json& described);
 
-    std::int64_t processes() const { return (foyers + perProcess - 1) / perProcess; }
-    // Descriptors that one hollow process holds at most: links to prompters, to and from neighbours, doors.
+    std::int64_t processes() const { return (proxies + perProcess - 1) / perProcess; }
+    // Descriptors that one hollow process holds at most: links to control nodes, to and from neighbours,
+    // doors.
     std::int64_t descriptors() const;
 };
 
 // The operator's body: `plan.routes` routes over all services, and one more for each change so far. The
 // number of the configuration is 1 + changes. The last route's path is changedPath(changes).
-std::string configuration(const Plan& plan, std::int64_t changes);
+std::string configuration(const ScenarioConfig& plan, std::int64_t changes);
 std::string changedPath(std::int64_t changes);  // "/added-3/"; the host is changedHost
-inline const std::string changedHost = "h0.example";
+inline const std::string kChangedHost = "h0.example";
 
 // The n-th pod that ever was: on a loopback address where nobody listens.
-troupe::Member pod(const Plan& plan, std::int64_t n);
+discovery::Endpoint pod(const ScenarioConfig& plan, std::int64_t n);
 
 std::string zoneName(std::int64_t zone);
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/sizes.cpp
+++ b/src/scale_test/sizes.cpp
@@ -7,10 +7,10 @@
 #include "transport/compression.hpp"
 #include "transport/event_loop.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 namespace {
 
-using namespace wings;
+using namespace transport;
 using Json = nlohmann::json;
 
 template <typename Work>
@@ -27,27 +27,27 @@
     told["pack_ms"] = millis([&] {
         std::string bytes;
         Json::to_cbor(message, bytes);
-        packed = squeeze(bytes);
+        packed = compress(bytes);
     });
     told["bytes"] = packed.size();
-    told["open_ms"] = millis([&] { [[maybe_unused]] const auto read = Json::from_cbor(unsqueeze(packed)); });
+    told["open_ms"] = millis([&] { [[maybe_unused]] const auto read = Json::from_cbor(decompress(packed)); });
     return told;
 }
 
 }  // namespace
 
-Json sizes(const Plan& plan) {
+Json sizes(const ScenarioConfig& plan) {
     Json all;
     const auto body = configuration(plan, 0);
-    std::string squeezed;
-    const auto squeezing = millis([&] { squeezed = squeeze(body); });
+    std::string compressed;
+    const auto squeezing = millis([&] { compressed = compress(body); });
     auto& told = all["configuration"] =
-        weighed({{"t", "configuration"}, {"version", 1}, {"squeezed", cues::writeText(squeezed)}});
+        weighed({{"t", "configuration"}, {"version", 1}, {"squeezed", messages::encodeBytes(compressed)}});
     told["squeeze_ms"] = squeezing, told["body_bytes"] = body.size();
-    told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = playbill::Playbill::read(body); });
+    told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = config::Configuration::read(body); });
 
     Json list = Json::array();
-    for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(cues::write(pod(plan, n)));
+    for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(messages::write(pod(plan, n)));
     all["list"] =
         weighed({{"t", "pods"}, {"change", 1}, {"stamp", 1}, {"set", list}, {"gone", Json::array()}});
     if (plan.pods > 0)
@@ -58,28 +58,28 @@
                                      {"gone", {pod(plan, 1).id}}});
 
     Json roster = Json::object();
-    for (std::int64_t n = 0; n < plan.foyers; ++n)
+    for (std::int64_t n = 0; n < plan.proxies; ++n)
         roster[hollowName(n)] = hollowAddress(n) + ":" + std::to_string(20000);
     all["roster"] = weighed({{"t", "roster"}, {"foyers", roster}});
 
-    // One foyer's running totals of one service: some hundreds of outcomes on each of its routes.
+    // One proxy's running totals of one service: some hundreds of outcomes on each of its routes.
     verdict::Totals totals;
     for (std::int64_t route = 0; route < std::max<std::int64_t>(plan.routes / plan.services, 1); ++route)
         for (int side = 0; side < 2; ++side) {
             auto& counts =
-                totals["r-" + std::to_string(company::hash("route", std::to_string(route)) % 100'000'000)]
+                totals["r-" + std::to_string(hashing::hash("route", std::to_string(route)) % 100'000'000)]
                       [static_cast<std::size_t>(side)];
             for (std::size_t bin = 0; bin < counts.bins.size(); ++bin)
                 counts.bins[bin] = static_cast<std::uint32_t>(
-                    company::hash(std::to_string(bin), std::to_string(route * 2 + side)) % 60);
+                    hashing::hash(std::to_string(bin), std::to_string(route * 2 + side)) % 60);
         }
     all["counts"] = weighed({{"t", "counts"},
                              {"from", hollowName(0)},
                              {"life", 1},
                              {"number", 1},
                              {"rollout", "s1\nv2"},
-                             {"totals", cues::write(totals)}});
+                             {"totals", messages::write(totals)}});
     return all;
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/scale_test/sizes.hpp
+++ b/src/scale_test/sizes.hpp
@@ -3,10 +3,10 @@
 
 #include "scale_test/scenario_config.hpp"
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
 // {"configuration": {"bytes", "squeezed", "read_ms", "squeeze_ms", "pack_ms", "open_ms"}, "list": {...},
 // "pod_change", "roster", "counts"}: bytes on the wire, milliseconds of one thread here and now.
-nlohmann::json sizes(const Plan& plan);
+nlohmann::json sizes(const ScenarioConfig& plan);
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -10,15 +10,15 @@
 #include <filesystem>
 #include <utility>
 
-namespace lichenlanding::promptbook {
+namespace lichenlanding::storage {
 namespace {
 
-constexpr char format = 1;
-constexpr char cellMark = 'c', noteMark = 'n';
+constexpr char kFormat = 1;
+constexpr char kCellMark = 'c', kNoteMark = 'n';
 
 void check(int code, const char* step, const std::string& folder) {
     if (code != 0)
-        throw DiskError(std::string("promptbook ") + folder + ": " + step + ": " + mdb_strerror(code));
+        throw StorageError(std::string("promptbook ") + folder + ": " + step + ": " + mdb_strerror(code));
 }
 
 // A name in a folder lasts a loss of power once the folder is synced, whatever was synced of the file itself.
@@ -44,46 +44,46 @@
 template <typename T>
 T cut(std::string_view& bytes) {
     T number{};
-    if (bytes.size() < sizeof number) throw DiskError("promptbook: a record is cut short");
+    if (bytes.size() < sizeof number) throw StorageError("promptbook: a record is cut short");
     std::memcpy(&number, bytes.data(), sizeof number);
     bytes.remove_prefix(sizeof number);
     return number;
 }
 
 std::string sealed(std::string bytes) {
-    bytes.insert(bytes.begin(), format);
+    bytes.insert(bytes.begin(), kFormat);
     add(bytes, checksum(bytes));
     return bytes;
 }
 
 std::string_view opened(std::string_view bytes, const std::string& key) {
-    if (bytes.size() < 5 || bytes.front() != format)
-        throw DiskError("promptbook: record " + key + " is of another format");
+    if (bytes.size() < 5 || bytes.front() != kFormat)
+        throw StorageError("promptbook: record " + key + " is of another format");
     auto sum = bytes.substr(bytes.size() - 4);
     bytes.remove_suffix(4);
     if (cut<std::uint32_t>(sum) != checksum(bytes))
-        throw DiskError("promptbook: record " + key + " fails its checksum");
+        throw StorageError("promptbook: record " + key + " fails its checksum");
     return bytes.substr(1);
 }
 
-std::string bytesOf(const reg::Cell& cell) {
+std::string bytesOf(const consensus::RegisterState& cell) {
     std::string bytes;
-    for (const auto& ballot : {cell.promised, cell.accepted})
-        add(bytes, ballot.round), add(bytes, ballot.writer);
+    for (const auto& proposalNumber : {cell.promised, cell.accepted})
+        add(bytes, proposalNumber.round), add(bytes, proposalNumber.writer);
     return bytes + cell.value;
 }
 
-reg::Cell cellOf(std::string_view bytes) {
-    reg::Cell cell;
-    for (auto* ballot : {&cell.promised, &cell.accepted})
-        ballot->round = cut<std::uint64_t>(bytes), ballot->writer = cut<std::uint32_t>(bytes);
+consensus::RegisterState cellOf(std::string_view bytes) {
+    consensus::RegisterState cell;
+    for (auto* proposalNumber : {&cell.promised, &cell.accepted})
+        proposalNumber->round = cut<std::uint64_t>(bytes), proposalNumber->writer = cut<std::uint32_t>(bytes);
     cell.value = bytes;
     return cell;
 }
 
 }  // namespace
 
-struct Promptbook::Parts {
+struct LmdbReplicaStore::Parts {
     std::string folder;
     MDB_env* env = nullptr;
     MDB_dbi dbi = 0;
@@ -152,31 +152,32 @@
     }
 };
 
-Promptbook::Promptbook(const std::string& folder, std::size_t bytes)
+LmdbReplicaStore::LmdbReplicaStore(const std::string& folder, std::size_t bytes)
     : parts_(std::make_unique<Parts>(folder, bytes)) {}
-Promptbook::~Promptbook() = default;
+LmdbReplicaStore::~LmdbReplicaStore() = default;
 
-std::map<std::string, reg::Cell> Promptbook::cells() const {
-    std::map<std::string, reg::Cell> all;
-    parts_->each(cellMark, [&](const std::string& key, std::string_view bytes) { all[key] = cellOf(bytes); });
+std::map<std::string, consensus::RegisterState> LmdbReplicaStore::cells() const {
+    std::map<std::string, consensus::RegisterState> all;
+    parts_->each(kCellMark,
+                 [&](const std::string& key, std::string_view bytes) { all[key] = cellOf(bytes); });
     return all;
 }
 
-std::string Promptbook::note(const std::string& name) const {
+std::string LmdbReplicaStore::note(const std::string& name) const {
     std::string text;
-    parts_->each(noteMark, [&](const std::string& key, std::string_view bytes) {
+    parts_->each(kNoteMark, [&](const std::string& key, std::string_view bytes) {
         if (key == name) text = bytes;
     });
     return text;
 }
 
-void Promptbook::write(const std::map<std::string, reg::Cell>& cells,
-                       const std::map<std::string, std::string>& notes) {
+void LmdbReplicaStore::write(const std::map<std::string, consensus::RegisterState>& cells,
+                             const std::map<std::string, std::string>& notes) {
     Parts::Deed deed(*parts_, 0);
     for (const auto& [key, cell] : cells)
-        if (cell == reg::Cell{}) parts_->drop(deed.txn, cellMark, key);
-        else parts_->put(deed.txn, cellMark, key, bytesOf(cell));
-    for (const auto& [key, text] : notes) parts_->put(deed.txn, noteMark, key, text);
+        if (cell == consensus::RegisterState{}) parts_->drop(deed.txn, kCellMark, key);
+        else parts_->put(deed.txn, kCellMark, key, bytesOf(cell));
+    for (const auto& [key, text] : notes) parts_->put(deed.txn, kNoteMark, key, text);
     check(deed.commit(), "commit", parts_->folder);
     // LMDB writes its last page through a descriptor that is opened for synchronous writing. Where that means
     // nothing, only a sync of the file makes the commit last.
@@ -185,4 +186,4 @@
     if (fdatasync(file) != 0) check(errno, "sync", parts_->folder);
 }
 
-}  // namespace lichenlanding::promptbook
+}  // namespace lichenlanding::storage
--- a/src/subscription/configuration_cache.hpp
+++ b/src/subscription/configuration_cache.hpp
@@ -1,7 +1,7 @@
-// The news that a foyer serves by: the configuration, the rollouts, the list of pods. Prompters push what
-// changes; foyers that watch each other compare what they hold by digests over ranges, and the older copy is
-// mended from the newer. One room for all of them, so that a foyer cut off from every prompter hears from its
-// neighbours what it would have heard from those.
+// The news that a proxy serves by: the configuration, the rollouts, the list of pods. Control nodes push what
+// changes; proxies that watch each other compare what they hold by digests over ranges, and the older copy is
+// mended from the newer. One room for all of them, so that a proxy cut off from every control node hears from
+// its neighbours what it would have heard from those.
 //
 // Pure: time comes in as an argument, messages come and go as JSON values, in any order, doubled or lost.
 // Nothing goes back: versions, numbers and editions only rise, and a pod only goes from ready to draining to
@@ -15,42 +15,42 @@
 
 #include "discovery/endpoint_set.hpp"
 
-namespace lichenlanding::callboard {
+namespace lichenlanding::subscription {
 
 using Json = nlohmann::json;
 
 // Pods are compared in so many ranges of the hash of their ids.
-constexpr std::size_t ranges = 16;
+constexpr std::size_t kRanges = 16;
 
 // Which list a copy follows: the term of the duty that its holder has, and the changes counted in that term.
 // The higher is the newer; one edition has one content.
-struct Edition {
+struct EndpointListVersion {
     std::uint64_t term = 0, sequence = 0;
-    auto operator<=>(const Edition&) const = default;
+    auto operator<=>(const EndpointListVersion&) const = default;
 };
 
-class Callboard {
+class ConfigurationCache {
   public:
     // What is done with what is newer. `configuration` gets the bytes as they travel (squeezed).
-    struct Reader {
-        std::function<void(const std::string& squeezed)> configuration;
+    struct Subscriber {
+        std::function<void(const std::string& compressed)> configuration;
         std::function<void(const std::string& text)> rollouts;
-        std::function<void(const troupe::Event&)> pod;
+        std::function<void(const discovery::EndpointEvent&)> pod;
     };
-    // A follower (a foyer, heard by a prompter) is told what it lacks and asked for nothing: the register and
-    // the platform are the prompters' sources.
-    enum class From { prompter, neighbour, follower };
+    // A follower (a proxy, heard by a control node) is told what it lacks and asked for nothing: the register
+    // and the platform are the control nodes' sources.
+    enum class MessageSource { controlNode, neighbour, follower };
     using Reply = std::function<void(Json)>;  // down the connection that the message came by
 
-    explicit Callboard(Reader reader) : reader_(std::move(reader)) {}
+    explicit ConfigurationCache(Subscriber reader) : reader_(std::move(reader)) {}
 
-    // What a prompter knows of itself. `number` of the newest order's change.
-    void configuration(std::uint32_t version, std::string squeezed);
+    // What a control node knows of itself. `number` of the newest order's change.
+    void configuration(std::uint32_t version, std::string compressed);
     bool rollouts(std::int64_t number, std::string text);  // false where it is not newer
     // A whole list as the platform gave it to the holder of the duty in `term` (from 1): the change to be
     // pushed, or null. The first list of a term is told by digest() instead: nobody can chain a change to it.
-    Json list(const std::vector<troupe::Member>& members, std::uint64_t term);
-    void unlisted() { listed_ = false; }  // its list is no longer kept up to date
+    Json list(const std::vector<discovery::Endpoint>& members, std::uint64_t term);
+    void markEndpointsStale() { listed_ = false; }  // its list is no longer kept up to date
 
     // What there is, in short: to be told at the start of a connection and from time to time.
     Json digest() const;
@@ -58,38 +58,41 @@
     Json order() const;  // the rollouts, whole
     // Whether a "want" comes from a copy that holds no pods, and what answers it and all of its kind: at a
     // start many ask at once. Likewise for the configuration.
-    bool wantsWhole(const Json& want) const;
+    bool wantsFullList(const Json& want) const;
     Json whole() const;
     Json body() const;
     // "digest", "want", "configuration", "rollouts", "pods"; false where the message is none of these.
-    bool heard(const Json& message, From from, Nanos now, const Reply& reply);
+    bool heard(const Json& message, MessageSource from, Nanos now, const Reply& reply);
 
     std::uint32_t version() const { return version_; }
     bool listed() const { return listed_; }
-    const Edition& edition() const { return edition_; }
-    std::uint64_t seenTerm() const { return seenTerm_; }  // the highest heard of, own ones among them
-    const troupe::Troupe& troupe() const { return troupe_; }
+    const EndpointListVersion& endpointListVersion() const { return endpointListVersion_; }
+    std::uint64_t highestTermSeen() const {
+        return highestTermSeen_;
+    }  // the highest heard of, own ones among them
+    const discovery::EndpointSet& endpoints() const { return endpoints_; }
 
   private:
-    void compare(const Json& theirs, From from, Nanos now, const Reply& reply);
+    void compare(const Json& theirs, MessageSource from, Nanos now, const Reply& reply);
     void answer(const Json& want, const Reply& reply) const;
-    void take(const Json& pods, From from, const Reply& reply);
-    const std::array<std::uint64_t, ranges>& sums() const;
-    void apply(const troupe::Event& event);
+    void take(const Json& pods, MessageSource from, const Reply& reply);
+    const std::array<std::uint64_t, kRanges>& sums() const;
+    void apply(const discovery::EndpointEvent& event);
 
-    Reader reader_;
+    Subscriber reader_;
     std::uint32_t version_ = 0;
-    std::string squeezed_;
+    std::string compressed_;
     std::int64_t number_ = -1;
     std::string rollouts_;
-    troupe::Troupe troupe_;
-    Edition edition_;             // of the list that the copy follows; changes name the one before them
-    std::uint64_t seenTerm_ = 0;  // the highest heard of
+    discovery::EndpointSet endpoints_;
+    EndpointListVersion
+        endpointListVersion_;  // of the list that the copy follows; changes name the one before them
+    std::uint64_t highestTermSeen_ = 0;  // the highest heard of
     bool listed_ = false;
     std::uint32_t asked_ = 0;  // for this version, last
     Nanos askedAt_ = 0;
-    mutable std::array<std::uint64_t, ranges> sums_{};
+    mutable std::array<std::uint64_t, kRanges> sums_{};
     mutable bool summed_ = true;
 };
 
-}  // namespace lichenlanding::callboard
+}  // namespace lichenlanding::subscription
--- a/src/subscription/quorum_contact.hpp
+++ b/src/subscription/quorum_contact.hpp
@@ -1,5 +1,5 @@
-// Whether a foyer goes by what it is told. A prompter that is out of contact with a majority says so with
-// each word ("sure": false): what it tells was in force once, and may be so no more. For a foyer that holds
+// Whether a proxy goes by what it is told. A control node that is out of contact with a majority says so with
+// each word ("sure": false): what it tells was in force once, and may be so no more. For a proxy that holds
 // news this does no harm: it takes what is higher than its own, as always, and nothing else. One that holds
 // nothing cannot tell how old such news are, and takes them only where after a short wait nobody surer is in
 // reach.
@@ -12,19 +12,19 @@
 
 #include "state.hpp"
 
-namespace lichenlanding::callboard {
+namespace lichenlanding::subscription {
 
-class Confidence {
+class QuorumContact {
   public:
-    // For a prompter in contact, from when news that are not sure could first be had.
+    // For a control node in contact, from when news that are not sure could first be had.
     static constexpr Nanos unsureWait = 1'500'000'000;
     enum class Change { none, unsure, sure };  // of whether anybody in contact is in reach
 
-    // A prompter's word of itself.
-    Change heard(const std::string& prompter, bool sure, Nanos now);
-    Change parted(const std::string& prompter, Nanos now);
-    // Whether news are looked at, of a prompter or a neighbour that says so of itself, by a foyer that has
-    // news already
+    // A control node's word of itself.
+    Change heard(const std::string& controlNode, bool sure, Nanos now);
+    Change onPeerDisconnected(const std::string& controlNode, Nanos now);
+    // Whether news are looked at, of a control node or a neighbour that says so of itself, by a proxy that
+    // has news already
     // (`holding`) or not.
     bool takes(bool sure, bool holding, Nanos now);
     // What is held has come, or was confirmed, by such a word.
@@ -39,11 +39,11 @@
 
     bool reached() const;
 
-    std::map<std::string, bool> prompters_;  // in reach, and whether each is in contact
-    bool sure_ = false;                      // what is held was told by one in contact
-    bool doubted_ = false;                   // as last told
+    std::map<std::string, bool> controlNodes_;  // in reach, and whether each is in contact
+    bool sure_ = false;                         // what is held was told by one in contact
+    bool doubted_ = false;                      // as last told
     bool asked_ = false;
     Nanos aloneSince_ = -1;  // since when only unsure news could be had
 };
 
-}  // namespace lichenlanding::callboard
+}  // namespace lichenlanding::subscription
--- a/src/transport/chunks.cpp
+++ b/src/transport/chunks.cpp
@@ -7,11 +7,11 @@
 #include <stdexcept>
 #include <utility>
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 namespace {
 
-constexpr char kind = 'k';
-constexpr std::size_t headBytes = 1 + 4 * 4;
+constexpr char kKind = 'k';
+constexpr std::size_t kHeadBytes = 1 + 4 * 4;
 
 std::uint32_t sumOf(std::string_view bytes) {
     return static_cast<std::uint32_t>(
@@ -19,18 +19,18 @@
 }
 
 std::uint32_t piecesOf(std::size_t bytes) {
-    return static_cast<std::uint32_t>((bytes + pieceBytes - 1) / pieceBytes);
+    return static_cast<std::uint32_t>((bytes + kPieceBytes - 1) / kPieceBytes);
 }
 
 }  // namespace
 
-void Outbox::push(Packed message) {
+void SendQueue::push(EncodedMessage message) {
     bytes_ += message->size();
-    (message->size() > wholeAtMost ? large_ : small_).push_back(std::move(message));
+    (message->size() > kWholeAtMost ? large_ : small_).push_back(std::move(message));
 }
 
-Packed Outbox::next() {
-    if (!small_.empty() && (large_.empty() || sincePiece_ < pieceBytes)) {
+EncodedMessage SendQueue::next() {
+    if (!small_.empty() && (large_.empty() || sincePiece_ < kPieceBytes)) {
         auto frame = std::move(small_.front());
         small_.pop_front();
         bytes_ -= frame->size(), sincePiece_ += frame->size();
@@ -39,10 +39,10 @@
     const auto& whole = *large_.front();
     if (index_ == 0) ++number_, sum_ = sumOf(whole);
     const auto count = piecesOf(whole.size());
-    std::string frame(1, kind);
+    std::string frame(1, kKind);
     for (const auto number : {number_, index_, count, sum_})
         for (int byte = 0; byte < 4; ++byte) frame += static_cast<char>(number >> (8 * byte) & 0xff);
-    frame.append(whole, index_ * pieceBytes, pieceBytes);
+    frame.append(whole, index_ * kPieceBytes, kPieceBytes);
     if (++index_ == count) {
         bytes_ -= whole.size(), index_ = 0;
         large_.pop_front();
@@ -51,24 +51,24 @@
     return std::make_shared<const std::string>(std::move(frame));
 }
 
-std::optional<std::string> Assembly::take(std::string_view frame) {
-    if (frame.empty() || frame.front() != kind) return std::string(frame);
-    if (frame.size() < headBytes) throw std::runtime_error("piece: no head");
+std::optional<std::string> ChunkReassembler::take(std::string_view frame) {
+    if (frame.empty() || frame.front() != kKind) return std::string(frame);
+    if (frame.size() < kHeadBytes) throw std::runtime_error("piece: no head");
     std::array<std::uint32_t, 4> head{};
     for (std::size_t at = 0; at < head.size() * 4; ++at)
         head[at / 4] |= std::uint32_t{static_cast<unsigned char>(frame[1 + at])} << (8 * (at % 4));
     const auto [number, index, count, sum] = head;
-    frame.remove_prefix(headBytes);
+    frame.remove_prefix(kHeadBytes);
     if (index == 0) {
         if (index_ != 0) throw std::runtime_error("piece: the message before it is not whole");
-        if (number != number_ + 1 || count == 0 || count > piecesOf(messageAtMost))
+        if (number != number_ + 1 || count == 0 || count > piecesOf(kMessageAtMost))
             throw std::runtime_error("piece: of no message that can come");
         number_ = number, count_ = count, sum_ = sum;
     } else if (number != number_ || index != index_ || count != count_ || sum != sum_) {
         throw std::runtime_error("piece: not the next one");
     }
     const bool last = index + 1 == count;
-    if (last ? frame.empty() || frame.size() > pieceBytes : frame.size() != pieceBytes)
+    if (last ? frame.empty() || frame.size() > kPieceBytes : frame.size() != kPieceBytes)
         throw std::runtime_error("piece: of a wrong length");
     bytes_.append(frame);
     index_ = last ? 0 : index + 1;
@@ -78,4 +78,4 @@
     return whole;
 }
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/chunks.hpp
+++ b/src/transport/chunks.hpp
@@ -13,25 +13,25 @@
 #include <string>
 #include <string_view>
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 
-constexpr std::size_t wholeAtMost = 64 << 10;    // bytes of a message that goes as it is
-constexpr std::size_t pieceBytes = 32 << 10;     // of the message in each piece but the last
-constexpr std::size_t messageAtMost = 80 << 20;  // bytes of any message
+constexpr std::size_t kWholeAtMost = 64 << 10;    // bytes of a message that goes as it is
+constexpr std::size_t kPieceBytes = 32 << 10;     // of the message in each piece but the last
+constexpr std::size_t kMessageAtMost = 80 << 20;  // bytes of any message
 
-using Packed = std::shared_ptr<const std::string>;
+using EncodedMessage = std::shared_ptr<const std::string>;
 
 // What waits to be written: small messages in their order before large ones in theirs; but a flood of small
 // ones leaves the large ones half of the bytes.
-class Outbox {
+class SendQueue {
   public:
-    void push(Packed message);
+    void push(EncodedMessage message);
     bool empty() const { return small_.empty() && large_.empty(); }
-    Packed next();                                // the frame to be written now; not when empty
+    EncodedMessage next();                        // the frame to be written now; not when empty
     std::size_t bytes() const { return bytes_; }  // of the messages that are not yet written whole
 
   private:
-    std::deque<Packed> small_, large_;
+    std::deque<EncodedMessage> small_, large_;
     std::size_t bytes_ = 0;
     std::uint32_t number_ = 0, index_ = 0, sum_ = 0;  // of the large message at the front
     std::size_t sincePiece_ = 0;                      // bytes of small messages
@@ -39,7 +39,7 @@
 
 // Puts pieces together again, in the order that an Outbox gives them. Holds no more than what has come, and
 // no more than messageAtMost.
-class Assembly {
+class ChunkReassembler {
   public:
     // A whole message, or nothing as yet. Throws std::runtime_error where a piece is missing, doubled or
     // spoilt: nothing that came by this link can be trusted then.
@@ -50,4 +50,4 @@
     std::uint32_t number_ = 0, index_ = 0, count_ = 0, sum_ = 0;
 };
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/compression.hpp
+++ b/src/transport/compression.hpp
@@ -4,11 +4,11 @@
 #include <string>
 #include <string_view>
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 
 // By zlib, quick rather than tight. Short bytes stay as they are.
-std::string squeeze(std::string_view bytes);
+std::string compress(std::string_view bytes);
 // Throws std::runtime_error on bytes that squeeze() did not make, or of more than `most`.
-std::string unsqueeze(std::string_view squeezed, std::size_t most = 256 << 20);
+std::string decompress(std::string_view compressed, std::size_t most = 256 << 20);
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -9,11 +9,11 @@
 #include "text.hpp"
 #include "transport/log.hpp"
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 
 tcp::endpoint endpoint(const std::string& address) {
     const auto colon = address.rfind(':');
-    Code code;
+    ErrorCode code;
     unsigned short port = 0;
     if (colon == address.npos || !parse(std::string_view(address).substr(colon + 1), port))
         throw std::invalid_argument("address: no port in " + address);
@@ -24,11 +24,11 @@
 
 std::string hostOf(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
-void tune(tcp::socket& socket, Nanos silence) {
-    Code ignored;
+void configureSocket(tcp::socket& socket, Nanos silence) {
+    ErrorCode ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-    socket.set_option(UserTimeout(static_cast<int>(silence / ms)), ignored);
+    socket.set_option(UserTimeout(static_cast<int>(silence / kMillisecond)), ignored);
 }
 
 tcp::acceptor listen(asio::io_context& io, const std::string& address) {
@@ -43,8 +43,8 @@
 
 Task<> sleep(Nanos time) {
     asio::steady_timer timer(co_await asio::this_coro::executor, span(time));
-    Code code;
-    co_await timer.async_wait(told(code));
+    ErrorCode code;
+    co_await timer.async_wait(withErrorCode(code));
 }
 
 void start(asio::io_context& io, const char* step, Task<> task) {
@@ -58,24 +58,24 @@
     });
 }
 
-void Bell::ring() {
-    rung_ = true;
+void AsyncEvent::notify() {
+    notified_ = true;
     timer_.cancel();
 }
 
-Task<bool> Bell::wait(Nanos until) {
-    if (!rung_) {
+Task<bool> AsyncEvent::wait(Nanos until) {
+    if (!notified_) {
         timer_.expires_at(point(until));
-        Code code;
-        co_await timer_.async_wait(told(code));
+        ErrorCode code;
+        co_await timer_.async_wait(withErrorCode(code));
     }
-    co_return std::exchange(rung_, false);
+    co_return std::exchange(notified_, false);
 }
 
 namespace {
 
 void watch(asio::signal_set& set, std::shared_ptr<std::function<void(int)>> call) {
-    set.async_wait([&set, call](Code code, int number) {
+    set.async_wait([&set, call](ErrorCode code, int number) {
         if (code) return;
         (*call)(number);
         watch(set, call);
@@ -92,4 +92,4 @@
                     [stop, reload](int number) { number == SIGHUP ? reload() : stop(); }));
 }
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -21,16 +21,16 @@
 
 #include "state.hpp"
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 using tcp = asio::ip::tcp;
-using Code = boost::system::error_code;
+using ErrorCode = boost::system::error_code;
 template <typename T = void>
 using Task = asio::awaitable<T>;
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
+constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
 inline Nanos now() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
@@ -42,14 +42,14 @@
     return std::chrono::steady_clock::time_point(std::chrono::nanoseconds(at));
 }
 
-inline auto told(Code& code) { return asio::redirect_error(asio::use_awaitable, code); }
+inline auto withErrorCode(ErrorCode& code) { return asio::redirect_error(asio::use_awaitable, code); }
 
 // "10.1.0.13:8161". Throws std::invalid_argument.
 tcp::endpoint endpoint(const std::string& address);
 std::string hostOf(const std::string& address);
 
 // Small writes go at once; a peer that has gone silent ends the connection after `silence`.
-void tune(tcp::socket& socket, Nanos silence);
+void configureSocket(tcp::socket& socket, Nanos silence);
 
 tcp::acceptor listen(asio::io_context& io, const std::string& address);
 
@@ -60,18 +60,18 @@
 void start(asio::io_context& io, const char* step, Task<> task);
 
 // One waits, others wake it. A wake before the wait is kept.
-class Bell {
+class AsyncEvent {
   public:
-    explicit Bell(asio::io_context& io) : timer_(io) {}
-    void ring();
+    explicit AsyncEvent(asio::io_context& io) : timer_(io) {}
+    void notify();
     Task<bool> wait(Nanos until);  // false where the time came first
 
   private:
     asio::steady_timer timer_;
-    bool rung_ = false;
+    bool notified_ = false;
 };
 
 // SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`; SIGPIPE is ignored.
 void signals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload);
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/log.cpp
+++ b/src/transport/log.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 #include <map>
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 namespace {
 
 struct Allowance {
@@ -48,4 +48,4 @@
     spdlog::info("{}", about.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/log.hpp
+++ b/src/transport/log.hpp
@@ -5,11 +5,11 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 
 // `event` is a stable name (docs/operate/gateway.md lists them); `about` has what belongs to it, step and
 // peer of an error among them.
 void log(const char* event, nlohmann::json about = nlohmann::json::object());
 void openLog(const std::string& node);
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/peer_connection.cpp
+++ b/src/transport/peer_connection.cpp
@@ -6,49 +6,50 @@
 #include "transport/compression.hpp"
 #include "transport/log.hpp"
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 namespace {
 
-constexpr Nanos beatEvery = 600 * ms;
-constexpr Nanos silentAfter = 2100 * ms;  // as long as bytes may stay without acknowledgement
-constexpr Nanos dialWithin = 900 * ms, pauseAtMost = 800 * ms;
+constexpr Nanos kBeatEvery = 600 * kMillisecond;
+constexpr Nanos kSilentAfter = 2100 * kMillisecond;  // as long as bytes may stay without acknowledgement
+constexpr Nanos kDialWithin = 900 * kMillisecond, kPauseAtMost = 800 * kMillisecond;
 // A machine that is down drops the opening packet, which is sent again after a second: a short first wait and
 // a new connection find it sooner once it is back.
-constexpr Nanos dialFirst = 150 * ms;
+constexpr Nanos kDialFirst = 150 * kMillisecond;
 // Of bytes on their way in the kernel: what is sent next waits behind them.
-constexpr int kernelAtMost = 128 << 10;
-constexpr std::size_t waitingAtMost = 2 * messageAtMost;
-const std::string beatBytes = "p\xf6";  // CBOR null
+constexpr int kKernelAtMost = 128 << 10;
+constexpr std::size_t kWaitingAtMost = 2 * kMessageAtMost;
+const std::string kBeatBytes = "p\xf6";  // CBOR null
 
 }  // namespace
 
-struct Link::Stream {
+struct PeerConnection::Stream {
     beast::websocket::stream<beast::tcp_stream> ws;
     explicit Stream(tcp::socket&& socket) : ws(std::move(socket)) {
         ws.binary(true);
-        ws.read_message_max(wholeAtMost + 1024);  // a frame; large messages come in pieces
+        ws.read_message_max(kWholeAtMost + 1024);  // a frame; large messages come in pieces
         ws.auto_fragment(false);
-        Code ignored;
-        beast::get_lowest_layer(ws).socket().set_option(asio::socket_base::send_buffer_size(kernelAtMost),
+        ErrorCode ignored;
+        beast::get_lowest_layer(ws).socket().set_option(asio::socket_base::send_buffer_size(kKernelAtMost),
                                                         ignored);
-        tune(beast::get_lowest_layer(ws).socket(), silentAfter);
+        configureSocket(beast::get_lowest_layer(ws).socket(), kSilentAfter);
     }
 };
 
-Link::Link(asio::io_context& io, std::string peer_) : peer(std::move(peer_)), io_(io), beat_(beatEvery) {}
+PeerConnection::PeerConnection(asio::io_context& io, std::string peer_)
+    : peer(std::move(peer_)), io_(io), beat_(kBeatEvery) {}
 
-Packed Link::pack(const Json& message) {
+EncodedMessage PeerConnection::pack(const Json& message) {
     std::string bytes;
     Json::to_cbor(message, bytes);
-    return std::make_shared<const std::string>(squeeze(bytes));
+    return std::make_shared<const std::string>(compress(bytes));
 }
 
-void Link::send(const Json& message) { send(pack(message)); }
+void PeerConnection::send(const Json& message) { send(pack(message)); }
 
-void Link::send(Packed packed) {
+void PeerConnection::send(EncodedMessage packed) {
     if (!open_) return;
     out_.push(std::move(packed));
-    if (out_.bytes() > waitingAtMost) {
+    if (out_.bytes() > kWaitingAtMost) {
         log("link_behind", {{"peer", peer}, {"step", "send"}, {"bytes", out_.bytes()}});
         return close();
     }
@@ -58,27 +59,27 @@
     }
 }
 
-void Link::close() {
+void PeerConnection::close() {
     if (!open_) return;
     open_ = false;
-    Code ignored;
+    ErrorCode ignored;
     beast::get_lowest_layer(stream_->ws).socket().close(ignored);
 }
 
-Task<> Link::write(std::shared_ptr<Link> self) {
+Task<> PeerConnection::write(std::shared_ptr<PeerConnection> self) {
     const auto stream = self->stream_;
     while (self->open_ && !self->out_.empty()) {
         const auto bytes = self->out_.next();
-        Code code;
-        co_await stream->ws.async_write(asio::buffer(*bytes), told(code));
+        ErrorCode code;
+        co_await stream->ws.async_write(asio::buffer(*bytes), withErrorCode(code));
         self->sent_ = now();
         if (code) self->close();
     }
     self->writing_ = false;
 }
 
-Task<> Link::beat(std::shared_ptr<Link> self) {
-    static const auto bytes = std::make_shared<const std::string>(beatBytes);
+Task<> PeerConnection::beat(std::shared_ptr<PeerConnection> self) {
+    static const auto bytes = std::make_shared<const std::string>(kBeatBytes);
     while (self->open_) {
         co_await sleep(self->beat_);
         if (now() - self->heard_ > self->beat_ * 7 / 2) {
@@ -90,25 +91,25 @@
     }
 }
 
-Task<> Link::run(std::shared_ptr<Link> self, std::shared_ptr<Owner> owner) {
+Task<> PeerConnection::run(std::shared_ptr<PeerConnection> self, std::shared_ptr<Owner> owner) {
     const auto stream = self->stream_;
     self->open_ = true, self->heard_ = self->sent_ = now();
     start(self->io_, "link beat", beat(self));
     if (const auto first = owner->greet(*self); !first.is_null()) self->send(first);
     beast::flat_buffer buffer;
-    Assembly assembly;
+    ChunkReassembler assembly;
     while (self->open_) {
-        Code code;
-        co_await stream->ws.async_read(buffer, told(code));
+        ErrorCode code;
+        co_await stream->ws.async_read(buffer, withErrorCode(code));
         if (code) break;
         self->heard_ = now();
         Json message(Json::value_t::discarded);
         try {
             const std::string_view frame(static_cast<const char*>(buffer.data().data()), buffer.size());
-            const auto squeezed = assembly.take(frame);
+            const auto compressed = assembly.take(frame);
             buffer.consume(buffer.size());
-            if (!squeezed) continue;
-            message = Json::from_cbor(unsqueeze(*squeezed), true, false);
+            if (!compressed) continue;
+            message = Json::from_cbor(decompress(*compressed), true, false);
         } catch (
             const std::exception&) {  // told below, as what cannot be read (nlohmann throws on absurd sizes)
         }
@@ -128,28 +129,29 @@
     owner->closed(*self);
 }
 
-Task<> Link::accept(asio::io_context& io, tcp::socket socket, std::shared_ptr<Owner> owner) {
-    auto link = std::make_shared<Link>(io, "unnamed");
+Task<> PeerConnection::accept(asio::io_context& io, tcp::socket socket, std::shared_ptr<Owner> owner) {
+    auto link = std::make_shared<PeerConnection>(io, "unnamed");
     link->stream_ = std::make_shared<Stream>(std::move(socket));
-    beast::get_lowest_layer(link->stream_->ws).expires_after(span(dialWithin));
-    Code code;
-    co_await link->stream_->ws.async_accept(told(code));
+    beast::get_lowest_layer(link->stream_->ws).expires_after(span(kDialWithin));
+    ErrorCode code;
+    co_await link->stream_->ws.async_accept(withErrorCode(code));
     if (code) co_return;
     beast::get_lowest_layer(link->stream_->ws).expires_never();
     co_await run(link, owner);
 }
 
-Task<> serveLinks(asio::io_context& io, tcp::acceptor& acceptor, std::shared_ptr<Link::Owner> owner) {
+Task<> servePeerConnections(asio::io_context& io, tcp::acceptor& acceptor,
+                            std::shared_ptr<PeerConnection::Owner> owner) {
     while (acceptor.is_open()) {
-        Code code;
-        auto socket = co_await acceptor.async_accept(told(code));
+        ErrorCode code;
+        auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
-        if (code) co_await sleep(10 * ms);
-        else start(io, "link", Link::accept(io, std::move(socket), owner));
+        if (code) co_await sleep(10 * kMillisecond);
+        else start(io, "link", PeerConnection::accept(io, std::move(socket), owner));
     }
 }
 
-Dialer::Dialer(asio::io_context& io, std::string address, std::shared_ptr<Link::Owner> owner)
+Dialer::Dialer(asio::io_context& io, std::string address, std::shared_ptr<PeerConnection::Owner> owner)
     : io_(io), address_(std::move(address)), owner_(std::move(owner)), pause_(io) {}
 
 void Dialer::go() { start(io_, "dial", run(shared_from_this())); }
@@ -161,27 +163,27 @@
 
 Task<> Dialer::run(std::shared_ptr<Dialer> self) {
     const auto at = endpoint(self->address_);
-    Nanos patience = dialFirst;
-    for (Nanos pause = 50 * ms; !self->stopped_; pause = std::min(pause * 2, pauseAtMost)) {
+    Nanos patience = kDialFirst;
+    for (Nanos pause = 50 * kMillisecond; !self->stopped_; pause = std::min(pause * 2, kPauseAtMost)) {
         beast::tcp_stream dialled(self->io_);
-        dialled.expires_after(span(std::exchange(patience, std::min(patience * 2, dialWithin))));
-        Code code;
-        co_await dialled.async_connect(at, told(code));
+        dialled.expires_after(span(std::exchange(patience, std::min(patience * 2, kDialWithin))));
+        ErrorCode code;
+        co_await dialled.async_connect(at, withErrorCode(code));
         if (!code) {
-            auto link = std::make_shared<Link>(self->io_, self->address_);
-            link->stream_ = std::make_shared<Link::Stream>(dialled.release_socket());
+            auto link = std::make_shared<PeerConnection>(self->io_, self->address_);
+            link->stream_ = std::make_shared<PeerConnection::Stream>(dialled.release_socket());
             auto& ws = link->stream_->ws;
-            beast::get_lowest_layer(ws).expires_after(span(dialWithin));
-            co_await ws.async_handshake(self->address_, "/", told(code));
+            beast::get_lowest_layer(ws).expires_after(span(kDialWithin));
+            co_await ws.async_handshake(self->address_, "/", withErrorCode(code));
             if (!code && !self->stopped_) {
                 beast::get_lowest_layer(ws).expires_never();
-                pause = 25 * ms, patience = dialFirst;
+                pause = 25 * kMillisecond, patience = kDialFirst;
                 self->link_ = link;
-                co_await Link::run(link, self->owner_);
+                co_await PeerConnection::run(link, self->owner_);
             }
         }
         if (!self->stopped_) co_await self->pause_.wait(now() + pause);
     }
 }
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/transport/peer_connection.hpp
+++ b/src/transport/peer_connection.hpp
@@ -11,25 +11,25 @@
 #include "transport/chunks.hpp"
 #include "transport/event_loop.hpp"
 
-namespace lichenlanding::wings {
+namespace lichenlanding::transport {
 
 using Json = nlohmann::json;
 
-class Link : public std::enable_shared_from_this<Link> {
+class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
   public:
     // What is told of a link. `heard` never gets a beat.
     struct Owner {
-        std::function<Json(Link&)> greet;               // the first message; may be null
-        std::function<void(Link&, const Json&)> heard;  // each message, in order
-        std::function<void(Link&)> closed;              // once, after opened
+        std::function<Json(PeerConnection&)> greet;               // the first message; may be null
+        std::function<void(PeerConnection&, const Json&)> heard;  // each message, in order
+        std::function<void(PeerConnection&)> closed;              // once, after opened
     };
 
-    Link(asio::io_context& io, std::string peer);
+    PeerConnection(asio::io_context& io, std::string peer);
 
     void send(const Json& message);
     // Serialised once for many links.
-    static Packed pack(const Json& message);
-    void send(Packed packed);
+    static EncodedMessage pack(const Json& message);
+    void send(EncodedMessage packed);
     void close();
     // Beats so often from now on, and takes three and a half beats of silence for the end. Both sides set it.
     void pace(Nanos beat) { beat_ = beat; }
@@ -37,49 +37,51 @@
     std::size_t waiting() const { return out_.bytes(); }  // of messages not yet written
 
     std::string peer;  // address, or the name it has given
-    std::string kind;  // "foyer", "prompter"; set by the owner
+    std::string kind;  // "proxy", "control node"; set by the owner
     std::any data;     // the owner's
 
   private:
     friend class Dialer;
-    friend Task<> serveLinks(asio::io_context&, tcp::acceptor&, std::shared_ptr<Link::Owner>);
+    friend Task<> servePeerConnections(asio::io_context&, tcp::acceptor&,
+                                       std::shared_ptr<PeerConnection::Owner>);
     static Task<> accept(asio::io_context& io, tcp::socket socket, std::shared_ptr<Owner> owner);
     // Each is handed what keeps it: a coroutine's own first line may come after its object's end.
-    static Task<> run(std::shared_ptr<Link> self,
+    static Task<> run(std::shared_ptr<PeerConnection> self,
                       std::shared_ptr<Owner> owner);  // an open WebSocket, to its end
-    static Task<> write(std::shared_ptr<Link> self);
-    static Task<> beat(std::shared_ptr<Link> self);
+    static Task<> write(std::shared_ptr<PeerConnection> self);
+    static Task<> beat(std::shared_ptr<PeerConnection> self);
 
     asio::io_context& io_;
     struct Stream;
     std::shared_ptr<Stream> stream_;
-    Outbox out_;
+    SendQueue out_;
     bool open_ = false, writing_ = false;
     Nanos heard_ = 0, sent_ = 0, beat_;
 };
 
 // Takes links as long as the acceptor is open.
-Task<> serveLinks(asio::io_context& io, tcp::acceptor& acceptor, std::shared_ptr<Link::Owner> owner);
+Task<> servePeerConnections(asio::io_context& io, tcp::acceptor& acceptor,
+                            std::shared_ptr<PeerConnection::Owner> owner);
 
 // Keeps one link to an address: dials again after each end, with a pause that grows up to a second.
 class Dialer : public std::enable_shared_from_this<Dialer> {
   public:
-    Dialer(asio::io_context& io, std::string address, std::shared_ptr<Link::Owner> owner);
+    Dialer(asio::io_context& io, std::string address, std::shared_ptr<PeerConnection::Owner> owner);
     void go();
     void stop();
     // The other side has just been heard of, so it is up: no pause before the next dial.
-    void hurry() { pause_.ring(); }
+    void retryNow() { pause_.notify(); }
     const std::string& address() const { return address_; }
-    std::shared_ptr<Link> link() const { return link_ && link_->open() ? link_ : nullptr; }
+    std::shared_ptr<PeerConnection> link() const { return link_ && link_->open() ? link_ : nullptr; }
 
   private:
     static Task<> run(std::shared_ptr<Dialer> self);
     asio::io_context& io_;
     std::string address_;
-    std::shared_ptr<Link::Owner> owner_;
-    std::shared_ptr<Link> link_;
-    Bell pause_;
+    std::shared_ptr<PeerConnection::Owner> owner_;
+    std::shared_ptr<PeerConnection> link_;
+    AsyncEvent pause_;
     bool stopped_ = false;
 };
 
-}  // namespace lichenlanding::wings
+}  // namespace lichenlanding::transport
--- a/src/verdict/rank.cpp
+++ b/src/verdict/rank.cpp
@@ -5,14 +5,14 @@
 namespace lichenlanding::verdict {
 namespace {
 
-constexpr double strength = 0.41421356237309515;  // s = sqrt(2) - 1
+constexpr double kStrength = 0.41421356237309515;  // s = sqrt(2) - 1
 
 // One draw of Dirichlet weights: s on the unseen point (first), then each bin's count.
 Bins weights(const Bins& counts, std::mt19937& chance) {
     Bins drawn(counts.size() + 1);
     double sum = 0;
     for (std::size_t at = 0; at < drawn.size(); ++at) {
-        const double shape = at == 0 ? strength : counts[at - 1];
+        const double shape = at == 0 ? kStrength : counts[at - 1];
         drawn[at] = shape > 0 ? std::gamma_distribution<double>(shape, 1)(chance) : 0;
         sum += drawn[at];
     }
--- a/src/verdict/rollout.cpp
+++ b/src/verdict/rollout.cpp
@@ -7,56 +7,56 @@
 namespace lichenlanding::verdict {
 namespace {
 
-constexpr double leastOutcomes = 20;  // of each side, for ranks
-constexpr double leastFailing = 6;    // of the new side, where failures alone speak
+constexpr double kLeastOutcomes = 20;  // of each side, for ranks
+constexpr double kLeastFailing = 6;    // of the new side, where failures alone speak
 // Bars below the sidecar's own: the share goes to a few pods whose pace is not known yet, loaded like the
 // rest, while the earlier side is sent to the quicker of several; a version that is as good ranks at 0.25 to
 // 0.45, as its pods happen to be. One of whose answers half are eight times slower shows by those that come
 // late, which hardly depends on a pod's pace.
-constexpr double onBar = 0.25, backBar = 0.2, sure = 0.95, certainly = 0.99;
-constexpr double perhaps = 0.7;      // that a route is worse: enough against going on
-constexpr double failMargin = 0.08;  // failures that a version may have more than the earlier one
-constexpr double lateMargin = 0.15;  // answers late, likewise
-constexpr int draws = 200;
-constexpr int lastBin = rolloutBins - 1;
-constexpr int lateBins = 3;  // the last ones: later than 1.4 targets
+constexpr double kOnBar = 0.25, kBackBar = 0.2, kSure = 0.95, kCertainly = 0.99;
+constexpr double kPerhaps = 0.7;      // that a route is worse: enough against going on
+constexpr double kFailMargin = 0.08;  // failures that a version may have more than the earlier one
+constexpr double kLateMargin = 0.15;  // answers late, likewise
+constexpr int kDraws = 200;
+constexpr int kLastBin = kRolloutBins - 1;
+constexpr int kLateBins = 3;  // the last ones: later than 1.4 targets
 
 Bins binsOf(const Counts& counts) { return {counts.bins.begin(), counts.bins.end()}; }
 
 double late(const Counts& counts) {
-    return std::accumulate(counts.bins.end() - lateBins, counts.bins.end(), 0.0);
+    return std::accumulate(counts.bins.end() - kLateBins, counts.bins.end(), 0.0);
 }
 
 void add(Counts& into, const Counts& more) {
-    for (int bin = 0; bin < rolloutBins; ++bin) into.bins[bin] += more.bins[bin];
+    for (int bin = 0; bin < kRolloutBins; ++bin) into.bins[bin] += more.bins[bin];
     into.bad += more.bad;
 }
 
 // Exception to ranks: failures of a part of the requests move few ranks, so the same test is made on ranks
 // coarsened to two as well.
-bool worse(const Counts& fresh, const Counts& earlier, std::mt19937& chance, double certain = certainly) {
+bool worse(const Counts& fresh, const Counts& earlier, std::mt19937& chance, double certain = kCertainly) {
     const double n = fresh.all(), m = earlier.all();
     const auto more = [&](double x, double y, double margin, double least) {
-        return n >= least && m >= leastOutcomes && x >= 3 &&
-               rankTest(inTwo(x, n), inTwo(y, m), 0.5 - margin / 2, draws, chance).upperChance < 1 - certain;
+        return n >= least && m >= kLeastOutcomes && x >= 3 &&
+               rankTest(inTwo(x, n), inTwo(y, m), 0.5 - margin / 2, kDraws, chance).upperChance < 1 - certain;
     };
-    return more(fresh.bad, earlier.bad, failMargin, leastFailing) ||
-           more(late(fresh), late(earlier), lateMargin, leastFailing) ||
-           (n >= leastOutcomes && m >= leastOutcomes &&
-            rankTest(binsOf(fresh), binsOf(earlier), backBar, draws, chance).upperChance < 1 - sure);
+    return more(fresh.bad, earlier.bad, kFailMargin, kLeastFailing) ||
+           more(late(fresh), late(earlier), kLateMargin, kLeastFailing) ||
+           (n >= kLeastOutcomes && m >= kLeastOutcomes &&
+            rankTest(binsOf(fresh), binsOf(earlier), kBackBar, kDraws, chance).upperChance < 1 - kSure);
 }
 
 }  // namespace
 
-int binOf(Nanos took, Nanos target) {
+int histogramBin(Nanos took, Nanos target) {
     // Steps of a square root of two up to 2.8 targets: what is slow eight times over ends in the last bin.
     const double part = static_cast<double>(std::max<Nanos>(took, 1)) / static_cast<double>(target);
-    const int bin = static_cast<int>(std::ceil(2 * std::log2(part))) + lastBin - 4;
-    return std::clamp(bin, 0, lastBin);
+    const int bin = static_cast<int>(std::ceil(2 * std::log2(part))) + kLastBin - 4;
+    return std::clamp(bin, 0, kLastBin);
 }
 
 void Counts::count(Nanos took, Nanos target, bool failed) {
-    ++bins[static_cast<std::size_t>(failed ? lastBin : binOf(took, target))];
+    ++bins[static_cast<std::size_t>(failed ? kLastBin : histogramBin(took, target))];
     if (failed) ++bad;
 }
 
@@ -83,14 +83,14 @@
     for (const auto& [route, sides] : sums) {
         for (std::size_t side = 0; side < 2; ++side) add(all[side], sides[side]);
         back = back || worse(sides[0], sides[1], chance);
-        doubt = doubt || worse(sides[0], sides[1], chance, perhaps);
+        doubt = doubt || worse(sides[0], sides[1], chance, kPerhaps);
     }
     judged.fresh = all[0].all(), judged.earlier = all[1].all(), judged.bad = all[0].bad;
     if (judged.fresh > 0 && judged.earlier > 0)
-        judged.bounds = rankTest(binsOf(all[0]), binsOf(all[1]), onBar, draws, chance);
+        judged.bounds = rankTest(binsOf(all[0]), binsOf(all[1]), kOnBar, kDraws, chance);
     if (back || worse(all[0], all[1], chance)) judged.verdict = Verdict::back;
-    else if (judged.fresh >= leastOutcomes && judged.earlier >= leastOutcomes)
-        judged.verdict = judged.bounds.lowerChance > sure && !doubt ? Verdict::on : Verdict::hold;
+    else if (judged.fresh >= kLeastOutcomes && judged.earlier >= kLeastOutcomes)
+        judged.verdict = judged.bounds.lowerChance > kSure && !doubt ? Verdict::on : Verdict::hold;
     return judged;
 }
 
--- a/src/verdict/rollout.hpp
+++ b/src/verdict/rollout.hpp
@@ -1,4 +1,4 @@
-// How the gateway's foyers judge a new version of a service: each counts outcomes into a latency histogram
+// How the gateway's proxies judge a new version of a service: each counts outcomes into a latency histogram
 // for each side and route, sends running totals to the voters, and a voter judges the sums of all.
 //
 // Pure: times and chance come in as arguments. Ranks and bounds are those of verdict/rank.hpp.
@@ -14,13 +14,13 @@
 
 namespace lichenlanding::verdict {
 
-constexpr int rolloutBins = 12;  // the last one: later than the target latency by far, errors, time-outs
+constexpr int kRolloutBins = 12;  // the last one: later than the target latency by far, errors, time-outs
 
 // The bin for an answer that took `took`, on a route of target latency `target` (> 0).
-int binOf(Nanos took, Nanos target);
+int histogramBin(Nanos took, Nanos target);
 
 struct Counts {
-    std::array<std::uint32_t, rolloutBins> bins{};
+    std::array<std::uint32_t, kRolloutBins> bins{};
     std::uint32_t bad = 0;  // of those in the last bin: errors and time-outs
 
     void count(Nanos took, Nanos target, bool failed);
--- a/src/verdict/stages.cpp
+++ b/src/verdict/stages.cpp
@@ -5,19 +5,19 @@
 namespace lichenlanding::verdict {
 namespace {
 
-constexpr double watchPart = 0.55;        // of the term, that a version is watched with its share at least
-constexpr std::int64_t rehearsed = 1400;  // the rehearsal, and until its outcomes are judged
-constexpr std::int64_t moved = 2500;      // with all traffic, before the old pods are let go
-constexpr std::int64_t undecided = 700;   // before the term, so that it is told in time
+constexpr double kWatchPart = 0.55;        // of the term, that a version is watched with its share at least
+constexpr std::int64_t kRehearsed = 1400;  // the rehearsal, and until its outcomes are judged
+constexpr std::int64_t kMoved = 2500;      // with all traffic, before the old pods are let go
+constexpr std::int64_t kUndecided = 700;   // before the term, so that it is told in time
 
-constexpr Nanos ms = 1'000'000;
-constexpr std::int64_t oldest = 7 * 24 * 3600 * std::int64_t{1000};  // no order runs for a week
+constexpr Nanos kMillisecond = 1'000'000;
+constexpr std::int64_t kOldest = 7 * 24 * 3600 * std::int64_t{1000};  // no order runs for a week
 
 }  // namespace
 
 void Ages::learn(const std::string& order, const Age& told, Nanos now) {
     const auto since = [now](std::int64_t age) {
-        return now - std::clamp<std::int64_t>(age, 0, oldest) * ms;
+        return now - std::clamp<std::int64_t>(age, 0, kOldest) * kMillisecond;
     };
     const auto [at, anew] =
         began_.try_emplace(order, Began{since(told.order), since(told.inStage), told.stage});
@@ -31,24 +31,24 @@
 Age Ages::at(const std::string& order, Nanos now) const {
     const auto at = began_.find(order);
     if (at == began_.end()) return {};
-    return {(now - at->second.order) / ms, at->second.at, (now - at->second.stage) / ms};
+    return {(now - at->second.order) / kMillisecond, at->second.at, (now - at->second.stage) / kMillisecond};
 }
 
 void Ages::keep(const std::set<std::string>& running) {
     std::erase_if(began_, [&](const auto& one) { return !running.contains(one.first); });
 }
 
-std::optional<Move> nextMove(int stage, const Ballots& ballots, std::int64_t elapsed, std::int64_t inStage,
-                             std::int64_t term) {
-    const auto majority = ballots.voters / 2 + 1;
-    if (ballots.voters > 0 && ballots.back >= majority) return Move{false, true, "voters"};
-    const bool on = ballots.voters > 0 && ballots.on >= majority;
-    if (stage == share && on && static_cast<double>(elapsed) >= watchPart * static_cast<double>(term))
+std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed,
+                             std::int64_t inStage, std::int64_t term) {
+    const auto majority = votes.voters / 2 + 1;
+    if (votes.voters > 0 && votes.back >= majority) return Move{false, true, "voters"};
+    const bool on = votes.voters > 0 && votes.on >= majority;
+    if (stage == share && on && static_cast<double>(elapsed) >= kWatchPart * static_cast<double>(term))
         return Move{false, false, "voters"};
-    if (stage == rehearsal && on && inStage >= rehearsed)
+    if (stage == fullTrafficTest && on && inStage >= kRehearsed)
         return Move{false, false, "voters, after the rehearsal"};
-    if (stage == all && on && inStage >= moved) return Move{true, false, "voters, with all traffic"};
-    if (elapsed >= term - undecided) return Move{false, true, "undecided at its term"};
+    if (stage == all && on && inStage >= kMoved) return Move{true, false, "voters, with all traffic"};
+    if (elapsed >= term - kUndecided) return Move{false, true, "undecided at its term"};
     return std::nullopt;
 }
 
--- a/src/verdict/stages.hpp
+++ b/src/verdict/stages.hpp
@@ -13,15 +13,15 @@
 
 namespace lichenlanding::verdict {
 
-constexpr std::size_t voterCount = 3;
-constexpr Nanos countsEvery = 1'000'000'000;  // running totals go to the voters
-constexpr Nanos urgentEvery = 250'000'000;    // and sooner once bad answers have come
-constexpr Nanos judgeEvery = 500'000'000;     // a voter judges no more often
-constexpr Nanos voteLife = 1'500'000'000;     // a vote that has not been said again by then is none
+constexpr std::size_t kVoterCount = 3;
+constexpr Nanos kCountsEvery = 1'000'000'000;  // running totals go to the voters
+constexpr Nanos kUrgentEvery = 250'000'000;    // and sooner once bad answers have come
+constexpr Nanos kJudgeEvery = 500'000'000;     // a voter judges no more often
+constexpr Nanos kVoteLife = 1'500'000'000;     // a vote that has not been said again by then is none
 
-enum Stage : int { share = 0, rehearsal = 1, all = 2 };
+enum Stage : int { share = 0, fullTrafficTest = 1, all = 2 };
 
-struct Ballots {
+struct VoteCounts {
     std::size_t voters = 0;  // that there are, not those that have voted
     std::size_t on = 0;      // said of the order's present stage
     std::size_t back = 0;    // said of any stage
@@ -33,8 +33,8 @@
 };
 
 // What is to be done now, if anything. `elapsed` since the order, `inStage` since the stage began.
-std::optional<Move> nextMove(int stage, const Ballots& ballots, std::int64_t elapsed, std::int64_t inStage,
-                             std::int64_t term);
+std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed,
+                             std::int64_t inStage, std::int64_t term);
 
 // How old an order is, in milliseconds.
 struct Age {
@@ -45,7 +45,8 @@
 };
 
 // Ages of the running orders, counted on by the own steady clock from what was handed on: by the register (as
-// of its last write) and by other prompters. Of two words the larger holds, as a span only loses on its way.
+// of its last write) and by other control nodes. Of two words the larger holds, as a span only loses on its
+// way.
 class Ages {
   public:
     void learn(const std::string& order, const Age& told, Nanos now);
--- a/tests/admin/configuration_record.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -1,6 +1,6 @@
 // Orders against what is in force. Each rule is also explored: orders of the same and of other numbers sent
-// twice, through any prompter, in every sequence of ballots, with answers lost and writes lost or done late.
-// Each invariant is shown to be able to fail, the first by what answered before there was a history.
+// twice, through any control node, in every sequence of ballots, with answers lost and writes lost or done
+// late. Each invariant is shown to be able to fail, the first by what answered before there was a history.
 #include "admin/configuration_record.hpp"
 
 #include <functional>
@@ -16,7 +16,7 @@
 #include "transport/compression.hpp"
 
 using namespace lichenlanding;
-using namespace lichenlanding::orders;
+using namespace lichenlanding::admin;
 
 namespace {
 
@@ -41,7 +41,7 @@
     Model(std::vector<Sent> orders_, Bug bug_) : orders(std::move(orders_)), bug(bug_) {
         left.assign(orders.size(), times);
     }
-    Order at(std::size_t which) const {
+    ConfigurationRequest at(std::size_t which) const {
         return order(orders[which].number, std::string(1, orders[which].body));
     }
     // How one sending may end: answered; answered but the answer lost; no majority and never in force.
@@ -59,8 +59,9 @@
         }
         if (bug == Bug::refusesLower && !value.empty() && number < version(value)) after = value;
         auto answer = recalled(after, one);
-        if (bug == Bug::numberAlone) answer = Recalled::known;
-        if (bug == Bug::refusesLower && !value.empty() && number < version(value)) answer = Recalled::clash;
+        if (bug == Bug::numberAlone) answer = DuplicateCheck::known;
+        if (bug == Bug::refusesLower && !value.empty() && number < version(value))
+            answer = DuplicateCheck::clash;
         if (end == End::writeLost) {
             if (bug != Bug::tellsBeforeInForce) return;
         } else {
@@ -69,22 +70,24 @@
             if (version(value) < before) broken = "NeverBack";
         }
         if (end == End::answerLost) return;
-        if (answer == Recalled::known) acknowledged[number].insert(body_);
+        if (answer == DuplicateCheck::known) acknowledged[number].insert(body_);
         else refused[number].insert(body_);
         check(number, body_, answer);
     }
-    void check(std::uint32_t number, char body_, Recalled answer) {
-        const auto text = playbill::versionText(number) + body_;
+    void check(std::uint32_t number, char body_, DuplicateCheck answer) {
+        const auto text = config::formatVersion(number) + body_;
         if (acknowledged[number].size() > 1) broken = "OneBody: " + text;
-        if (answer != Recalled::known && acknowledged[number].contains(body_)) broken = "KnownAgain: " + text;
-        if (answer == Recalled::known && refused[number].contains(body_)) broken = "RefusedForGood: " + text;
-        if (answer != Recalled::known && std::none_of(orders.begin(), orders.end(), [&](const auto& other) {
-                return other.number == number && other.body != body_;
-            }))
+        if (answer != DuplicateCheck::known && acknowledged[number].contains(body_))
+            broken = "KnownAgain: " + text;
+        if (answer == DuplicateCheck::known && refused[number].contains(body_))
+            broken = "RefusedForGood: " + text;
+        if (answer != DuplicateCheck::known &&
+            std::none_of(orders.begin(), orders.end(),
+                         [&](const auto& other) { return other.number == number && other.body != body_; }))
             broken = "OnlyClashesRefused: " + text;
-        if (answer == Recalled::known && (value.empty() || version(value) < number))
+        if (answer == DuplicateCheck::known && (value.empty() || version(value) < number))
             broken = "InForce: " + text;
-        if (answer == Recalled::known && !value.empty() && version(value) == number &&
+        if (answer == DuplicateCheck::known && !value.empty() && version(value) == number &&
             body(value)[0] != body_)
             broken = "InForce: another body: " + text;
     }
@@ -127,21 +130,22 @@
 // The same over the register's real copies and runs: two writers of one number, the first one's order again
 // through a third as soon as anything was answered, messages in any order or lost, and one machine of the
 // three lost between for good.
-struct Ballots {
+struct OrderSequences {
     struct Message {
         std::size_t run = 0, copy = 0;
-        reg::Run::Step step = reg::Run::Step::look;
+        consensus::Proposal::Step step = consensus::Proposal::Step::look;
         bool reply = false;
-        reg::Request request;
-        reg::Reply answer;
+        consensus::Request request;
+        consensus::Reply answer;
     };
     static constexpr std::size_t members = 3;
 
-    explicit Ballots(std::uint32_t seed, Bug bug_) : draw(seed), bug(bug_), orders(two) {
+    explicit OrderSequences(std::uint32_t seed, Bug bug_) : draw(seed), bug(bug_), orders(two) {
         for (std::size_t at = 0; at < members; ++at)
             epoch.members.push_back({std::string(1, static_cast<char>('a' + at)), "disk", "", ""});
         for (const auto& member : epoch.members)
-            copies.emplace_back(member.address, member.disk).put({{}, reg::Standing{epoch, true, {}, {}}});
+            copies.emplace_back(member.address, member.disk)
+                .put({{}, consensus::EpochState{epoch, true, {}, {}}});
         begin(0, 0), begin(1, 0);
     }
     void begin(std::size_t which, std::uint64_t above) {
@@ -164,24 +168,24 @@
         messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(at));
         if (lost == message.copy || draw() % 12 == 0) return;
         if (!message.reply) {
-            std::optional<reg::Update> update;
-            auto reply = copies[message.copy].weigh(message.request, update);
+            std::optional<consensus::Update> update;
+            auto reply = copies[message.copy].evaluate(message.request, update);
             if (update) copies[message.copy].put(*update);
             messages.push_back({message.run, message.copy, message.step, true, {}, std::move(reply)});
             return;
         }
         auto& run = runs[message.run];
         if (!run.on(static_cast<std::uint32_t>(message.copy), message.step, message.answer)) return;
-        if (run.step() == reg::Run::Step::done) return answered(message.run);
-        if (run.step() != reg::Run::Step::lost) return send(message.run);
+        if (run.step() == consensus::Proposal::Step::done) return answered(message.run);
+        if (run.step() != consensus::Proposal::Step::lost) return send(message.run);
         if (runs.size() < 12) begin(sent[message.run], run.above());
     }
     void answered(std::size_t run) {
         const auto& order = orders[sent[run]];
         auto answer = recalled(runs[run].value(), order);
-        if (bug == Bug::numberAlone) answer = Recalled::known;
-        const bool known = answer == Recalled::known;
-        if (answer == Recalled::unknown) broken = "Unanswered";
+        if (bug == Bug::numberAlone) answer = DuplicateCheck::known;
+        const bool known = answer == DuplicateCheck::known;
+        if (answer == DuplicateCheck::unknown) broken = "Unanswered";
         (known ? acknowledged : refused).insert(sent[run]);
         if (acknowledged.size() > 1) broken = "OneBody";
         if (acknowledged.contains(sent[run]) && refused.contains(sent[run])) broken = "KnownAgain";
@@ -190,7 +194,7 @@
     }
     static std::string play(std::uint32_t from, std::uint32_t to, Bug bug, std::size_t& answers) {
         for (auto seed = from; seed < to; ++seed) {
-            Ballots world(seed, bug);
+            OrderSequences world(seed, bug);
             for (int step = 0; step < 400 && !world.messages.empty(); ++step) {
                 world.step();
                 if (!world.broken.empty()) return "seed " + std::to_string(seed) + ": " + world.broken;
@@ -201,13 +205,13 @@
     }
 
     static inline const std::vector<std::string> bodies{"one body", "other body"};
-    static inline const std::vector<Order> two{order(7, bodies[0]), order(7, bodies[1])};
+    static inline const std::vector<ConfigurationRequest> two{order(7, bodies[0]), order(7, bodies[1])};
     std::mt19937 draw;
     Bug bug;
-    std::vector<Order> orders;
-    reg::Epoch epoch{1, {}};
-    std::vector<reg::Copy> copies;
-    std::vector<reg::Run> runs;
+    std::vector<ConfigurationRequest> orders;
+    consensus::Epoch epoch{1, {}};
+    std::vector<consensus::Acceptor> copies;
+    std::vector<consensus::Proposal> runs;
     std::vector<std::size_t> sent;  // by run, the order
     std::vector<Message> messages;
     std::optional<std::size_t> lost;
@@ -227,19 +231,19 @@
     return all;
 }
 
-cues::Rollout asked(const std::string& service, const std::string& target, std::int64_t term) {
-    cues::Rollout order;
+messages::Rollout asked(const std::string& service, const std::string& target, std::int64_t term) {
+    messages::Rollout order;
     order.service = service, order.target = target, order.term = term;
     return order;
 }
 
 std::string ended(const std::string& value, const std::string& target, const std::string& state) {
-    auto all = cues::readRollouts(value);
+    auto all = messages::decodeRollouts(value);
     std::int64_t number = 0;
     for (const auto& one : all) number = std::max(number, one.number);
     for (auto& one : all)
         if (one.target == target && one.running()) one.state = state, one.number = number + 1;
-    return cues::write(all);
+    return messages::write(all);
 }
 
 }  // namespace
@@ -271,22 +275,22 @@
         auto value = change("", seven);
         CPPUNIT_ASSERT_EQUAL(7u, version(value));
         CPPUNIT_ASSERT_EQUAL(std::string("seven"), body(value));
-        CPPUNIT_ASSERT(recalled(value, seven) == Recalled::known);
-        CPPUNIT_ASSERT(recalled(value, other) == Recalled::clash);
+        CPPUNIT_ASSERT(recalled(value, seven) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(recalled(value, other) == DuplicateCheck::clash);
         CPPUNIT_ASSERT(change(value, seven) == value && change(value, other) == value);
         value = change(value, nine);
         CPPUNIT_ASSERT_EQUAL(std::string("nine"), body(value));
         // Known again and clashing after another change too.
         CPPUNIT_ASSERT(change(value, seven) == value && change(value, other) == value);
-        CPPUNIT_ASSERT(recalled(value, seven) == Recalled::known);
-        CPPUNIT_ASSERT(recalled(value, other) == Recalled::clash);
+        CPPUNIT_ASSERT(recalled(value, seven) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(recalled(value, other) == DuplicateCheck::clash);
         // A lower number changes nothing in force, and another body under it clashes from then on.
-        CPPUNIT_ASSERT(recalled(value, five) == Recalled::unknown);
+        CPPUNIT_ASSERT(recalled(value, five) == DuplicateCheck::unknown);
         value = change(value, five);
         CPPUNIT_ASSERT_EQUAL(9u, version(value));
         CPPUNIT_ASSERT_EQUAL(std::string("nine"), body(value));
-        CPPUNIT_ASSERT(recalled(value, five) == Recalled::known);
-        CPPUNIT_ASSERT(recalled(value, fifth) == Recalled::clash);
+        CPPUNIT_ASSERT(recalled(value, five) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(recalled(value, fifth) == DuplicateCheck::clash);
         // What is written is read again, large and with any byte.
         std::string large(200'000, 'x');
         large += std::string("\0\xff", 2);
@@ -300,34 +304,34 @@
     // known by its body.
     void earlierFormat() {
         for (const auto& sent : {std::string("short"), std::string(5000, 'y')}) {
-            const auto value = playbill::versionText(0xab) + wings::squeeze(sent);
+            const auto value = config::formatVersion(0xab) + transport::compress(sent);
             CPPUNIT_ASSERT_EQUAL(0xabu, version(value));
             CPPUNIT_ASSERT_EQUAL(sent, body(value));
-            CPPUNIT_ASSERT(recalled(value, order(0xab, sent)) == Recalled::known);
-            CPPUNIT_ASSERT(recalled(value, order(0xab, sent + " ")) == Recalled::clash);
+            CPPUNIT_ASSERT(recalled(value, order(0xab, sent)) == DuplicateCheck::known);
+            CPPUNIT_ASSERT(recalled(value, order(0xab, sent + " ")) == DuplicateCheck::clash);
             CPPUNIT_ASSERT(change(value, order(0xab, sent)) == value);
             const auto older = change(value, order(3, "three"));
             CPPUNIT_ASSERT_EQUAL(sent, body(older));
-            CPPUNIT_ASSERT(recalled(older, order(0xab, sent)) == Recalled::known);
+            CPPUNIT_ASSERT(recalled(older, order(0xab, sent)) == DuplicateCheck::known);
             const auto next = change(value, order(0xac, "next"));
             CPPUNIT_ASSERT_EQUAL(std::string("next"), body(next));
-            CPPUNIT_ASSERT(recalled(next, order(0xab, sent)) == Recalled::known);
-            CPPUNIT_ASSERT(recalled(next, order(0xab, "other")) == Recalled::clash);
+            CPPUNIT_ASSERT(recalled(next, order(0xab, sent)) == DuplicateCheck::known);
+            CPPUNIT_ASSERT(recalled(next, order(0xab, "other")) == DuplicateCheck::clash);
         }
     }
 
     // What is cut or of another format is told, never guessed; a body cut later shows when it is read.
     void unreadable() {
         const auto value = change(change("", order(7, std::string(3000, 'a'))), order(8, "eight"));
-        const auto whole = value.size() - wings::squeeze("eight").size();
+        const auto whole = value.size() - transport::compress("eight").size();
         for (std::size_t length = 1; length < whole; ++length)
-            CPPUNIT_ASSERT_THROW(version(value.substr(0, length)), Unreadable);
-        CPPUNIT_ASSERT_THROW(body(value.substr(0, whole)), Unreadable);
+            CPPUNIT_ASSERT_THROW(version(value.substr(0, length)), ParseError);
+        CPPUNIT_ASSERT_THROW(body(value.substr(0, whole)), ParseError);
         for (const auto* text : {"o2", "0000000", "0000000G body", "\x7f"})
-            CPPUNIT_ASSERT_THROW(read(text), Unreadable);
+            CPPUNIT_ASSERT_THROW(read(text), ParseError);
         auto forgotten = read(value);
         forgotten.version = 11;
-        CPPUNIT_ASSERT_THROW(read(write(forgotten)), Unreadable);
+        CPPUNIT_ASSERT_THROW(read(write(forgotten)), ParseError);
     }
 
     // So many are remembered, and the one in force for good, however many older ones come.
@@ -335,16 +339,16 @@
         std::string value = change("", order(1000, "in force"));
         for (std::uint32_t number = 1; number <= 200; ++number)
             value = change(value, order(number, "older" + std::to_string(number)));
-        CPPUNIT_ASSERT_EQUAL(remembered, read(value).history.size());
-        CPPUNIT_ASSERT(recalled(value, order(1000, "in force")) == Recalled::known);
-        CPPUNIT_ASSERT(recalled(value, order(1000, "other")) == Recalled::clash);
-        CPPUNIT_ASSERT(recalled(value, order(200, "older200")) == Recalled::known);
-        CPPUNIT_ASSERT(recalled(value, order(200 - remembered + 2, "other")) == Recalled::clash);
+        CPPUNIT_ASSERT_EQUAL(kRemembered, read(value).history.size());
+        CPPUNIT_ASSERT(recalled(value, order(1000, "in force")) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(recalled(value, order(1000, "other")) == DuplicateCheck::clash);
+        CPPUNIT_ASSERT(recalled(value, order(200, "older200")) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(recalled(value, order(200 - kRemembered + 2, "other")) == DuplicateCheck::clash);
         // Beyond it lower numbers go as the page says: acknowledged, and nothing changes.
         const auto beyond = order(1, "other");
-        CPPUNIT_ASSERT(recalled(value, beyond) == Recalled::unknown);
+        CPPUNIT_ASSERT(recalled(value, beyond) == DuplicateCheck::unknown);
         value = change(value, beyond);
-        CPPUNIT_ASSERT(recalled(value, beyond) == Recalled::known);
+        CPPUNIT_ASSERT(recalled(value, beyond) == DuplicateCheck::known);
         CPPUNIT_ASSERT_EQUAL(std::string("in force"), body(value));
         CPPUNIT_ASSERT(value.size() < 64 * 24 + 40);
     }
@@ -368,10 +372,10 @@
 
     void overTheRegister() {
         std::size_t answers = 0;
-        CPPUNIT_ASSERT_EQUAL(std::string(), Ballots::play(1, 20'001, Bug::none, answers));
+        CPPUNIT_ASSERT_EQUAL(std::string(), OrderSequences::play(1, 20'001, Bug::none, answers));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(answers), answers > 20'000);  // most are answered at all
         std::cout << " (" << answers << " orders answered in 20000 schedules)";
-        const auto found = Ballots::play(1, 20'001, Bug::numberAlone, answers);
+        const auto found = OrderSequences::play(1, 20'001, Bug::numberAlone, answers);
         CPPUNIT_ASSERT(found.starts_with("seed "));
         std::cout << " (by the number alone: " << found << ")";
     }
@@ -381,16 +385,16 @@
         const auto order = asked("s", "v2", 12'000);
         auto value = begin("", order);
         CPPUNIT_ASSERT(begin(value, order) == value);
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(value), order) == Ordered::known);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(value), order) == RolloutRequestOutcome::known);
         for (const auto* state : {"completed", "rolled_back"}) {
             auto after = ended(value, "v2", state);
             CPPUNIT_ASSERT(begin(after, order) == after);
-            CPPUNIT_ASSERT(ordered(cues::readRollouts(after), order) == Ordered::known);
+            CPPUNIT_ASSERT(ordered(messages::decodeRollouts(after), order) == RolloutRequestOutcome::known);
             after = begin(after, asked("s", "v3", 12'000));
-            CPPUNIT_ASSERT_EQUAL(std::string("v3"), newest(cues::readRollouts(after), "s")->target);
+            CPPUNIT_ASSERT_EQUAL(std::string("v3"), newest(messages::decodeRollouts(after), "s")->target);
             CPPUNIT_ASSERT(begin(after, order) == after);
         }
-        CPPUNIT_ASSERT(newest(cues::readRollouts(value), "t") == nullptr);
+        CPPUNIT_ASSERT(newest(messages::decodeRollouts(value), "t") == nullptr);
     }
 
     // Another deadline makes another order: refused while the first runs, nothing to do where that version is
@@ -398,42 +402,43 @@
     void rolloutsAnew() {
         const auto first = asked("s", "v2", 12'000), again = asked("s", "v2", 15'000);
         const auto running = begin("", first);
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(running), again) == Ordered::underWay);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(running), again) == RolloutRequestOutcome::underWay);
         CPPUNIT_ASSERT(begin(running, again) == running);
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(running), asked("t", "v2", 15'000)) == Ordered::begun);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(running), asked("t", "v2", 15'000)) ==
+                       RolloutRequestOutcome::begun);
         const auto done = ended(running, "v2", "completed");
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(done), again) == Ordered::inForce);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(done), again) == RolloutRequestOutcome::inForce);
         CPPUNIT_ASSERT(begin(done, again) == done);
         const auto back = ended(running, "v2", "rolled_back");
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(back), again) == Ordered::begun);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(back), again) == RolloutRequestOutcome::begun);
         const auto anew = begin(back, again);
-        const auto all = cues::readRollouts(anew);
+        const auto all = messages::decodeRollouts(anew);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, all.size());
         CPPUNIT_ASSERT(all[1].running() && all[1].number > all[0].number && !all[0].running());
         CPPUNIT_ASSERT(begin(anew, first) == anew && begin(anew, again) == anew);
         // Another version tried since and turned back changes nothing of that: v2's pods are all there are.
         const auto tried = ended(begin(done, asked("s", "v3", 12'000)), "v3", "rolled_back");
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(tried), again) == Ordered::inForce);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(tried), again) == RolloutRequestOutcome::inForce);
         CPPUNIT_ASSERT(begin(tried, again) == tried);
         // From v3 back to v2: the service has moved on, so this is work to do.
         auto moved = ended(begin(done, asked("s", "v3", 12'000)), "v3", "completed");
-        CPPUNIT_ASSERT(ordered(cues::readRollouts(moved), again) == Ordered::begun);
+        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(moved), again) == RolloutRequestOutcome::begun);
     }
 
-    // Two orders through two prompters, in both sequences of ballots, each sent again: one runs, the other is
-    // refused for as long as it does.
+    // Two orders through two control nodes, in both sequences of ballots, each sent again: one runs, the
+    // other is refused for as long as it does.
     void rolloutsRace() {
-        const std::vector<cues::Rollout> both{asked("s", "v2", 12'000), asked("s", "v2", 15'000)};
+        const std::vector<messages::Rollout> both{asked("s", "v2", 12'000), asked("s", "v2", 15'000)};
         for (const std::size_t first : {0u, 1u}) {
             auto value = begin("", both[first]);
             value = begin(value, both[1 - first]);
             for (int again = 0; again < 2; ++again) {
                 value = begin(value, both[0]), value = begin(value, both[1]);
-                const auto all = cues::readRollouts(value);
+                const auto all = messages::decodeRollouts(value);
                 CPPUNIT_ASSERT_EQUAL(std::size_t{1}, all.size());
                 CPPUNIT_ASSERT_EQUAL(both[first].term, all[0].term);
-                CPPUNIT_ASSERT(ordered(all, both[first]) == Ordered::known);
-                CPPUNIT_ASSERT(ordered(all, both[1 - first]) == Ordered::underWay);
+                CPPUNIT_ASSERT(ordered(all, both[first]) == RolloutRequestOutcome::known);
+                CPPUNIT_ASSERT(ordered(all, both[1 - first]) == RolloutRequestOutcome::underWay);
             }
         }
     }
@@ -450,8 +455,8 @@
             CPPUNIT_ASSERT(begin(value, order) == value);  // known also after it has ended
             if (at == 100) bytes = value.size();
         }
-        const auto all = cues::readRollouts(value);
-        CPPUNIT_ASSERT(all.size() <= endedKept + 3);
+        const auto all = messages::decodeRollouts(value);
+        CPPUNIT_ASSERT(all.size() <= kEndedKept + 3);
         CPPUNIT_ASSERT(value.size() < bytes + 200);
         CPPUNIT_ASSERT_EQUAL(std::string("v1"), newest(all, "quiet")->target);
         std::int64_t highest = 0;
--- a/tests/config/configuration.cpp
+++ b/tests/config/configuration.cpp
@@ -5,7 +5,7 @@
 #include "support/transcript.hpp"
 
 using namespace lichenlanding;
-using namespace lichenlanding::playbill;
+using namespace lichenlanding::config;
 
 namespace {
 
@@ -26,12 +26,12 @@
            services + "]}";
 }
 
-std::string mistakes(const std::string& body) {
+std::string errors(const std::string& body) {
     try {
-        return "taken, version " + versionText(Playbill::read(body).version) + "\n";
-    } catch (const Refusal& refusal) {
+        return "taken, version " + formatVersion(Configuration::read(body).version) + "\n";
+    } catch (const ValidationError& refusal) {
         std::string text;
-        for (const auto& mistake : refusal.mistakes) text += "  " + mistake + "\n";
+        for (const auto& mistake : refusal.errors) text += "  " + mistake + "\n";
         return "refused\n" + text;
     }
 }
@@ -51,7 +51,7 @@
         const auto good = route("r", "/p/", times + toA);
         std::string seen;
         const auto see = [&](const char* what, const std::string& body) {
-            seen += std::string(what) + ": " + mistakes(body);
+            seen += std::string(what) + ": " + errors(body);
         };
         see("as it should be", whole(good));
         see("cut short", whole(good).substr(0, 200));
@@ -83,7 +83,7 @@
     }
 
     void routes() {
-        const auto playbill = Playbill::read(whole(
+        const auto configuration = Configuration::read(whole(
             route("short", "/a/", times + toA) + "," + route("long", "/a/b/", times + toA) + "," +
             route(
                 "root", "/",
@@ -92,11 +92,12 @@
         std::string seen;
         for (const auto* path :
              {"/a/1", "/a/b/1", "/a/b", "/a/b/?q=/a/", "/ab/1", "/", "/?x", "/a/b/c/d/e", "", "a/"}) {
-            const auto* found = playbill.find("H.example:80", path);
+            const auto* found = configuration.find("H.example:80", path);
             seen += std::string("'") + path + "' -> " + (found ? found->name : "none") + "\n";
         }
-        seen += std::string("other host -> ") + (playbill.find("i.example", "/a/1") ? "some" : "none") + "\n";
-        const auto* root = playbill.find("h.example", "/");
+        seen += std::string("other host -> ") + (configuration.find("i.example", "/a/1") ? "some" : "none") +
+                "\n";
+        const auto* root = configuration.find("h.example", "/");
         seen += "draws 0, 89, 90, 99 -> ";
         for (int draw : {0, 89, 90, 99}) seen += root->service(draw) + " ";
         approve("configuration-routes", seen + "\n");
@@ -107,10 +108,10 @@
         for (int at = 0; at < 520; ++at)
             all += (at ? "," : "") +
                    route("r" + std::to_string(at), "/p" + std::to_string(at) + "/", times + toA);
-        const auto playbill = Playbill::read(whole(all));
+        const auto configuration = Configuration::read(whole(all));
         for (int at = 0; at < 520; ++at)
             CPPUNIT_ASSERT_EQUAL("r" + std::to_string(at),
-                                 playbill.find("h.example", "/p" + std::to_string(at) + "/x")->name);
+                                 configuration.find("h.example", "/p" + std::to_string(at) + "/x")->name);
     }
 
     void settings() {
@@ -131,7 +132,7 @@
                  {"heartbeat of nothing", R"({"node_name":"n","heartbeat":"0ms",)" + rest + "}"},
                  {"no JSON", "node_name=n"}}) {
             try {
-                const auto boot = Boot::read(text);
+                const auto boot = BootstrapSettings::read(text);
                 seen += what + ": slack " + std::to_string(boot.budgetSlack) + ", drain " +
                         std::to_string(boot.drain) + " ns, at " + boot.internal(boot.ip) + "\n";
             } catch (const std::runtime_error& wrong) {
