--- a/tests/consensus/consensus.cpp
+++ b/tests/consensus/consensus.cpp
@@ -10,7 +10,7 @@
 
 #include "support/transcript.hpp"
 
-using namespace lichenlanding::reg;
+using namespace lichenlanding::consensus;
 
 namespace {
 
@@ -53,8 +53,8 @@
     bool founding = false;
 };
 
-std::string text(const Ballot& ballot) {
-    return std::to_string(ballot.round) + "." + std::to_string(ballot.writer);
+std::string text(const ProposalNumber& proposalNumber) {
+    return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.writer);
 }
 std::string text(const Epoch& epoch) {
     std::string all = std::to_string(epoch.number) + ":";
@@ -74,7 +74,8 @@
                           request.key + std::to_string(static_cast<int>(request.kind)) + (reply ? "r" : "q") +
                           std::to_string(request.epoch);
         if (!reply)
-            return all + ::text(request.ballot) + request.value + (request.to ? ::text(*request.to) : "");
+            return all + ::text(request.proposalNumber) + request.value +
+                   (request.to ? ::text(*request.to) : "");
         all += answer.refused ? "b" : answer.taken ? "t" : "n";
         all += std::to_string(answer.epoch) + (answer.sealed ? "s" : "") + ::text(answer.cell.promised) +
                ":" + ::text(answer.cell.accepted) + answer.cell.value;
@@ -90,8 +91,8 @@
     std::string body;  // of a writer
     Epoch epoch;       // that its host knows to be open
     Epoch to;          // of a change: what it proposes
-    std::optional<Run> run;
-    std::optional<Succession> succession;
+    std::optional<Proposal> run;
+    std::optional<Reconfiguration> succession;
     int attempt = 0;
     bool after = false, ended = false;  // begun when something had lasted
     std::string heard;
@@ -100,15 +101,15 @@
 struct World {
     Shape shape;
     Bug bug = Bug::none;
-    std::vector<Copy> copies;
-    std::vector<Copy> images;  // of each disk, as it first was and after its first change
-    std::vector<int> lives;    // of each machine's disk
+    std::vector<Acceptor> copies;
+    std::vector<Acceptor> images;  // of each disk, as it first was and after its first change
+    std::vector<int> lives;        // of each machine's disk
     std::vector<Task> tasks;
     std::vector<Message> messages;
     std::map<std::uint64_t, Epoch> opened;
-    std::map<std::string, Epoch> sets;          // proposals by their text
-    std::map<std::string, std::string> bodies;  // by key and ballot
-    std::map<std::string, Ballot> told;         // by disk: the highest promise that it told
+    std::map<std::string, Epoch> sets;           // proposals by their text
+    std::map<std::string, std::string> bodies;   // by key and ballot
+    std::map<std::string, ProposalNumber> told;  // by disk: the highest promise that it told
     std::vector<std::string> ended;
     std::string broken;
 
@@ -121,7 +122,7 @@
             lives.push_back(1);
             if (at < shape.members) first.members.push_back(member(at));
         }
-        for (int at = 0; at < shape.members; ++at) copies[at].put({{}, Standing{first, true, {}, {}}});
+        for (int at = 0; at < shape.members; ++at) copies[at].put({{}, EpochState{first, true, {}, {}}});
         images = copies;
         opened[first.number] = first;
         if (shape.founding) {
@@ -168,12 +169,12 @@
         task.succession.reset();
         if (task.kind == Task::replace) {
             const auto value = text(task.to);
-            task.run = Run(
+            task.run = Proposal(
                 successorKey(task.epoch), task.epoch, writer, above,
                 [value](const std::string& held) { return held.empty() ? value : held; }, false);
         } else {
             const auto body = task.body;
-            task.run = Run(
+            task.run = Proposal(
                 "k", task.epoch, writer, above,
                 [body](const std::string& held) {
                     return body.empty() || (!held.empty() && held[0] >= body[0]) ? held : body;
@@ -216,7 +217,7 @@
         auto& task = tasks[at];
         task.heard.clear();
         if (task.succession) {
-            if (task.succession->step() == Succession::Step::done) {
+            if (task.succession->step() == Reconfiguration::Step::done) {
                 open(task.succession->to());
                 task.ended = true;
                 const auto replaced = std::count_if(
@@ -226,17 +227,17 @@
                 } else if (replaced < shape.changes) {
                     change(static_cast<int>(replaced));
                 }
-            } else if (task.succession->step() != Succession::Step::lost) {
+            } else if (task.succession->step() != Reconfiguration::Step::lost) {
                 send(at);
             }
             return;
         }
         const auto& run = *task.run;
-        if (run.step() == Run::Step::lost) return;
-        if (run.step() != Run::Step::done) return send(at);
+        if (run.step() == Proposal::Step::lost) return;
+        if (run.step() != Proposal::Step::done) return send(at);
         if (task.kind == Task::replace) {
             const auto decided = sets.at(run.value());
-            task.succession = Succession(task.epoch, decided, static_cast<std::uint32_t>(at + 1));
+            task.succession = Reconfiguration(task.epoch, decided, static_cast<std::uint32_t>(at + 1));
             if (bug == Bug::opensUnsealed || bug == Bug::opensEmpty) {
                 // What a careless host would do: one answer is enough, or nothing is carried over.
                 auto epoch = task.epoch;
@@ -244,11 +245,12 @@
                 if (bug == Bug::opensEmpty)
                     for (auto& copy : copies)
                         if (decided.find(copyAddress(copy), copy.disk()))
-                            copy.put({{}, Standing{decided, true, {}, {}}});
-                task.succession = Succession(epoch, decided, static_cast<std::uint32_t>(at + 1));
+                            copy.put({{}, EpochState{decided, true, {}, {}}});
+                task.succession = Reconfiguration(epoch, decided, static_cast<std::uint32_t>(at + 1));
                 if (bug == Bug::opensEmpty) {
                     for (auto& copy : copies)
-                        if (!task.epoch.find(copyAddress(copy), copy.disk())) copy.put({{{"k", Cell{}}}, {}});
+                        if (!task.epoch.find(copyAddress(copy), copy.disk()))
+                            copy.put({{{"k", RegisterState{}}}, {}});
                     open(decided), task.ended = true;
                     return;
                 }
@@ -266,7 +268,7 @@
             std::count_if(tasks.begin(), tasks.end(), [](const Task& one) { return one.kind == Task::read; });
         if (!ended.empty() && reads < 2) add(Task::read, "");
     }
-    std::string copyAddress(const Copy& copy) const {
+    std::string copyAddress(const Acceptor& copy) const {
         for (std::size_t at = 0; at < copies.size(); ++at)
             if (&copies[at] == &copy) return address(static_cast<int>(at));
         return "";
@@ -276,8 +278,8 @@
     bool stalled(int at) const {
         const auto& task = tasks[at];
         if (task.ended || task.attempt >= 20) return false;
-        const bool lost = task.succession ? task.succession->step() == Succession::Step::lost
-                                          : task.run->step() == Run::Step::lost;
+        const bool lost = task.succession ? task.succession->step() == Reconfiguration::Step::lost
+                                          : task.run->step() == Proposal::Step::lost;
         return lost || std::none_of(messages.begin(), messages.end(), [&](const Message& message) {
                    return message.task == at && message.attempt == task.attempt;
                });
@@ -290,8 +292,8 @@
             for (const auto& copy : copies)
                 if (copy.standing().next && copy.standing().epoch.number == task.epoch.number) {
                     ++task.attempt, task.heard.clear();
-                    task.succession =
-                        Succession(task.epoch, *copy.standing().next, static_cast<std::uint32_t>(at + 1));
+                    task.succession = Reconfiguration(task.epoch, *copy.standing().next,
+                                                      static_cast<std::uint32_t>(at + 1));
                     return send(at);
                 }
         } else {
@@ -346,7 +348,7 @@
         const auto before = copies[machine];
         const bool keeps = bug == Bug::lostDiskKeepsName || (bug == Bug::foundsAgain && shape.founding);
         if (!keeps) ++lives[machine];
-        copies[machine] = Copy(address(machine), std::to_string(lives[machine]));
+        copies[machine] = Acceptor(address(machine), std::to_string(lives[machine]));
         if (keeps && before.standing().epoch.number <= (shape.founding ? 0u : 1u))
             copies[machine].put({{}, images[machine].standing()});
     }
@@ -361,10 +363,11 @@
                 if (asked.members[at].address == address(message.machine)) place = at;
             if (!place) return;
             const bool moves =
-                task.succession ? task.succession->on(*place, static_cast<Succession::Step>(message.step),
-                                                      message.request.key,
-                                                      static_cast<Run::Step>(message.inRun), message.answer)
-                                : task.run->on(*place, static_cast<Run::Step>(message.step), message.answer);
+                task.succession
+                    ? task.succession->on(*place, static_cast<Reconfiguration::Step>(message.step),
+                                          message.request.key, static_cast<Proposal::Step>(message.inRun),
+                                          message.answer)
+                    : task.run->on(*place, static_cast<Proposal::Step>(message.step), message.answer);
             if (moves) moved(message.task);
             return;
         }
@@ -378,9 +381,9 @@
             request.kind <= Request::Kind::accept && !message.ofRun == false &&
             copies.size() > static_cast<std::size_t>(shape.members)) {
             // The spare's copy answers beside the member's own, as one of the members.
-            Copy spare("a", "1");
+            Acceptor spare("a", "1");
             spare.put({copies.back().cells(), copies[0].standing()});
-            reply = spare.weigh(request, update);
+            reply = spare.evaluate(request, update);
             if (update) copies.back().put({update->cells, {}});
             if (!reply.refused && message.task % 2 == 1) return answer(message, reply);
         }
@@ -390,11 +393,11 @@
         } else if (bug == Bug::sealForgets && copy.standing().next) {
             auto standing = copy.standing();
             standing.next.reset();
-            Copy loose(address(message.machine), copy.disk());
+            Acceptor loose(address(message.machine), copy.disk());
             loose.put({copy.cells(), standing});
-            reply = loose.weigh(request, update);
+            reply = loose.evaluate(request, update);
         } else {
-            reply = copy.weigh(request, update);
+            reply = copy.evaluate(request, update);
         }
         if (update) {
             if (bug == Bug::forgetsPromise && request.kind == Request::Kind::prepare)
@@ -412,9 +415,11 @@
             highest = std::max(highest, reply.cell.promised);
         }
         if (request.kind == Request::Kind::accept && reply.taken) {
-            const auto [body, added] = bodies.emplace(request.key + text(request.ballot), request.value);
+            const auto [body, added] =
+                bodies.emplace(request.key + text(request.proposalNumber), request.value);
             if (!added && body->second != request.value)
-                broken = "OneBody: " + text(request.ballot) + " is " + body->second + " and " + request.value;
+                broken = "OneBody: " + text(request.proposalNumber) + " is " + body->second + " and " +
+                         request.value;
         }
         if (copy.standing().open) open(copy.standing().epoch);
     }
@@ -453,7 +458,7 @@
             all += "#" + std::to_string(task.attempt) + (task.ended ? "e" : "") + text(task.epoch);
             if (task.run)
                 all += std::to_string(static_cast<int>(task.run->step())) + task.run->value() +
-                       std::to_string(task.run->above()) + text(task.run->ballot());
+                       std::to_string(task.run->above()) + text(task.run->proposalNumber());
             if (task.succession) all += "s" + std::to_string(static_cast<int>(task.succession->step()));
             all += "~" + task.heard;
         }
@@ -584,21 +589,22 @@
         Epoch epoch{1, {{"a", "1", "", ""}, {"b", "1", "", ""}, {"c", "1", "", ""}}};
         const Change asItIs = [](const std::string& held) { return held; };
         for (std::uint32_t first = 0; first < 3; ++first) {
-            std::vector<Copy> copies;
+            std::vector<Acceptor> copies;
             for (std::uint32_t at = 0; at < 3; ++at) {
                 copies.emplace_back(std::string(1, static_cast<char>('a' + at)), "1");
-                copies[at].put(
-                    {{{"k", {{3, 9}, {at + 1, 9}, std::to_string(at + 1)}}}, Standing{epoch, true, {}, {}}});
+                copies[at].put({{{"k", {{3, 9}, {at + 1, 9}, std::to_string(at + 1)}}},
+                                EpochState{epoch, true, {}, {}}});
             }
             const auto read = [&](std::uint32_t from, std::uint64_t above) {
-                Run run("k", epoch, 1, above, asItIs, true);
-                while (run.step() != Run::Step::done) {
-                    if (run.step() == Run::Step::lost) run = Run("k", epoch, 1, run.above(), asItIs, false);
+                Proposal run("k", epoch, 1, above, asItIs, true);
+                while (run.step() != Proposal::Step::done) {
+                    if (run.step() == Proposal::Step::lost)
+                        run = Proposal("k", epoch, 1, run.above(), asItIs, false);
                     const auto request = run.request();
                     const auto step = run.step();
                     for (std::uint32_t at = 0; at < 3; ++at) {
                         std::optional<Update> update;
-                        const auto reply = copies[(from + at) % 3].weigh(request, update);
+                        const auto reply = copies[(from + at) % 3].evaluate(request, update);
                         if (update) copies[(from + at) % 3].put(*update);
                         run.on((from + at) % 3, step, reply);
                     }
@@ -615,7 +621,7 @@
     // the first to answer: the others are a majority all the same.
     void sealedBefore() {
         const Epoch two{2, {{"a", "1", "", ""}, {"b", "1", "", ""}, {"c", "1", "", ""}}};
-        Run run(
+        Proposal run(
             "k", two, 1, 0, [](const std::string&) { return "new"; }, false);
         const auto refusal = [](std::uint64_t epoch, bool sealed) {
             Reply reply;
@@ -624,7 +630,7 @@
         };
         Reply taken;
         taken.taken = true;
-        while (run.step() != Run::Step::done) {
+        while (run.step() != Proposal::Step::done) {
             const auto step = run.step();
             CPPUNIT_ASSERT(!run.on(0, step, refusal(1, true)));
             CPPUNIT_ASSERT(!run.on(1, step, taken));
@@ -632,10 +638,10 @@
         }
         // Sealed in its own epoch, or further on: nothing more to win.
         for (const auto& reply : {refusal(2, true), refusal(3, false)}) {
-            Run other(
+            Proposal other(
                 "k", two, 1, 0, [](const std::string&) { return "new"; }, false);
-            CPPUNIT_ASSERT(other.on(0, Run::Step::prepare, reply));
-            CPPUNIT_ASSERT(other.step() == Run::Step::lost);
+            CPPUNIT_ASSERT(other.on(0, Proposal::Step::prepare, reply));
+            CPPUNIT_ASSERT(other.step() == Proposal::Step::lost);
         }
     }
     // A body that one disk took in an old epoch, and nobody ended with, does not come back above a later one
@@ -643,52 +649,53 @@
     void lowBallotsStayBelow() {
         const Epoch one{1, {{"a", "1", "", ""}, {"b", "1", "", ""}, {"c", "1", "", ""}}};
         const Epoch two{2, {{"c", "1", "", ""}, {"d", "1", "", ""}, {"e", "1", "", ""}}};
-        std::map<std::string, Copy> copies;
+        std::map<std::string, Acceptor> copies;
         for (const auto* name : {"a", "b", "c", "d", "e"}) {
-            copies.emplace(name, Copy(name, "1"));
-            if (name[0] < 'd') copies.at(name).put({{}, Standing{one, true, {}, {}}});
+            copies.emplace(name, Acceptor(name, "1"));
+            if (name[0] < 'd') copies.at(name).put({{}, EpochState{one, true, {}, {}}});
         }
         const auto ask = [&](const std::string& name, const Request& request) {
             std::optional<Update> update;
             auto& copy = copies.at(name);
-            const auto reply = copy.weigh(request, update);
+            const auto reply = copy.evaluate(request, update);
             if (update) copy.put(*update);
             return reply;
         };
         Request request;
-        request.epoch = 1, request.key = "k", request.ballot = {100, 1};
+        request.epoch = 1, request.key = "k", request.proposalNumber = {100, 1};
         request.kind = Request::Kind::prepare;
         for (const auto* name : {"a", "b", "c"}) CPPUNIT_ASSERT(ask(name, request).taken);
         request.kind = Request::Kind::accept, request.value = "old";
         CPPUNIT_ASSERT(ask("a", request).taken);  // and nobody else hears of it
-        Succession succession(one, two, 2);
-        for (int turn = 0; turn < 20 && succession.step() != Succession::Step::done; ++turn) {
+        Reconfiguration succession(one, two, 2);
+        for (int turn = 0; turn < 20 && succession.step() != Reconfiguration::Step::done; ++turn) {
             const auto requests = succession.requests();
             const auto step = succession.step();
             const auto asked = succession.asked();
             for (const auto& each : requests) {
                 const auto run = succession.runs().find(each.key);
-                const auto inRun = run == succession.runs().end() ? Run::Step::look : run->second.step();
+                const auto inRun = run == succession.runs().end() ? Proposal::Step::look : run->second.step();
                 for (std::uint32_t at = 0; at < asked.members.size(); ++at) {
                     const auto& name = asked.members[at].address;
-                    if (name == "a" || (name == "c" && step != Succession::Step::seal)) continue;  // cut off
+                    if (name == "a" || (name == "c" && step != Reconfiguration::Step::seal))
+                        continue;  // cut off
                     succession.on(at, step, each.key, inRun, ask(name, each));
                 }
             }
         }
-        CPPUNIT_ASSERT(succession.step() == Succession::Step::done);
-        Run later(
+        CPPUNIT_ASSERT(succession.step() == Reconfiguration::Step::done);
+        Proposal later(
             "k", two, 3, 0, [](const std::string&) { return "new"; }, false);
-        for (int turn = 0; turn < 9 && later.step() != Run::Step::done; ++turn) {
-            if (later.step() == Run::Step::lost)
-                later = Run(
+        for (int turn = 0; turn < 9 && later.step() != Proposal::Step::done; ++turn) {
+            if (later.step() == Proposal::Step::lost)
+                later = Proposal(
                     "k", two, 3, later.above(), [](const std::string&) { return "new"; }, false);
             const auto step = later.step();
             const auto asked = later.request();
             for (std::uint32_t at = 1; at < 3; ++at) later.on(at, step, ask(two.members[at].address, asked));
         }
-        CPPUNIT_ASSERT(later.step() == Run::Step::done);
-        CPPUNIT_ASSERT(later.ballot() > copies.at("a").cell("k").accepted);
+        CPPUNIT_ASSERT(later.step() == Proposal::Step::done);
+        CPPUNIT_ASSERT(later.proposalNumber() > copies.at("a").cell("k").accepted);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RegisterTest);
--- a/tests/control_plane/admin_api.cpp
+++ b/tests/control_plane/admin_api.cpp
@@ -125,7 +125,7 @@
     void earlierFormat() {
         ControlStage stage;
         const auto order = configuration("0000000c");
-        stage.reg.values[prompter::configurationKey] = "0000000c" + squeeze(order);
+        stage.reg.values[control_plane::kConfigurationKey] = "0000000c" + compress(order);
         CPPUNIT_ASSERT_EQUAL(order, stage.call("config.read").body());
         CPPUNIT_ASSERT_EQUAL(200u, stage.status("config.replace", order));
         CPPUNIT_ASSERT_EQUAL(409u, stage.status("config.replace", configuration("0000000c", "/b/")));
@@ -247,7 +247,7 @@
     // just those, without an answer. The others' bounds are long, so that it can't be one of them that did.
     void tooSlow() {
         const auto order = ControlStage::bytes("config.replace", configuration("00000002"));
-        const auto ends = [](prompter::CallerBounds bounds, const std::string& sent) {
+        const auto ends = [](control_plane::AdminApiLimits bounds, const std::string& sent) {
             ControlStage stage(false, bounds);
             const auto caller = stage.connect();
             stage.send(caller, sent);
@@ -255,13 +255,14 @@
             stage.until([&] { return stage.calls.callers() == 0; });
             CPPUNIT_ASSERT_EQUAL(std::size_t{0}, stage.reg.asked);
         };
-        prompter::CallerBounds idle, head, body, taking;
-        idle.idle = head.head = body.body = taking.taking = 30 * ms;
+        control_plane::AdminApiLimits idle, head, body, taking;
+        idle.idle = head.head = body.body = taking.taking = 30 * kMillisecond;
         ends(idle, "");
         ends(head, order.substr(0, 20));
         ends(body, order.substr(0, order.size() - 20));
         ControlStage stage(false, taking);
-        stage.reg.values[prompter::configurationKey] = "0000000c" + squeeze(std::string(32 << 20, 'x'));
+        stage.reg.values[control_plane::kConfigurationKey] =
+            "0000000c" + compress(std::string(32 << 20, 'x'));
         const auto deaf = stage.connect(4096);
         stage.send(deaf, ControlStage::bytes("config.read"));
         stage.until([&] { return stage.reg.asked == 1; });
@@ -271,7 +272,7 @@
     // Where all places are taken, the caller that has been idle longest gives way, then one that is slow to
     // send; one that is being answered never does, and a new one waits for it.
     void placesBounded() {
-        prompter::CallerBounds bounds;
+        control_plane::AdminApiLimits bounds;
         bounds.callers = 3;
         ControlStage stage(false, bounds);
         twoServices(stage);
--- a/tests/control_plane/admin_api_contract.cpp
+++ b/tests/control_plane/admin_api_contract.cpp
@@ -28,11 +28,11 @@
 
 std::string tell(const Json& configuration) {
     try {
-        playbill::Playbill::read(configuration.dump());
+        config::Configuration::read(configuration.dump());
         return "taken";
-    } catch (const playbill::Refusal& refusal) {
+    } catch (const config::ValidationError& refusal) {
         std::string all;
-        for (const auto& mistake : refusal.mistakes) all += (all.empty() ? "" : "; ") + mistake;
+        for (const auto& mistake : refusal.errors) all += (all.empty() ? "" : "; ") + mistake;
         return all;
     }
 }
@@ -51,7 +51,7 @@
         const auto documented = file["paths"]["/api/rpc"]["post"]["responses"];
         using control_stage::configuration;
         control_stage::ControlStage stage;
-        std::map<std::string, std::vector<prompter::OperatorCalls::Response>> seen;
+        std::map<std::string, std::vector<control_plane::AdminApi::Response>> seen;
         const auto ask = [&](const std::string& call, const std::string& body) {
             const auto response = stage.call(call, body);
             seen[std::to_string(response.result_int())].push_back(response);
--- a/tests/control_plane/endpoint_discovery.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -12,27 +12,28 @@
 
     asio::io_context io{1};
     tcp::acceptor door{listen(io, "127.0.0.1:0")};
-    playbill::Boot boot;
-    callboard::Callboard board{{}};
+    config::BootstrapSettings boot;
+    subscription::ConfigurationCache cache{{}};
     std::uint64_t term = 1;
     std::vector<std::string> asked;
     std::function<std::string(const std::string& target)> page;  // "": turned away
-    prompter::ListDuty duty{io, boot, board, [this] { return term; }, [](const callboard::Json&) {}};
+    control_plane::EndpointDiscovery duty{io, boot, cache, [this] { return term; },
+                                          [](const subscription::Json&) {}};
 
     Task<> platform() {
         auto socket = co_await door.async_accept(asio::use_awaitable);
         beast::flat_buffer buffer;
         for (;;) {
             http::request<http::string_body> request;
-            Code code;
-            co_await http::async_read(socket, buffer, request, told(code));
+            ErrorCode code;
+            co_await http::async_read(socket, buffer, request, withErrorCode(code));
             if (code) co_return;
             asked.emplace_back(request.target());
             const auto body = page(asked.back());
             const auto head = "HTTP/1.1 " + std::string(body.empty() ? "429 No" : "200 OK");
             const auto answer =
                 head + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
-            co_await asio::async_write(socket, asio::buffer(answer), told(code));
+            co_await asio::async_write(socket, asio::buffer(answer), withErrorCode(code));
         }
     }
 
@@ -52,9 +53,9 @@
         boot.list = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
         start(io, "platform", platform());
         start(io, "list", duty.poll());
-        for (const Nanos began = now(); !board.listed(); io.run_one_for(std::chrono::milliseconds(5)))
-            CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", now() - began < 5 * second);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, board.edition().term);
+        for (const Nanos began = now(); !cache.listed(); io.run_one_for(std::chrono::milliseconds(5)))
+            CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", now() - began < 5 * kSecond);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, cache.endpointListVersion().term);
         CPPUNIT_ASSERT_EQUAL(std::string("/instances"), asked[2]);
         CPPUNIT_ASSERT_EQUAL(3, firsts);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", asked.size() <= 14);
--- a/tests/control_plane/replica_node.cpp
+++ b/tests/control_plane/replica_node.cpp
@@ -13,29 +13,29 @@
 
   public:
     // A disk hangs in the middle of a write: the two others are a majority, also for writes by its own
-    // prompter. While two hang nothing is acknowledged, and what was written to one only may not be lost or
-    // told.
+    // control node. While two hang nothing is acknowledged, and what was written to one only may not be lost
+    // or told.
     void hangs() {
         Cast trio(3, 3);
-        trio.until("all are in contact", [&] { return trio.inContact({0, 1, 2}); });
-        CPPUNIT_ASSERT_EQUAL(std::string("one"), trio.write(0, "one", 3 * second));
+        trio.until("all are in contact", [&] { return trio.hasQuorumContact({0, 1, 2}); });
+        CPPUNIT_ASSERT_EQUAL(std::string("one"), trio.write(0, "one", 3 * kSecond));
         auto& stuck = trio.disks[1];
         stuck.set(stuck.hangs, true);
-        CPPUNIT_ASSERT_EQUAL(std::string("two"), trio.write(0, "two", 3 * second));
+        CPPUNIT_ASSERT_EQUAL(std::string("two"), trio.write(0, "two", 3 * kSecond));
         trio.until("the disk hangs", [&] { return stuck.held() >= 1; });  // in the middle of it
-        CPPUNIT_ASSERT_EQUAL(std::string("three"), trio.write(1, "three", 3 * second));
+        CPPUNIT_ASSERT_EQUAL(std::string("three"), trio.write(1, "three", 3 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), trio.read(2));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), trio.read(1));
         auto& second_ = trio.disks[2];
         second_.set(second_.hangs, true);
-        CPPUNIT_ASSERT_EQUAL(std::string("-"), trio.write(0, "four", 150 * ms));
+        CPPUNIT_ASSERT_EQUAL(std::string("-"), trio.write(0, "four", 150 * kMillisecond));
         for (const auto& member : trio.members)
             for (const auto& told : member->told) CPPUNIT_ASSERT(told != "four");
         stuck.set(stuck.hangs, false), second_.set(second_.hangs, false);
         const auto after = trio.read(1);  // it may have come into force or not, but then for all
         CPPUNIT_ASSERT(after == "three" || after == "four");
         CPPUNIT_ASSERT_EQUAL(after, trio.read(2));
-        CPPUNIT_ASSERT_EQUAL(std::string("five"), trio.write(2, "five", 3 * second));
+        CPPUNIT_ASSERT_EQUAL(std::string("five"), trio.write(2, "five", 3 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("five"), trio.read(0));
     }
 
@@ -43,15 +43,15 @@
     // way for ever. Each write is asked for once, with the time that an operator's order has.
     void farApart() {
         Cast cast(6, 6);
-        for (const auto& member : cast.members) member->away = 12 * ms;
-        cast.until("all are in contact", [&] { return cast.inContact({0, 1, 2, 3, 4, 5}); });
+        for (const auto& member : cast.members) member->away = 12 * kMillisecond;
+        cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3, 4, 5}); });
         for (int round = 0; round < 20; ++round) {
             const auto value = std::to_string(round);
-            CPPUNIT_ASSERT_EQUAL(value, cast.write(round % 6, value, 900 * ms));
+            CPPUNIT_ASSERT_EQUAL(value, cast.write(round % 6, value, 900 * kMillisecond));
         }
         cast.until("all know the last", [&] {
             return std::all_of(cast.members.begin(), cast.members.end(), [](const auto& member) {
-                return member->keeper->known(prompter::configurationKey).value == "19";
+                return member->replica->known(control_plane::kConfigurationKey).value == "19";
             });
         });
     }
@@ -60,7 +60,7 @@
     void droppedAtOnce() {
         asio::io_context io{1};
         tcp::acceptor door(listen(io, "127.0.0.1:0"));
-        auto owner = std::make_shared<Link::Owner>();
+        auto owner = std::make_shared<PeerConnection::Owner>();
         std::weak_ptr<Dialer> seen;
         {
             const auto address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
@@ -77,15 +77,15 @@
     // A full disk gives no word; with another one that hangs there is no 200, and with room again there is.
     void full() {
         Cast trio(3, 3);
-        trio.until("all are in contact", [&] { return trio.inContact({0, 1, 2}); });
+        trio.until("all are in contact", [&] { return trio.hasQuorumContact({0, 1, 2}); });
         auto& first = trio.disks[0];
         first.set(first.full, true);
-        CPPUNIT_ASSERT_EQUAL(std::string("one"), trio.write(0, "one", 3 * second));
+        CPPUNIT_ASSERT_EQUAL(std::string("one"), trio.write(0, "one", 3 * kSecond));
         trio.disks[2].set(trio.disks[2].hangs, true);
-        CPPUNIT_ASSERT_EQUAL(std::string("-"), trio.write(1, "two", 150 * ms));
+        CPPUNIT_ASSERT_EQUAL(std::string("-"), trio.write(1, "two", 150 * kMillisecond));
         first.set(first.full, false);
-        CPPUNIT_ASSERT_EQUAL(std::string("two"), trio.write(1, "two", 3 * second));
-        CPPUNIT_ASSERT(first.cells.contains(prompter::configurationKey));
+        CPPUNIT_ASSERT_EQUAL(std::string("two"), trio.write(1, "two", 3 * kSecond));
+        CPPUNIT_ASSERT(first.cells.contains(control_plane::kConfigurationKey));
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(KeeperTest);
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -28,7 +28,7 @@
 
 void configuration(std::string_view bytes) {
     try {
-        const auto read = playbill::Playbill::read(bytes);
+        const auto read = config::Configuration::read(bytes);
         for (const auto& route : read.routes) {
             insist(read.find(route.host, route.prefix + "x") != nullptr ||
                    route.host.find(':') != std::string::npos);
@@ -37,14 +37,14 @@
                 insist(std::any_of(route.shares.begin(), route.shares.end(),
                                    [&](const auto& share) { return share.service == route.service(at); }));
         }
-    } catch (const playbill::Refusal& refusal) {
-        insist(!refusal.mistakes.empty());
+    } catch (const config::ValidationError& refusal) {
+        insist(!refusal.errors.empty());
     }
 }
 
 void settings(std::string_view bytes) {
     try {
-        insist(!playbill::Boot::read(bytes).internalPorts.empty());
+        insist(!config::BootstrapSettings::read(bytes).internalPorts.empty());
     } catch (const std::runtime_error&) {
     }
 }
@@ -58,13 +58,13 @@
     }
     if (json.is_discarded()) return;
     try {
-        const auto totals = cues::readTotals(json);
-        insist(cues::write(cues::readTotals(cues::write(totals))) == cues::write(totals));
+        const auto totals = messages::decodeTotals(json);
+        insist(messages::write(messages::decodeTotals(messages::write(totals))) == messages::write(totals));
     } catch (const Json::exception&) {
     }
     try {
-        const auto cell = cues::readCell(json);
-        insist(cues::readCell(cues::write(cell)) == cell);
+        const auto cell = messages::decodeRegisterState(json);
+        insist(messages::decodeRegisterState(messages::write(cell)) == cell);
     } catch (const Json::exception&) {
     }
 }
@@ -73,23 +73,23 @@
     const auto json = Json::parse(bytes, nullptr, false);
     if (json.is_discarded()) return;
     try {
-        const auto member = cues::listed(json);
-        insist(cues::readMember(cues::write(member)) == member);
+        const auto member = messages::listed(json);
+        insist(messages::decodeEndpoint(messages::write(member)) == member);
     } catch (const std::exception&) {
     }
 }
 
 void rollouts(std::string_view bytes) {
     try {
-        const auto read = cues::readRollouts(std::string(bytes));
-        insist(cues::readRollouts(cues::write(read)).size() == read.size());
+        const auto read = messages::decodeRollouts(std::string(bytes));
+        insist(messages::decodeRollouts(messages::write(read)).size() == read.size());
     } catch (const Json::exception&) {
     }
 }
 
 // News in any order: nothing goes back, and what one copy holds another can be mended to.
 void news(std::string_view bytes) {
-    using callboard::Callboard;
+    using subscription::ConfigurationCache;
     Json messages;
     try {
         messages = Json::from_cbor(bytes, true, false);
@@ -97,34 +97,36 @@
         return;
     }
     if (!messages.is_array()) return;
-    Callboard board{{}};
+    ConfigurationCache cache{{}};
     std::uint32_t version = 0;
     Nanos now = 1'000'000'000;
     for (const auto& message : messages) {
         try {
             if (message.is_object())
-                board.heard(message, Callboard::From::prompter, now += 1'000'000'000, [](const Json&) {});
+                cache.heard(message, ConfigurationCache::MessageSource::controlNode, now += 1'000'000'000,
+                            [](const Json&) {});
         } catch (const Json::exception&) {  // a link ends there
         }
-        insist(board.version() >= version);
-        version = board.version();
-        for (const auto& [id, _] : board.troupe().members()) insist(!board.troupe().left(id));
+        insist(cache.version() >= version);
+        version = cache.version();
+        for (const auto& [id, _] : cache.endpoints().members()) insist(!cache.endpoints().left(id));
     }
-    Callboard other{{}};
+    ConfigurationCache other{{}};
     std::vector<Json> wants;
-    other.heard(board.digest(), Callboard::From::prompter, now, [&](Json want) { wants.push_back(want); });
+    other.heard(cache.digest(), ConfigurationCache::MessageSource::controlNode, now,
+                [&](Json want) { wants.push_back(want); });
     for (const auto& want : wants)
-        board.heard(want, Callboard::From::follower, now, [&](const Json& answer) {
-            other.heard(answer, Callboard::From::prompter, now, [](const Json&) {});
+        cache.heard(want, ConfigurationCache::MessageSource::follower, now, [&](const Json& answer) {
+            other.heard(answer, ConfigurationCache::MessageSource::controlNode, now, [](const Json&) {});
         });
-    insist(other.version() == board.version());
-    if (board.listed()) insist(other.digest() == board.digest());
+    insist(other.version() == cache.version());
+    if (cache.listed()) insist(other.digest() == cache.digest());
 }
 
-void squeezed(std::string_view bytes) {
-    insist(wings::unsqueeze(wings::squeeze(bytes)) == bytes);
+void compressed(std::string_view bytes) {
+    insist(transport::decompress(transport::compress(bytes)) == bytes);
     try {
-        wings::unsqueeze(bytes, 1 << 20);
+        transport::decompress(bytes, 1 << 20);
     } catch (const std::runtime_error&) {
     }
 }
@@ -132,7 +134,7 @@
 // Frames cut from the bytes (each length in two bytes): what is put together was all there; then the bytes
 // themselves, made large, there and back, with one frame spoilt on the way.
 void pieces(std::string_view bytes) {
-    wings::Assembly in;
+    transport::ChunkReassembler in;
     std::size_t given = 0;
     try {
         for (auto left = bytes; left.size() >= 2;) {
@@ -148,12 +150,12 @@
     }
     if (bytes.empty()) return;
     std::string large;
-    while (large.size() <= wings::wholeAtMost + bytes.size()) large += bytes;
-    wings::Outbox out;
+    while (large.size() <= transport::kWholeAtMost + bytes.size()) large += bytes;
+    transport::SendQueue out;
     out.push(std::make_shared<const std::string>(large));
     out.push(std::make_shared<const std::string>(large));
     const auto spoilt = 1 + static_cast<unsigned char>(bytes.front()) % 2;
-    wings::Assembly back;
+    transport::ChunkReassembler back;
     std::optional<std::string> first;
     try {
         for (int frames = 0; !out.empty(); ++frames) {
@@ -172,33 +174,33 @@
 void orders_(std::string_view bytes) {
     try {
         const std::string value(bytes);
-        const auto held = orders::read(value);
-        const auto written = orders::write(held);
-        insist(orders::write(orders::read(written)) == written);
-        insist(orders::version(value) == held.version && orders::squeezed(value) == held.squeezed);
+        const auto held = admin::read(value);
+        const auto written = admin::write(held);
+        insist(admin::write(admin::read(written)) == written);
+        insist(admin::version(value) == held.version && admin::compressed(value) == held.compressed);
         if (value.starts_with("o1")) insist(written == value);
-        const auto order = orders::order(held.version + 1, "body");
+        const auto order = admin::order(held.version + 1, "body");
         if (held.version < std::numeric_limits<std::uint32_t>::max()) {
-            const auto after = orders::change(value, order);
-            insist(orders::recalled(after, order) != orders::Recalled::unknown);
-            insist(orders::change(after, order) == after);
+            const auto after = admin::change(value, order);
+            insist(admin::recalled(after, order) != admin::DuplicateCheck::unknown);
+            insist(admin::change(after, order) == after);
         }
-    } catch (const orders::Unreadable&) {
+    } catch (const admin::ParseError&) {
     }
 }
 
 void duties_(std::string_view bytes) {
     try {
-        const auto read = duties::read(std::string(bytes));
-        insist(duties::read(duties::write(read)) == read);
-        const duties::Self self{"10.1.0.1:7720", 7};
+        const auto read = leases::read(std::string(bytes));
+        insist(leases::read(leases::write(read)) == read);
+        const leases::ProcessIdentity self{"10.1.0.1:7720", 7};
         for (const auto& [name, duty] : read) {
             if (duty.term > std::uint64_t{1} << 62) continue;
-            const auto taken = duties::read(duties::taking(name, self, duty.term)(std::string(bytes)));
-            insist(duties::holds(taken.at(name), self) && taken.at(name).term == duty.term + 1);
+            const auto taken = leases::read(leases::taking(name, self, duty.term)(std::string(bytes)));
+            insist(leases::holds(taken.at(name), self) && taken.at(name).term == duty.term + 1);
             insist(taken.size() == read.size());
             if (duty.term > 0)
-                insist(duties::read(duties::taking(name, self, duty.term - 1)(std::string(bytes))) == read);
+                insist(leases::read(leases::taking(name, self, duty.term - 1)(std::string(bytes))) == read);
         }
     } catch (const Json::exception&) {
     }
@@ -228,27 +230,27 @@
         return;
     }
     if (json.is_discarded()) return;
-    reg::Copy copy("a", "1");
-    copy.put({{}, reg::Standing{{1, {{"a", "1", "", ""}}}, true, {}, {}}});
+    consensus::Acceptor copy("a", "1");
+    copy.put({{}, consensus::EpochState{{1, {{"a", "1", "", ""}}}, true, {}, {}}});
     try {
-        const auto request = membership::readRequest(json);
-        insist(membership::write(membership::readRequest(membership::write(request))) ==
+        const auto request = membership::decodeRequest(json);
+        insist(membership::write(membership::decodeRequest(membership::write(request))) ==
                membership::write(request));
-        std::optional<reg::Update> update;
-        const auto reply = copy.weigh(request, update);
+        std::optional<consensus::Update> update;
+        const auto reply = copy.evaluate(request, update);
         if (update) copy.put(*update);
-        insist(membership::write(membership::readReply(membership::write(reply))) ==
+        insist(membership::write(membership::decodeReply(membership::write(reply))) ==
                membership::write(reply));
     } catch (const Json::exception&) {
     }
     try {
-        const auto standing = membership::readStanding(json);
-        insist(membership::readStanding(membership::write(standing)) == standing);
+        const auto standing = membership::decodeEpochState(json);
+        insist(membership::decodeEpochState(membership::write(standing)) == standing);
     } catch (const Json::exception&) {
     }
     try {
-        const auto reply = membership::readReply(json);
-        insist(membership::write(membership::readReply(membership::write(reply))) ==
+        const auto reply = membership::decodeReply(json);
+        insist(membership::write(membership::decodeReply(membership::write(reply))) ==
                membership::write(reply));
     } catch (const Json::exception&) {
     }
@@ -276,7 +278,7 @@
             rollouts(bytes);
             break;
         case 5:
-            squeezed(bytes);
+            compressed(bytes);
             break;
         case 6:
             request(bytes);
@@ -305,43 +307,45 @@
     verdict::Totals totals;
     totals["r"][0].count(1000, 1000, false);
     std::string cbor;
-    Json::to_cbor(cues::write(totals), cbor);
+    Json::to_cbor(messages::write(totals), cbor);
     std::string cell;
-    Json::to_cbor(cues::write(reg::Cell{{3, 1}, {2, 9}, "value"}), cell);
-    callboard::Callboard board{{}};
-    board.configuration(7, "seven");
-    board.rollouts(3, "[]");
+    Json::to_cbor(messages::write(consensus::RegisterState{{3, 1}, {2, 9}, "value"}), cell);
+    subscription::ConfigurationCache cache{{}};
+    cache.configuration(7, "seven");
+    cache.rollouts(3, "[]");
     Json told = Json::array();
     const auto pod = [](const char* id, bool draining) {
-        return troupe::Member{id, "s", "1.1.1.1:1", "z", "v1", 2, draining, 0};
+        return discovery::Endpoint{id, "s", "1.1.1.1:1", "z", "v1", 2, draining, 0};
     };
-    told.push_back(board.list({pod("i-1", false), pod("i-2", true)}, 1));
-    told.push_back(board.digest());
-    told.push_back({{"t", "configuration"}, {"version", 7}, {"squeezed", cues::writeText("seven")}});
-    told.push_back(board.order());
-    told.push_back(board.list({pod("i-2", true), pod("i-3", false)}, 1));
+    told.push_back(cache.list({pod("i-1", false), pod("i-2", true)}, 1));
+    told.push_back(cache.digest());
+    told.push_back({{"t", "configuration"}, {"version", 7}, {"squeezed", messages::encodeBytes("seven")}});
+    told.push_back(cache.order());
+    told.push_back(cache.list({pod("i-2", true), pod("i-3", false)}, 1));
     std::string heard;
     Json::to_cbor(told, heard);
-    cues::Rollout order;
+    messages::Rollout order;
     order.service = "s", order.target = "v2";
-    const reg::Epoch one{1, {{"a", "1", "z", "r"}, {"b", "2", "z", "r"}}}, two{2, {{"a", "1", "z", "r"}}};
+    const consensus::Epoch one{1, {{"a", "1", "z", "r"}, {"b", "2", "z", "r"}}},
+        two{2, {{"a", "1", "z", "r"}}};
     const auto packed = [&](const Json& message) {
         std::string bytes;
         Json::to_cbor(message, bytes);
         return seed(11, bytes);
     };
-    reg::Request seal, accept;
-    seal.kind = reg::Request::Kind::seal, seal.epoch = 1, seal.from = one, seal.to = two;
+    consensus::Request seal, accept;
+    seal.kind = consensus::Request::Kind::seal, seal.epoch = 1, seal.from = one, seal.to = two;
     seal.holds["k"] = {3, 4};
-    accept.kind = reg::Request::Kind::accept, accept.epoch = 1, accept.key = "k", accept.ballot = {3, 4};
+    accept.kind = consensus::Request::Kind::accept, accept.epoch = 1, accept.key = "k",
+    accept.proposalNumber = {3, 4};
     accept.value = "value";
-    reg::Reply sealed;
+    consensus::Reply sealed;
     sealed.taken = true, sealed.cells["k"] = {{3, 4}, {2, 1}, "value"};
     const std::vector<std::string> seeds{
         packed(membership::write(seal)),
         packed(membership::write(accept)),
         packed(membership::write(sealed)),
-        packed(membership::write(reg::Standing{one, true, two, {}})),
+        packed(membership::write(consensus::EpochState{one, true, two, {}})),
         seed(
             0,
             R"({"config_version":"0000000c","resources":[{"resource_type":"route_table","metadata":{"name":"r"},"spec":{"hostname":"h","path_prefix":"/p/","route_class":"idempotent","timeout":"1s","target_latency":"1s","traffic_split":[{"service_name":"s","weight":3}]}},{"resource_type":"service_table","metadata":{"name":"s"},"spec":{}}]})"),
@@ -353,15 +357,15 @@
         seed(
             3,
             R"({"service_name":"s","address":"1.1.1.1:1","zone":"z","config_version":"v1","capacity_slots":2,"state":"ready","warmup_left":"10ms","instance_id":"i"})"),
-        seed(4, cues::write(std::vector{order})),
+        seed(4, messages::write(std::vector{order})),
         seed(7, heard),
         seed(8, std::string("\0\x14k\1\0\0\0\0\0\0\0\1\0\0\0\xc2\x41\x24\x35"
                             "abc",
                             22)),
-        seed(10, orders::change(orders::change("", orders::order(3, "three")), orders::order(7, "seven"))),
-        seed(10, "00000007" + wings::squeeze("old")),
-        seed(9, duties::write({{"list", {"10.1.0.2:7720", 5, 3}}, {"rollouts", {"10.1.0.1:7720", 7, 1}}})),
-        seed(5, wings::squeeze(std::string(3000, 'x') + "yz")),
+        seed(10, admin::change(admin::change("", admin::order(3, "three")), admin::order(7, "seven"))),
+        seed(10, "00000007" + transport::compress("old")),
+        seed(9, leases::write({{"list", {"10.1.0.2:7720", 5, 3}}, {"rollouts", {"10.1.0.1:7720", 7, 1}}})),
+        seed(5, transport::compress(std::string(3000, 'x') + "yz")),
         seed(6, "POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"),
         seed(6, "POST /p/1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")};
     const std::string_view words[] = {"\"timeout\":\"1s\"",
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -1,6 +1,6 @@
-// The gateway's own programs as processes on loopback addresses: three prompters, two foyers, and stand-ins
-// for the platform, the pods and the operator. Machines are killed, lose their disks and come back. Waiting
-// is for lines of their logs and for answers, never for time alone.
+// The gateway's own programs as processes on loopback addresses: three control nodes, two proxies, and
+// stand-ins for the platform, the pods and the operator. Machines are killed, lose their disks and come back.
+// Waiting is for lines of their logs and for answers, never for time alone.
 #include <spawn.h>
 #include <sys/wait.h>
 
@@ -17,7 +17,7 @@
 #include "support/transcript.hpp"
 #include "transport/peer_connection.hpp"
 
-using namespace lichenlanding::wings;
+using namespace lichenlanding::transport;
 using lichenlanding::Nanos;
 namespace http = boost::beast::http;
 extern char** environ;
@@ -151,9 +151,9 @@
         return call(at(name, probe), http::verb::get, "/api/readiness").first;
     }
     // Asked again until it says so; each try is a whole exchange.
-    template <typename Try>
-    void until(const char* what, Try holds) {
-        for (const Nanos end = now() + 15 * second; now() < end;)
+    template <typename RoutedRequest>
+    void until(const char* what, RoutedRequest holds) {
+        for (const Nanos end = now() + 15 * kSecond; now() < end;)
             if (holds()) return;
         CPPUNIT_FAIL(std::string("never: ") + what);
     }
@@ -199,8 +199,8 @@
     }
     Task<> accept(tcp::acceptor& door, std::function<Json(const http::request<http::string_body>&)> handle) {
         for (;;) {
-            Code code;
-            auto socket = co_await door.async_accept(told(code));
+            ErrorCode code;
+            auto socket = co_await door.async_accept(withErrorCode(code));
             if (code) co_return;
             start(io, "connection", answer(std::move(socket), handle));
         }
@@ -209,23 +209,23 @@
         beast::flat_buffer buffer;
         for (;;) {
             http::request<http::string_body> request;
-            Code code;
-            co_await http::async_read(socket, buffer, request, told(code));
+            ErrorCode code;
+            co_await http::async_read(socket, buffer, request, withErrorCode(code));
             if (code) co_return;
             http::response<http::string_body> response(http::status::ok, 11);
             response.set("X-Attempt-Id", request["X-Attempt-Id"]);
             response.set("X-Response-Seal", "seal");
             response.body() = handle(request).dump();
             response.prepare_payload();
-            co_await http::async_write(socket, response, told(code));
+            co_await http::async_write(socket, response, withErrorCode(code));
             if (code) co_return;
         }
     }
     Task<> follow(Program& program) {
         asio::streambuf buffer;
         for (;;) {
-            Code code;
-            co_await asio::async_read_until(*program.out, buffer, '\n', told(code));
+            ErrorCode code;
+            co_await asio::async_read_until(*program.out, buffer, '\n', withErrorCode(code));
             if (code) co_return;
             std::istream stream(&buffer);
             std::string line;
@@ -238,18 +238,18 @@
                std::pair<int, std::string>& answer, bool& done) {
         beast::tcp_stream stream(io);
         stream.expires_after(std::chrono::seconds(3));
-        Code code;
-        co_await stream.async_connect(endpoint(address), told(code));
+        ErrorCode code;
+        co_await stream.async_connect(endpoint(address), withErrorCode(code));
         if (!code) {
             http::request<http::string_body> request(method, target, 11);
             request.set(http::field::host, "h");
             if (!id.empty()) request.set("X-Attempt-Id", id), request.set("X-Deadline-Ms", "2000");
             request.body() = body;
             request.prepare_payload();
-            co_await http::async_write(stream, request, told(code));
+            co_await http::async_write(stream, request, withErrorCode(code));
             beast::flat_buffer buffer;
             http::response<http::string_body> response;
-            if (!code) co_await http::async_read(stream, buffer, response, told(code));
+            if (!code) co_await http::async_read(stream, buffer, response, withErrorCode(code));
             if (!code) answer = {static_cast<int>(response.result_int()), response.body()};
         }
         done = true;
@@ -289,7 +289,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), house.ran.count("once"));
         for (const auto* name : {"c1", "c2", "c3"})
             CPPUNIT_ASSERT_EQUAL(House::configuration(3, "/a/"), house.rpc(name, "config.read").second);
-        // Two bodies under one number at two prompters: one of them is it, everywhere and for good.
+        // Two bodies under one number at two control nodes: one of them is it, everywhere and for good.
         const auto one = House::configuration(4, "/b/"), other = House::configuration(4, "/c/");
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c1", one));
         const auto clash = house.rpc("c3", "config.replace", other);
@@ -321,7 +321,7 @@
         house.launch("c1", false);
         house.await("c1", "rejoined");
         house.stop(house.programs["c2"], SIGKILL);
-        // Orders of before are known again by prompters that have been down, one with an empty disk.
+        // Orders of before are known again by control nodes that have been down, one with an empty disk.
         int again = 503;
         house.until("the order of version 4 is answered", [&] {
             again = house.replace("c1", one);
@@ -335,7 +335,7 @@
     }
 
     // All processes die at once and come back with their disks; orders and configurations are still there. A
-    // foyer leaves in order.
+    // proxy leaves in order.
     void allAtOnce() {
         House house;
         open(house);
@@ -362,17 +362,17 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), status.at("rollouts").size());
         CPPUNIT_ASSERT(age("c1") >= written);
         CPPUNIT_ASSERT_EQUAL(200, house.readiness("e1"));
-        auto& foyer = house.programs["e1"];
-        kill(foyer.id, SIGHUP);
+        auto& proxy = house.programs["e1"];
+        kill(proxy.id, SIGHUP);
         house.await("e1", "settings_read");
-        kill(foyer.id, SIGTERM);
+        kill(proxy.id, SIGTERM);
         house.await("e1", "leaving");
         CPPUNIT_ASSERT_EQUAL(503, house.readiness("e1"));
         CPPUNIT_ASSERT_EQUAL(200, house.get("e1", "/r/1"));
         house.await("e1", "left");
-        house.stop(foyer, 0);
-        CPPUNIT_ASSERT(WIFEXITED(foyer.status) && WEXITSTATUS(foyer.status) == 0);
-        // A stopped prompter's disk can be read.
+        house.stop(proxy, 0);
+        CPPUNIT_ASSERT(WIFEXITED(proxy.status) && WEXITSTATUS(proxy.status) == 0);
+        // A stopped control node's disk can be read.
         house.stop(house.programs["c2"], SIGKILL);
         const auto says = [&](const std::vector<std::string>& words) {
             Program tool;
@@ -397,17 +397,17 @@
         CPPUNIT_ASSERT_MESSAGE(shown, shown.find("\nduty list: ") != shown.npos);
     }
 
-    // A foyer stands still while a route is dropped and another is added, and wakes up with its old view.
+    // A proxy stands still while a route is dropped and another is added, and wakes up with its old view.
     void frozen() {
         House house;
         open(house);
         const auto get = [&](const std::string& path) { return house.get("e1", path); };
         CPPUNIT_ASSERT_EQUAL(200, get("/a/1"));
-        auto& foyer = house.programs["e1"];
-        kill(foyer.id, SIGSTOP);
+        auto& proxy = house.programs["e1"];
+        kill(proxy.id, SIGSTOP);
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c1", House::configuration(8, "/eight/")));
-        house.await("c1", "link_silent");  // two seconds on, a prompter has given it up
-        kill(foyer.id, SIGCONT);
+        house.await("c1", "link_silent");  // two seconds on, a control node has given it up
+        kill(proxy.id, SIGCONT);
         house.await("e1", "woke");
         // How soon is a matter of this machine's speed (150 ms are waited for); it never goes back.
         house.until("the foyer uses version 8", [&] { return get("/a/1") == 404; });
@@ -439,8 +439,8 @@
             return (one.at("mine") || two.at("mine")) && one.at("term") > first &&
                    one.at("term") == two.at("term");
         });
-        const auto second = duty(others[0]).at("term").get<int>();
-        CPPUNIT_ASSERT_EQUAL(first + 1, second);
+        const auto kSecond = duty(others[0]).at("term").get<int>();
+        CPPUNIT_ASSERT_EQUAL(first + 1, kSecond);
         house.pods.erase("i-2");  // its list is followed
         house.until("it has told of a pod that went", [&] {
             const auto& told = duty(others[0]).at("mine") ? others[0] : others[1];
@@ -449,11 +449,11 @@
         });
         house.launch(holder, false);
         house.await(holder, "contact");
-        house.until("it knows of the term", [&] { return duty(holder).at("term") == second; });
+        house.until("it knows of the term", [&] { return duty(holder).at("term") == kSecond; });
         CPPUNIT_ASSERT(!duty(holder).at("mine").get<bool>());
     }
 
-    // Two of three core machines are gone: a foyer that starts takes what the third says only after a wait,
+    // Two of three core machines are gone: a proxy that starts takes what the third says only after a wait,
     // and has no pods from it; when there is contact again all is sure.
     void outOfContact() {
         House house;
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -1,5 +1,5 @@
 // Duties with terms: who takes one and when, what receivers make of a holder of a lower term, how long an
-// order has run, and what a foyer takes from a prompter that is out of contact. All in virtual time.
+// order has run, and what a proxy takes from a control node that is out of contact. All in virtual time.
 #include "leases/leases.hpp"
 
 #include <filesystem>
@@ -11,11 +11,11 @@
 #include "verdict/stages.hpp"
 
 using namespace callboard_stage;
-using callboard::Confidence;
+using subscription::QuorumContact;
 
 namespace {
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
+constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
 // Members that hear each other unless cut, down or frozen; their words of it are as old as `told` says. One
 // cell, changed by one ballot at a time, as the register sees to it.
@@ -27,7 +27,7 @@
             lives[name(at)] = static_cast<std::uint64_t>(100 + at);
         }
         for (const auto& member : members)
-            watches.emplace(member, duties::Watch("list", {member, lives[member]}));
+            watches.emplace(member, leases::LeaseMonitor("list", {member, lives[member]}));
     }
     static std::string name(int at) { return "10.1.0." + std::to_string(at + 1) + ":7720"; }
     void cutBetween(const std::string& one, const std::string& other) {
@@ -35,27 +35,27 @@
     }
     void restart(const std::string& member) {
         down.erase(member), ++lives[member];
-        watches.insert_or_assign(member, duties::Watch("list", {member, lives[member]}));
+        watches.insert_or_assign(member, leases::LeaseMonitor("list", {member, lives[member]}));
     }
     bool hear(const std::string& one, const std::string& other) const {
         return one != other && !down.contains(one) && !down.contains(other) && !cut.contains({one, other});
     }
-    duties::Hears rows(const std::string& of) const {
-        duties::Hears rows;
+    leases::Reachability rows(const std::string& of) const {
+        leases::Reachability rows;
         for (const auto& from : members)
             if (from == of || hear(of, from))
                 for (const auto& other : members)
                     if (hear(from, other)) rows[from].insert(other);
         return rows;
     }
-    duties::Duty held() const {
-        const auto all = duties::read(cell);
+    leases::Lease held() const {
+        const auto all = leases::read(cell);
         const auto at = all.find("list");
-        return at == all.end() ? duties::Duty() : at->second;
+        return at == all.end() ? leases::Lease() : at->second;
     }
     // Steps of 50 ms; those that stand in one step all stand on what they knew before it.
     void run(Nanos span) {
-        for (const Nanos end = now + span; now < end; now += 50 * ms) {
+        for (const Nanos end = now + span; now < end; now += 50 * kMillisecond) {
             const auto before = held();
             std::vector<std::string> standing;
             for (const auto& member : members)
@@ -64,10 +64,10 @@
                     standing.push_back(member);
             most = std::max(most, standing.size());
             for (const auto& member : standing)
-                cell = duties::taking("list", {member, lives.at(member)}, before.term)(cell);
+                cell = leases::taking("list", {member, lives.at(member)}, before.term)(cell);
             if (held().term != before.term)
-                seen += "  at " + std::to_string((now - from) / ms) + " ms: " + held().holder.substr(0, 8) +
-                        ", term " + std::to_string(held().term) + "\n";
+                seen += "  at " + std::to_string((now - from) / kMillisecond) +
+                        " ms: " + held().holder.substr(0, 8) + ", term " + std::to_string(held().term) + "\n";
         }
     }
     void say(const std::string& what) { seen += what + "\n", from = now; }
@@ -75,9 +75,9 @@
     std::set<std::string> members, down;
     std::set<std::pair<std::string, std::string>> cut;
     std::map<std::string, std::uint64_t> lives;
-    std::map<std::string, duties::Watch> watches;
+    std::map<std::string, leases::LeaseMonitor> watches;
     std::string cell, seen;
-    Nanos now = 100 * second, from = 0;
+    Nanos now = 100 * kSecond, from = 0;
     std::size_t most = 0;
 };
 
@@ -104,35 +104,35 @@
         for (const int size : {1, 3, 5}) {
             Core core(size);
             core.say(std::to_string(size) + " members, first start");
-            core.run(2 * second);
+            core.run(2 * kSecond);
             core.say("quiet for a minute");
-            core.run(60 * second);
+            core.run(60 * kSecond);
             if (size > 1) {
                 const auto holder = core.held().holder;
                 core.say("the holder is killed");
                 core.down.insert(holder);
-                core.run(2 * second);
+                core.run(2 * kSecond);
                 CPPUNIT_ASSERT(core.held().holder != holder);
                 core.say("it comes back");
                 core.restart(holder);
-                core.run(10 * second);
+                core.run(10 * kSecond);
                 core.say("the new holder restarts, sooner than it is missed");
                 core.restart(core.held().holder);
-                core.run(2 * second);
+                core.run(2 * kSecond);
                 core.say("the holder and one other don't hear each other: it stays, a minute");
                 for (const auto& member : core.members)
                     if (member != core.held().holder) {
                         core.cutBetween(core.held().holder, member);
                         break;
                     }
-                core.run(60 * second);
+                core.run(60 * kSecond);
                 core.cut.clear();
                 core.say("the holder is cut off from all, then joined");
                 for (const auto& member : core.members)
                     if (member != core.held().holder) core.cutBetween(core.held().holder, member);
-                core.run(5 * second);
+                core.run(5 * kSecond);
                 core.cut.clear();
-                core.run(5 * second);
+                core.run(5 * kSecond);
             }
             CPPUNIT_ASSERT(core.most <= 1);
             seen += core.seen;
@@ -143,18 +143,18 @@
     // Two that stand at once: one ballot is first, the other changes nothing. Seeded kills, cuts and restarts
     // with a majority left: the duty has a holder again within a second and a half, and terms only rise.
     void races() {
-        const auto one = duties::taking("list", {"a", 1}, 4), other = duties::taking("list", {"b", 2}, 4);
-        const auto before = duties::write({{"list", {"c", 3, 4}}, {"rollouts", {"c", 3, 9}}});
+        const auto one = leases::taking("list", {"a", 1}, 4), other = leases::taking("list", {"b", 2}, 4);
+        const auto before = leases::write({{"list", {"c", 3, 4}}, {"rollouts", {"c", 3, 9}}});
         const auto first = one(before);
         CPPUNIT_ASSERT_EQUAL(first, other(first));
         CPPUNIT_ASSERT_EQUAL(first, one(first));
-        CPPUNIT_ASSERT(duties::read(first).at("list") == (duties::Duty{"a", 1, 5}));
-        CPPUNIT_ASSERT(duties::read(first).at("rollouts") == (duties::Duty{"c", 3, 9}));
+        CPPUNIT_ASSERT(leases::read(first).at("list") == (leases::Lease{"a", 1, 5}));
+        CPPUNIT_ASSERT(leases::read(first).at("rollouts") == (leases::Lease{"c", 3, 9}));
         for (unsigned seed = 1; seed <= 60; ++seed) {
             const std::string at = "seed " + std::to_string(seed);
             std::mt19937 chance(seed);
             Core core(seed % 2 ? 3 : 5);
-            core.run(2 * second);
+            core.run(2 * kSecond);
             std::uint64_t term = 0;
             for (int step = 0; step < 12; ++step) {
                 const auto member = Core::name(static_cast<int>(chance() % core.members.size()));
@@ -163,7 +163,7 @@
                 else if (what == 0 && core.down.size() + 1 <= core.members.size() / 2)
                     core.down.insert(member);
                 else if (what == 1) core.restart(member);
-                core.run(1500 * ms);
+                core.run(1500 * kMillisecond);
                 const auto held = core.held();
                 CPPUNIT_ASSERT_MESSAGE(at, held.term >= term);
                 term = held.term;
@@ -175,172 +175,175 @@
 
     // A holder that has not noticed that its duty went to another: whatever it tells late changes nothing.
     void lowerTermDropped() {
-        Callboard old{{}}, next{{}}, foyer{{}}, neighbour{{}};
+        ConfigurationCache old{{}}, next{{}}, proxy{{}}, neighbour{{}};
         old.list({pod("a"), pod("b")}, 1);
-        tell(old, foyer, old.digest());
-        tell(foyer, neighbour, foyer.digest(), Callboard::From::neighbour);
+        tell(old, proxy, old.digest());
+        tell(proxy, neighbour, proxy.digest(), ConfigurationCache::MessageSource::neighbour);
         next.list({pod("b", true), pod("c")}, 2);
-        tell(next, foyer, next.digest());
-        CPPUNIT_ASSERT(foyer.troupe().members() == next.troupe().members());
+        tell(next, proxy, next.digest());
+        CPPUNIT_ASSERT(proxy.endpoints().members() == next.endpoints().members());
         for (int step = 0; step < 3; ++step) {  // many changes in a lower term are lower still
-            tell(old, foyer, old.list({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
-            tell(old, foyer, old.digest());
+            tell(old, proxy, old.list({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
+            tell(old, proxy, old.digest());
         }
-        CPPUNIT_ASSERT(foyer.troupe().members() == next.troupe().members());
-        CPPUNIT_ASSERT(foyer.edition() == (callboard::Edition{2, 1}));
-        // It hears of the higher term in a foyer's digest, and tells no list any more.
+        CPPUNIT_ASSERT(proxy.endpoints().members() == next.endpoints().members());
+        CPPUNIT_ASSERT(proxy.endpointListVersion() == (subscription::EndpointListVersion{2, 1}));
+        // It hears of the higher term in a proxy's digest, and tells no list any more.
         CPPUNIT_ASSERT(!old.digest().contains("edition"));
         CPPUNIT_ASSERT(old.list({pod("e")}, 1).is_null() && !old.digest().contains("edition"));
         // Neighbours go by the same order, whichever of them speaks first.
-        tell(neighbour, foyer, neighbour.digest(), Callboard::From::neighbour);
-        CPPUNIT_ASSERT(neighbour.troupe().members() == next.troupe().members());
-        CPPUNIT_ASSERT(foyer.troupe().members() == next.troupe().members());
+        tell(neighbour, proxy, neighbour.digest(), ConfigurationCache::MessageSource::neighbour);
+        CPPUNIT_ASSERT(neighbour.endpoints().members() == next.endpoints().members());
+        CPPUNIT_ASSERT(proxy.endpoints().members() == next.endpoints().members());
     }
 
     // A copy of a higher term may be asked for sooner than one of the term before: a pod that only that one
     // knows is set aside, not taken for gone, and serves again as soon as the new holder lists it.
     void newerThanTheEdition() {
-        Callboard old{{}}, next{{}}, foyer{{}};
+        ConfigurationCache old{{}}, next{{}}, proxy{{}};
         next.list({pod("a")}, 2);  // asked for, and late on its way
         old.list({pod("a"), pod("new")}, 1);
-        tell(old, foyer, old.digest());
-        CPPUNIT_ASSERT(foyer.troupe().members().contains("new"));
-        tell(next, foyer, next.digest());
-        CPPUNIT_ASSERT(!foyer.troupe().members().contains("new") && !foyer.troupe().left("new"));
-        tell(next, foyer, next.list({pod("a"), pod("new")}, 2));
-        CPPUNIT_ASSERT(foyer.troupe().members().contains("new"));
-        tell(next, foyer, next.list({pod("new")}, 2));  // seen to go by the holder itself: for good
-        CPPUNIT_ASSERT(foyer.troupe().left("a"));
+        tell(old, proxy, old.digest());
+        CPPUNIT_ASSERT(proxy.endpoints().members().contains("new"));
+        tell(next, proxy, next.digest());
+        CPPUNIT_ASSERT(!proxy.endpoints().members().contains("new") && !proxy.endpoints().left("new"));
+        tell(next, proxy, next.list({pod("a"), pod("new")}, 2));
+        CPPUNIT_ASSERT(proxy.endpoints().members().contains("new"));
+        tell(next, proxy, next.list({pod("new")}, 2));  // seen to go by the holder itself: for good
+        CPPUNIT_ASSERT(proxy.endpoints().left("a"));
     }
 
-    // A foyer that has missed a change is mended from the holder's copy of the very edition it follows.
+    // A proxy that has missed a change is mended from the holder's copy of the very edition it follows.
     void missedInOneEdition() {
-        Callboard holder{{}}, foyer{{}}, other{{}};
+        ConfigurationCache holder{{}}, proxy{{}}, other{{}};
         holder.list({pod("a"), pod("b")}, 1);
-        for (auto* one : {&foyer, &other}) tell(holder, *one, holder.digest());
+        for (auto* one : {&proxy, &other}) tell(holder, *one, holder.digest());
         tell(holder, other, holder.list({pod("b"), pod("c")}, 1));
         const auto last = holder.list({pod("b"), pod("d")}, 1);
-        tell(holder, foyer, last);  // the change before it never came
+        tell(holder, proxy, last);  // the change before it never came
         tell(holder, other, last);
-        for (const auto* one : {&foyer, &other}) {
-            CPPUNIT_ASSERT(one->troupe().members() == holder.troupe().members());
-            CPPUNIT_ASSERT(one->edition() == holder.edition());
+        for (const auto* one : {&proxy, &other}) {
+            CPPUNIT_ASSERT(one->endpoints().members() == holder.endpoints().members());
+            CPPUNIT_ASSERT(one->endpointListVersion() == holder.endpointListVersion());
         }
     }
 
     // What a copy without pods asks for is the same for all of them; any other is answered on its own.
     void askedByMany() {
-        Callboard holder{{}}, empty{{}}, other{{}};
+        ConfigurationCache holder{{}}, empty{{}}, other{{}};
         holder.list({pod("a"), pod("b", true), pod("c")}, 3);
         Json want;
-        empty.heard(holder.digest(), Callboard::From::prompter, second, [&](Json reply) { want = reply; });
-        CPPUNIT_ASSERT(holder.wantsWhole(want));
-        empty.heard(holder.whole(), Callboard::From::prompter, second, [](const Json&) {});
-        CPPUNIT_ASSERT(empty.troupe().members() == holder.troupe().members());
+        empty.heard(holder.digest(), ConfigurationCache::MessageSource::controlNode, kSecond,
+                    [&](Json reply) { want = reply; });
+        CPPUNIT_ASSERT(holder.wantsFullList(want));
+        empty.heard(holder.whole(), ConfigurationCache::MessageSource::controlNode, kSecond,
+                    [](const Json&) {});
+        CPPUNIT_ASSERT(empty.endpoints().members() == holder.endpoints().members());
         CPPUNIT_ASSERT(empty.digest() == holder.digest());
         other.list({pod("z")}, 1);
         Json partly;
-        other.heard(holder.digest(), Callboard::From::prompter, second, [&](Json reply) { partly = reply; });
-        CPPUNIT_ASSERT(!holder.wantsWhole(partly));
+        other.heard(holder.digest(), ConfigurationCache::MessageSource::controlNode, kSecond,
+                    [&](Json reply) { partly = reply; });
+        CPPUNIT_ASSERT(!holder.wantsFullList(partly));
         holder.list({pod("c")}, 3);
-        CPPUNIT_ASSERT(!holder.wantsWhole(want));  // of an edition that has passed
+        CPPUNIT_ASSERT(!holder.wantsFullList(want));  // of an edition that has passed
     }
 
-    // An order's age is a span: counted on by steady clocks, handed on between prompters, written down each
-    // second.
+    // An order's age is a span: counted on by steady clocks, handed on between control nodes, written down
+    // each second.
     void ages() {
         using verdict::Age;
         verdict::Ages first, second_;
-        first.learn("s\nv2", {0, 0, 0}, 50 * second);
-        CPPUNIT_ASSERT(first.at("s\nv2", 53 * second) == (Age{3000, 0, 3000}));
-        // The other prompter's steady clock has nothing to do with this one's.
-        second_.learn("s\nv2", {0, 0, 0}, 7'000'000 * second);
-        second_.learn("s\nv2", first.at("s\nv2", 53 * second), 7'000'001 * second);
-        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'003 * second) == (Age{5000, 0, 5000}));
+        first.learn("s\nv2", {0, 0, 0}, 50 * kSecond);
+        CPPUNIT_ASSERT(first.at("s\nv2", 53 * kSecond) == (Age{3000, 0, 3000}));
+        // The other control node's steady clock has nothing to do with this one's.
+        second_.learn("s\nv2", {0, 0, 0}, 7'000'000 * kSecond);
+        second_.learn("s\nv2", first.at("s\nv2", 53 * kSecond), 7'000'001 * kSecond);
+        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'003 * kSecond) == (Age{5000, 0, 5000}));
         second_.learn("s\nv2", {1000, 0, 1000},
-                      7'000'004 * second);  // what the register had: less, so no news
-        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'004 * second) == (Age{6000, 0, 6000}));
-        second_.learn("s\nv2", {6100, 1, 0}, 7'000'004 * second);     // the next stage begins
-        second_.learn("s\nv2", {6100, 0, 6100}, 7'000'005 * second);  // a late word of the stage before
-        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'005 * second) == (Age{7100, 1, 1000}));
+                      7'000'004 * kSecond);  // what the register had: less, so no news
+        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'004 * kSecond) == (Age{6000, 0, 6000}));
+        second_.learn("s\nv2", {6100, 1, 0}, 7'000'004 * kSecond);     // the next stage begins
+        second_.learn("s\nv2", {6100, 0, 6100}, 7'000'005 * kSecond);  // a late word of the stage before
+        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'005 * kSecond) == (Age{7100, 1, 1000}));
         second_.keep({});
-        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'009 * second) == Age{});
+        CPPUNIT_ASSERT(second_.at("s\nv2", 7'000'009 * kSecond) == Age{});
         second_.learn("s\nv2", {std::numeric_limits<std::int64_t>::max(), 9, -5},
-                      second);  // absurd, and bounded
-        CPPUNIT_ASSERT(second_.at("s\nv2", second).order == 7 * 24 * 3600 * std::int64_t{1000});
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, second_.at("s\nv2", second).inStage);
+                      kSecond);  // absurd, and bounded
+        CPPUNIT_ASSERT(second_.at("s\nv2", kSecond).order == 7 * 24 * 3600 * std::int64_t{1000});
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, second_.at("s\nv2", kSecond).inStage);
     }
 
     // The register may hold orders of an earlier text, with times of a wall clock: they count from their
     // reading.
     void oldValues() {
-        const auto read = cues::readRollouts(
+        const auto read = messages::decodeRollouts(
             R"([{"service":"s","target":"v2","state":"in_progress","stage":1,"number":4,"began":1764645000000,)"
             R"("term":12000,"moved":1764645002000}])");
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), read.size());
         CPPUNIT_ASSERT(read[0].running() && read[0].stage == 1 && read[0].age == 0 && read[0].inStage == 0);
         auto order = read[0];
         order.age = 1234, order.inStage = 200;
-        const auto again = cues::readRollouts(cues::write({order}));
+        const auto again = messages::decodeRollouts(messages::write({order}));
         CPPUNIT_ASSERT(again[0].age == 1234 && again[0].inStage == 200 && again[0].number == 4);
     }
 
-    // A foyer's ways with prompters in and out of contact.
+    // A proxy's ways with control nodes in and out of contact.
     void unsureNews() {
         std::string seen;
-        Nanos now = 10 * second;
-        const auto word = [](Confidence::Change change) {
-            return std::string(change == Confidence::Change::none     ? ""
-                               : change == Confidence::Change::unsure ? ", logs news_unsure"
-                                                                      : ", logs news_sure");
+        Nanos now = 10 * kSecond;
+        const auto word = [](QuorumContact::Change change) {
+            return std::string(change == QuorumContact::Change::none     ? ""
+                               : change == QuorumContact::Change::unsure ? ", logs news_unsure"
+                                                                         : ", logs news_sure");
         };
         bool holding = false;
-        const auto line = [&](Confidence& foyer, const std::string& what, Confidence::Change change) {
-            const bool asks = foyer.waited(holding, now);
-            seen += "  " + std::to_string(now / ms) + " ms, " + what + word(change) + ": looks at " +
-                    (foyer.takes(false, holding, now) ? "all news" : "sure news alone") +
+        const auto line = [&](QuorumContact& proxy, const std::string& what, QuorumContact::Change change) {
+            const bool asks = proxy.waited(holding, now);
+            seen += "  " + std::to_string(now / kMillisecond) + " ms, " + what + word(change) +
+                    ": looks at " + (proxy.takes(false, holding, now) ? "all news" : "sure news alone") +
                     (asks ? ", asks again" : "") + "\n";
         };
         {
-            Confidence foyer;
+            QuorumContact proxy;
             seen += "an empty foyer on the cut-off side\n";
-            line(foyer, "c1 unsure", foyer.heard("c1", false, now));
-            now += 1499 * ms;
-            line(foyer, "c1 unsure", foyer.heard("c1", false, now));
-            now += ms;
-            line(foyer, "time", Confidence::Change::none);
-            holding = true, foyer.holds(false);
-            line(foyer, "holds c1's", Confidence::Change::none);
-            CPPUNIT_ASSERT(!foyer.sure());
-            line(foyer, "c2 sure", foyer.heard("c2", true, now));
-            foyer.holds(true);
-            CPPUNIT_ASSERT(foyer.sure());
-            line(foyer, "c2 parted", foyer.parted("c2", now));
-            now += 10 * second;
-            line(foyer, "ten seconds on", Confidence::Change::none);
-            line(foyer, "c1 sure", foyer.heard("c1", true, now));
+            line(proxy, "c1 unsure", proxy.heard("c1", false, now));
+            now += 1499 * kMillisecond;
+            line(proxy, "c1 unsure", proxy.heard("c1", false, now));
+            now += kMillisecond;
+            line(proxy, "time", QuorumContact::Change::none);
+            holding = true, proxy.holds(false);
+            line(proxy, "holds c1's", QuorumContact::Change::none);
+            CPPUNIT_ASSERT(!proxy.sure());
+            line(proxy, "c2 sure", proxy.heard("c2", true, now));
+            proxy.holds(true);
+            CPPUNIT_ASSERT(proxy.sure());
+            line(proxy, "c2 parted", proxy.onPeerDisconnected("c2", now));
+            now += 10 * kSecond;
+            line(proxy, "ten seconds on", QuorumContact::Change::none);
+            line(proxy, "c1 sure", proxy.heard("c1", true, now));
         }
         holding = false;
         {
-            Confidence foyer;
+            QuorumContact proxy;
             seen += "an empty foyer, one prompter cut off, one not\n";
-            line(foyer, "c1 unsure", foyer.heard("c1", false, now));
-            now += second;
-            line(foyer, "c2 sure", foyer.heard("c2", true, now));
-            now += 5 * second;
-            line(foyer, "c2 has nothing to tell", Confidence::Change::none);
-            line(foyer, "c2 parted", foyer.parted("c2", now));
-            now += 1400 * ms;
-            line(foyer, "a wait anew", Confidence::Change::none);
-            now += 100 * ms;
-            line(foyer, "and its end", Confidence::Change::none);
+            line(proxy, "c1 unsure", proxy.heard("c1", false, now));
+            now += kSecond;
+            line(proxy, "c2 sure", proxy.heard("c2", true, now));
+            now += 5 * kSecond;
+            line(proxy, "c2 has nothing to tell", QuorumContact::Change::none);
+            line(proxy, "c2 parted", proxy.onPeerDisconnected("c2", now));
+            now += 1400 * kMillisecond;
+            line(proxy, "a wait anew", QuorumContact::Change::none);
+            now += 100 * kMillisecond;
+            line(proxy, "and its end", QuorumContact::Change::none);
         }
         {
-            Confidence foyer;
+            QuorumContact proxy;
             seen += "an empty foyer that only reaches neighbours\n";
-            line(foyer, "a neighbour's unsure word", Confidence::Change::none);
-            now += 1500 * ms;
-            line(foyer, "again", Confidence::Change::none);
+            line(proxy, "a neighbour's unsure word", QuorumContact::Change::none);
+            now += 1500 * kMillisecond;
+            line(proxy, "again", QuorumContact::Change::none);
         }
         approve("leases-unsure", seen);
     }
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -208,7 +208,7 @@
         }
         // An address that can't be read is a pod that is not reached.
         House nowhere(each({ok()}), {});
-        nowhere.casting->apply({0, {"N", "s", "nowhere", "z", "v1", 2, false, 0}, false}, now());
+        nowhere.router->apply({0, {"N", "s", "nowhere", "z", "v1", 2, false, 0}, false}, now());
         CPPUNIT_ASSERT_EQUAL(503, nowhere.exchange(post("lost"), "lost").status);
         House wide(each({ok("{id}", "X-Wide: " + std::string(12'000, 'w') + "\r\n")}));
         CPPUNIT_ASSERT_EQUAL(200, wide.exchange(post("wide"), "wide").status);
@@ -228,7 +228,7 @@
         House house(each({ok()}));
         house.repeatable.insert("next");
         house.forgetful.insert("A");
-        house.casting->actors().at("B")->pace = 9;  // A is asked first
+        house.router->hosts().at("B")->pace = 9;  // A is asked first
         CPPUNIT_ASSERT_EQUAL(200, house.exchange(get("next"), "next").status);
         CPPUNIT_ASSERT_EQUAL(1, house.runs["next"]);
     }
@@ -298,7 +298,7 @@
                 const auto id = left[from % size];
                 left.erase(left.begin() + from % size);
                 for (const auto* pod : {"A", "B", "C", "D"}) house.release(pod, id);
-                while (house.foyerLoop.poll() + house.worldLoop.poll() > 0) {
+                while (house.proxyLoop.poll() + house.worldLoop.poll() > 0) {
                 }
             }
             house.answered(client, 4);
@@ -346,7 +346,7 @@
         house.repeatable = {"slow"};
         const auto client = house.client(get("slow", 1500, "", "/quick/1"), {"slow"});
         house.until([&] { return house.arrivals["slow"] == 1; });
-        const Nanos asked = now() + 40 * ms;  // the second was due after 12 ms
+        const Nanos asked = now() + 40 * kMillisecond;  // the second was due after 12 ms
         house.until([&] { return now() > asked; });
         CPPUNIT_ASSERT_EQUAL(1, house.arrivals["slow"]);
         for (int at = 0; at < 30; ++at) {
@@ -365,24 +365,24 @@
         House house(each({ok()}), {"A"});
         house.answered(house.client(post("frst"), {"frst"}));
         house.quiet();
-        casting::Try way;
-        CPPUNIT_ASSERT(house.casting->begin(way, "h", "/write/1", now(), second));
-        const auto call = std::make_shared<foyer::Call>(house.casting->next(way, now()));
-        const auto request = std::make_shared<foyer::Request>(foyer::http::verb::post, "/write/1", 11);
+        routing::RoutedRequest way;
+        CPPUNIT_ASSERT(house.router->begin(way, "h", "/write/1", now(), kSecond));
+        const auto call = std::make_shared<proxy::UpstreamRequest>(house.router->next(way, now()));
+        const auto request = std::make_shared<proxy::Request>(proxy::http::verb::post, "/write/1", 11);
         request->set("X-Attempt-Id", "left");
         bool back = false;
-        const auto send = [](House& in, std::shared_ptr<foyer::Call> sent,
-                             std::shared_ptr<foyer::Request> its, bool& done) -> Task<> {
-            co_await in.upstream->call(sent, its, now() + second, true, 2);
+        const auto send = [](House& in, std::shared_ptr<proxy::UpstreamRequest> sent,
+                             std::shared_ptr<proxy::Request> its, bool& done) -> Task<> {
+            co_await in.upstream->call(sent, its, now() + kSecond, true, 2);
             done = true;
         };
         call->abort();
-        start(house.foyerLoop, "send", send(house, call, request, back));
+        start(house.proxyLoop, "send", send(house, call, request, back));
         house.until([&] { return back; });
         CPPUNIT_ASSERT_EQUAL(0, house.arrivals["left"]);
-        CPPUNIT_ASSERT(call->attempt->state() == casting::State::unsent);
-        house.casting->ended(way, *call->attempt, call->end, 0, 0, now());
-        CPPUNIT_ASSERT_EQUAL(503, house.casting->refusal(way).status);
+        CPPUNIT_ASSERT(call->attempt->state() == routing::AttemptState::unsent);
+        house.router->ended(way, *call->attempt, call->end, 0, 0, now());
+        CPPUNIT_ASSERT_EQUAL(503, house.router->refusal(way).status);
         house.quiet();
     }
 
@@ -514,26 +514,26 @@
         House house([](const Arrival&) { return Reply{ok(), Reply::keep, true, true}; }, {"A"});
         const auto client = house.client(post("frst"), {"frst"});
         house.until([&] { return house.arrivals["frst"] == 1; });
-        house.standStill(30 * ms);
+        house.standStill(30 * kMillisecond);
         house.release("A", "frst");
         house.answered(client);
         house.quiet();
         const auto answered = now();
-        house.front->sweep(answered + 15 * second - 20 * ms);
+        house.front->sweep(answered + 15 * kSecond - 20 * kMillisecond);
         house.write(client, post("next"), {"next"});
         house.until([&] { return house.arrivals["next"] == 1; });
         house.release("A", "next");
         house.answered(client, 2);
         house.quiet();
         house.write(client, post("thrd"), {"thrd"});
-        house.standStill(5 * ms);  // the bytes are there, the foyer hasn't looked
-        house.front->sweep(now() + 60 * second), house.front->closeIdle();
+        house.standStill(5 * kMillisecond);  // the bytes are there, the proxy hasn't looked
+        house.front->sweep(now() + 60 * kSecond), house.front->closeIdle();
         house.until([&] { return house.arrivals["thrd"] == 1; });
         house.release("A", "thrd");
         house.answered(client, 3);
         house.quiet();
         CPPUNIT_ASSERT_EQUAL(200, client->answers().at(2).status);
-        house.front->sweep(now() + 16 * second);
+        house.front->sweep(now() + 16 * kSecond);
         house.until([&] { return client->ended; });
     }
 
@@ -543,8 +543,8 @@
         for (int turns = 0; turns < 12; ++turns) {
             House house(each({ok()}), {"A"});
             const auto client = house.client(post("once"), {"once"});
-            house.standStill(2 * ms);  // the bytes are there, the foyer hasn't looked
-            for (int at = 0; at < turns; ++at) house.foyerLoop.poll_one();
+            house.standStill(2 * kMillisecond);  // the bytes are there, the proxy hasn't looked
+            for (int at = 0; at < turns; ++at) house.proxyLoop.poll_one();
             house.front->drain(), house.front->closeIdle();
             house.answered(client);
             house.quiet();
@@ -566,18 +566,18 @@
         const auto began = now();
         house.until([&] { return client->got.size() > 200'000 && gone->got.size() > 200'000; });
         House::leave(gone, false);
-        house.front->sweep(began + 19'900 * ms);
-        while (house.foyerLoop.poll() + house.worldLoop.poll() > 0) {
+        house.front->sweep(began + 19'900 * kMillisecond);
+        while (house.proxyLoop.poll() + house.worldLoop.poll() > 0) {
         }
         CPPUNIT_ASSERT(!client->ended);
-        house.front->sweep(now() + 20'100 * ms);
+        house.front->sweep(now() + 20'100 * kMillisecond);
         house.until([&] { return client->ended && house.front->open() == 0; });
         house.until([&] { return house.open["A"] + house.open["B"] == 0; });
         CPPUNIT_ASSERT(!client->answers().at(0).whole);
         house.quiet();
     }
 
-    // The foyer stands still, over deadlines and answers, and wakes.
+    // The proxy stands still, over deadlines and answers, and wakes.
     void standstill() {
         House house([](const Arrival& arrival) {
             if (arrival.id == "cut1") return Reply{ok().substr(0, 50), Reply::reset, true, true};
@@ -599,11 +599,11 @@
         // Two more come while it stands; one of them leaves again.
         clients["wait"] = house.client(post("wait"), {"wait"});
         clients["left"] = house.client(post("left"), {"left"});
-        house.standStill(5 * ms);
+        house.standStill(5 * kMillisecond);
         House::leave(clients["left"], false);
-        house.standStill(60 * ms);
+        house.standStill(60 * kMillisecond);
         house.awake = false;
-        while (house.foyerLoop.poll() > 0) {
+        while (house.proxyLoop.poll() > 0) {
         }
         house.awake = true;
         house.until([&] { return house.arrivals["wait"] == 1; });
@@ -644,7 +644,7 @@
             house.until([&] { return house.arrivals[id] == 1; });
         }
         house.write(one, post("sevn"), {"sevn"});
-        house.standStill(2 * ms);
+        house.standStill(2 * kMillisecond);
         for (const auto* id : {"two2", "six6", "four", "thr3", "five", "one1"})
             for (const auto* pod : {"A", "B", "C", "D"}) house.release(pod, id);
         house.until([&] { return one->ended && ahead->ended; });
@@ -666,7 +666,7 @@
         const auto refused = resting->answers().at(0);
         CPPUNIT_ASSERT_EQUAL(503, refused.status);
         CPPUNIT_ASSERT(refused.close && !refused.retryAfter.empty());
-        house.front->sweep(now() + second);  // the clients don't close: it lingers no longer
+        house.front->sweep(now() + kSecond);  // the clients don't close: it lingers no longer
         house.until([&] { return house.front->open() == 0; });
     }
 
@@ -687,8 +687,8 @@
         house.front->drain();
         house.until([&] { return client->got.size() > 200'000; });
         house.write(client, post("more") + post("evry"), {"more", "evry"});
-        house.standStill(2 * ms);
-        while (house.foyerLoop.poll() + house.worldLoop.poll() > 0) {
+        house.standStill(2 * kMillisecond);
+        while (house.proxyLoop.poll() + house.worldLoop.poll() > 0) {
         }
         CPPUNIT_ASSERT_EQUAL(0, house.arrivals["more"] + house.arrivals["evry"]);
         house.release("A", "long"), house.release("B", "long");
--- a/tests/proxy/http_server.cpp
+++ b/tests/proxy/http_server.cpp
@@ -1,4 +1,4 @@
-// Whole exchanges through a foyer's front: client, gateway, pods. Each case is one of the ways in which pods
+// Whole exchanges through a proxy's front: client, gateway, pods. Each case is one of the ways in which pods
 // and clients misbehave; the transcript shows what the client got and what reached which pod.
 #include "support/http_server_fixture.hpp"
 
@@ -128,7 +128,7 @@
             Stage stage;
             stage.pod("A", {{"", Act::reset}});
             stage.pod("B", {{ok("saved")}});
-            stage.casting->actors().at("B")->pace = 9;  // so that A is asked first
+            stage.router->hosts().at("B")->pace = 9;  // so that A is asked first
             all += told("a read, reset at one pod, answered by the next", stage, stage.client(read, 1));
         }
         approve("front-broken-pods", all);
@@ -210,7 +210,7 @@
             stage.until([&] { return stage.front->open() == 0; });
         }
         CPPUNIT_ASSERT_EQUAL(std::string(), stage.podsSaw());
-        // Leaving as a foyer: what is read is answered, the answer ends the connection.
+        // Leaving as a proxy: what is read is answered, the answer ends the connection.
         stage.front->drain();
         const auto seen = stage.client(Stage::get("2"), 1, true);
         stage.until([&] { return stage.front->open() == 0; });
@@ -232,7 +232,7 @@
         stage.settle();
         const auto seen = stage.client(Stage::get("5"), 1);
         CPPUNIT_ASSERT(seen.find("small") != seen.npos);
-        stage.front->sweep(now() + 11 * second);
+        stage.front->sweep(now() + 11 * kSecond);
         stage.until([&] { return stage.front->open() <= 1; });
     }
 
--- a/tests/proxy/readiness_server.cpp
+++ b/tests/proxy/readiness_server.cpp
@@ -30,28 +30,29 @@
         const rlimit none{0, before.rlim_max};
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &none));
         client.connect(door.local_endpoint());
-        start(io, "readiness", foyer::serveProbes(io, door, [] { return true; }));
+        start(io, "readiness", proxy::serveReadiness(io, door, [] { return true; }));
         const auto turns = io.run_for(std::chrono::milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &before));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(turns) + " turns", turns <= 40);
         std::string got;
         asio::write(client, asio::buffer(std::string("GET / HTTP/1.1\r\nConnection: close\r\n\r\n")));
-        asio::async_read(client, asio::dynamic_buffer(got), [](Code, std::size_t) {});
+        asio::async_read(client, asio::dynamic_buffer(got), [](ErrorCode, std::size_t) {});
         while (got.find("200 OK") == got.npos) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(5)) > 0);
     }
 
     // Who asks nothing, or but half a question, is left.
     void silentProbes() {
         start(io, "readiness",
-              foyer::serveProbes(
-                  io, door, [] { return false; }, 30 * ms));
+              proxy::serveReadiness(
+                  io, door, [] { return false; }, 30 * kMillisecond));
         for (const auto* said : {"", "GET / HT", "GET / HTTP/1.1\r\n\r\n"}) {
             tcp::socket client(io);
             client.connect(door.local_endpoint());
             asio::write(client, asio::buffer(said, std::strlen(said)));
             std::string got;
             bool ended = false;
-            asio::async_read(client, asio::dynamic_buffer(got), [&](Code, std::size_t) { ended = true; });
+            asio::async_read(client, asio::dynamic_buffer(got),
+                             [&](ErrorCode, std::size_t) { ended = true; });
             while (!ended) CPPUNIT_ASSERT_MESSAGE(said, io.run_one_for(std::chrono::seconds(2)) > 0);
             CPPUNIT_ASSERT_EQUAL(std::strlen(said) > 8, got.find("503") != got.npos);
         }
--- a/tests/routing/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -8,57 +8,60 @@
 
 #include "support/transcript.hpp"
 
-using namespace lichenlanding::casting;
+using namespace lichenlanding::routing;
 
 namespace {
 
-constexpr std::array states{State::unsent, State::surelyNotRun, State::maybeRun, State::answered};
-constexpr std::array events{Event::written,  Event::unreached, Event::turned, Event::elsewhere,
-                            Event::answered, Event::cut,       Event::spoilt, Event::overdue};
+constexpr std::array states{AttemptState::unsent, AttemptState::surelyNotRun, AttemptState::maybeRun,
+                            AttemptState::answered};
+constexpr std::array events{AttemptEvent::written,   AttemptEvent::unreached, AttemptEvent::turned,
+                            AttemptEvent::elsewhere, AttemptEvent::answered,  AttemptEvent::cut,
+                            AttemptEvent::spoilt,    AttemptEvent::overdue};
 
 // One send, as it is: what happened to it, and whether its pod has run it.
 struct World {
     bool written = false, ended = false, ran = false;
-    Event last = Event::written;
+    AttemptEvent last = AttemptEvent::written;
 
     // What may happen next. A pod that has run it doesn't say that it hasn't.
-    std::vector<Event> next() const {
+    std::vector<AttemptEvent> next() const {
         if (ended) return {};
-        if (!written) return {Event::written, Event::unreached};
-        std::vector<Event> all{Event::cut, Event::spoilt, Event::overdue};
-        if (ran) all.push_back(Event::answered);
-        else all.insert(all.end(), {Event::turned, Event::elsewhere});
+        if (!written) return {AttemptEvent::written, AttemptEvent::unreached};
+        std::vector<AttemptEvent> all{AttemptEvent::cut, AttemptEvent::spoilt, AttemptEvent::overdue};
+        if (ran) all.push_back(AttemptEvent::answered);
+        else all.insert(all.end(), {AttemptEvent::turned, AttemptEvent::elsewhere});
         return all;
     }
-    World with(Event event) const {
+    World with(AttemptEvent event) const {
         World world = *this;
         world.last = event;
-        (event == Event::written ? world.written : world.ended) = true;
+        (event == AttemptEvent::written ? world.written : world.ended) = true;
         return world;
     }
 };
 
 using Table = std::vector<Transition>;
-const Table product(transitions.begin(), transitions.end());
+const Table product(kTransitions.begin(), kTransitions.end());
 
 // The first rule of the states that a table breaks; empty: none.
 std::string broken(const Table& table) {
-    std::set<std::pair<State, Event>> possible;
+    std::set<std::pair<AttemptState, AttemptEvent>> possible;
     std::string found;
-    const std::function<void(World, State)> walk = [&](World world, State state) {
+    const std::function<void(World, AttemptState)> walk = [&](World world, AttemptState state) {
         if (!found.empty()) return;
-        if (world.ran && state != State::maybeRun && state != State::answered)
+        if (world.ran && state != AttemptState::maybeRun && state != AttemptState::answered)
             found = std::string("Honest: run, but ") + name(state);
-        else if (!world.written && state != State::unsent && !world.ended)
+        else if (!world.written && state != AttemptState::unsent && !world.ended)
             found = "Exact: nothing was written";
-        else if (world.ended && state == State::unsent) found = "Exact: ended, but unsent";
-        else if ((state == State::answered) != (world.ended && world.last == Event::answered))
+        else if (world.ended && state == AttemptState::unsent) found = "Exact: ended, but unsent";
+        else if ((state == AttemptState::answered) != (world.ended && world.last == AttemptEvent::answered))
             found = "Exact: answered is what was answered";
-        else if (state == State::surelyNotRun && world.written && world.last != Event::turned &&
-                 world.last != Event::elsewhere)
+        else if (state == AttemptState::surelyNotRun && world.written && world.last != AttemptEvent::turned &&
+                 world.last != AttemptEvent::elsewhere)
             found = "NeverBack: not by the pod's own word";
-        else if (state != State::surelyNotRun && world.ended &&
-                 (!world.written || world.last == Event::turned || world.last == Event::elsewhere))
+        else if (state != AttemptState::surelyNotRun && world.ended &&
+                 (!world.written || world.last == AttemptEvent::turned ||
+                  world.last == AttemptEvent::elsewhere))
             found = "Exact: surely not run, but not known";
         // The pod may run it at any moment while it is there; what it is late to say is never said.
         if (world.written && !world.ran && !world.ended) {
@@ -73,7 +76,7 @@
             else walk(world.with(event), *to);
         }
     };
-    walk({}, State::unsent);
+    walk({}, AttemptState::unsent);
     for (const auto& transition : table)
         if (found.empty() && !possible.contains({transition.from, transition.event}))
             found = std::string("NeverBack: ") + name(transition.event) + " after " + name(transition.from);
@@ -82,13 +85,13 @@
 
 // All ways of one request through up to three sends; the first rule broken, and how.
 struct Host {
-    std::function<bool(const Attempts&, bool)> maySend = casting_maySend;
-    std::function<bool(const Attempts&)> mayPromise = casting_mayPromise;
+    std::function<bool(const Attempts&, bool)> mayAttempt = casting_maySend;
+    std::function<bool(const Attempts&)> mayPromiseNotRun = casting_mayPromise;
     static bool casting_maySend(const Attempts& attempts, bool repeatable) {
-        return lichenlanding::casting::maySend(attempts, repeatable);
+        return lichenlanding::routing::mayAttempt(attempts, repeatable);
     }
     static bool casting_mayPromise(const Attempts& attempts) {
-        return lichenlanding::casting::mayPromise(attempts);
+        return lichenlanding::routing::mayPromiseNotRun(attempts);
     }
 
     std::string broken(bool repeatable) const {
@@ -116,11 +119,12 @@
         int runs = 0, open = 0, silent = 0;
         for (const auto& world : worlds)
             runs += world.ran, open += !world.ended,
-                silent += world.written && world.last != Event::turned && world.last != Event::elsewhere;
+                silent +=
+                world.written && world.last != AttemptEvent::turned && world.last != AttemptEvent::elsewhere;
         if (!repeatable && runs > 1) return "TWICE:" + way;
         // What is promised holds for good: nothing that may still run, nor what has.
-        if (mayPromise(attempts) && (runs > 0 || open > 0 || silent > 0)) return "REFUSED:" + way;
-        if (!mayPromise(attempts) && open == 0 && silent == 0)
+        if (mayPromiseNotRun(attempts) && (runs > 0 || open > 0 || silent > 0)) return "REFUSED:" + way;
+        if (!mayPromiseNotRun(attempts) && open == 0 && silent == 0)
             return "Exact: no promise though nothing ran:" + way;
         std::string found;
         for (std::size_t at = 0; at < worlds.size() && found.empty(); ++at) {
@@ -140,7 +144,7 @@
             }
         }
         const std::size_t atMost = repeatable ? 2 : 3;
-        if (found.empty() && attempts.size() < atMost && maySend(attempts, repeatable)) {
+        if (found.empty() && attempts.size() < atMost && mayAttempt(attempts, repeatable)) {
             auto more = copy(attempts);
             more.push_back(std::make_shared<Attempt>(nullptr));
             auto next = worlds;
@@ -151,29 +155,29 @@
     }
 };
 
-using Judge = std::function<std::optional<Event>(const Answer&)>;
+using Judge = std::function<std::optional<AttemptEvent>(const ResponseHead&)>;
 
 // The first rule of answers that a judge breaks, over every head there may be.
 std::string brokenBy(const Judge& judged) {
     for (const int status : {200, 204, 206, 301, 304, 400, 404, 408, 413, 421, 429, 500, 502, 503, 504})
-        for (const auto id : {Answer::Id::own, Answer::Id::other, Answer::Id::none})
+        for (const auto id : {ResponseHead::Id::own, ResponseHead::Id::other, ResponseHead::Id::none})
             for (int bits = 0; bits < 16; ++bits) {
-                const Answer answer{status,        id, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0,
-                                    (bits & 8) > 0};
+                const ResponseHead answer{status,        id, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0,
+                                          (bits & 8) > 0};
                 const auto event = judged(answer);
                 const bool success = status / 100 == 2;
                 const bool word = answer.notExecuted || status == 421;
-                if (id == Answer::Id::other) {
+                if (id == ResponseHead::Id::other) {
                     if (event) return "MIXED: an answer to another request";
                     continue;
                 }
                 if (!event) return "LOST: an answer that is read past";
-                if (event != Event::spoilt && !answer.delimited)
+                if (event != AttemptEvent::spoilt && !answer.delimited)
                     return "MIXED: cut short, it would look whole";
-                if ((event == Event::turned || event == Event::elsewhere) && (success || !word))
+                if ((event == AttemptEvent::turned || event == AttemptEvent::elsewhere) && (success || !word))
                     return "REFUSED: not by the pod's word";
-                if (event != Event::answered) continue;
-                if (success && (id != Answer::Id::own || !answer.stamped))
+                if (event != AttemptEvent::answered) continue;
+                if (success && (id != ResponseHead::Id::own || !answer.stamped))
                     return "MIXED: a success without its stamp or id";
                 if (success && answer.encoded) return "MIXED: an encoded body";
                 if (success && answer.notExecuted) return "MIXED: a success that was not run";
@@ -199,12 +203,12 @@
     void table() {
         CPPUNIT_ASSERT_EQUAL(std::string(), broken(product));
         std::string seen;
-        for (const auto& [from, event, to] : transitions)
+        for (const auto& [from, event, to] : kTransitions)
             seen += std::string(name(from)) + " -- " + name(event) + " -> " + name(to) + "\n";
         for (const auto event : events) {
             Attempt sent(nullptr);
-            sent.on(Event::written);
-            if (event != Event::written && event != Event::unreached) {
+            sent.on(AttemptEvent::written);
+            if (event != AttemptEvent::written && event != AttemptEvent::unreached) {
                 sent.on(event);
                 CPPUNIT_ASSERT(sent.end() == event && !sent.inFlight());
                 const auto kept = sent.state();
@@ -212,7 +216,7 @@
                 CPPUNIT_ASSERT(sent.state() == kept && sent.end() == event);
             } else {
                 CPPUNIT_ASSERT_THROW(sent.on(event), std::logic_error);
-                CPPUNIT_ASSERT(sent.state() == State::maybeRun && sent.inFlight());
+                CPPUNIT_ASSERT(sent.state() == AttemptState::maybeRun && sent.inFlight());
             }
         }
         approve("attempt-table", seen);
@@ -263,7 +267,7 @@
     void requestFaults() {
         std::string seen;
         const auto known = [](const Attempt& attempt) {
-            return attempt.state() == State::unsent || attempt.state() == State::surelyNotRun;
+            return attempt.state() == AttemptState::unsent || attempt.state() == AttemptState::surelyNotRun;
         };
         const auto all = [&](const Attempts& attempts) {
             return std::all_of(attempts.begin(), attempts.end(),
@@ -284,22 +288,23 @@
             {"a reset is taken for not run",
              [&](const Attempts& attempts) {
                  return inFlight(attempts) == 0 &&
-                        std::all_of(attempts.begin(), attempts.end(),
-                                    [&](const auto& one) { return known(*one) || one->end() == Event::cut; });
+                        std::all_of(attempts.begin(), attempts.end(), [&](const auto& one) {
+                            return known(*one) || one->end() == AttemptEvent::cut;
+                        });
              }},
             {"silence is taken for not run",
              [&](const Attempts& attempts) {
                  return inFlight(attempts) == 0 &&
                         std::all_of(attempts.begin(), attempts.end(), [&](const auto& one) {
-                            return known(*one) || one->end() == Event::overdue;
+                            return known(*one) || one->end() == AttemptEvent::overdue;
                         });
              }},
             {"a refusal is not believed", [&](const Attempts& attempts) { return attempts.empty(); }},
         };
         for (const auto& [fault, rule] : faults) {
             Host sends, promises;
-            sends.maySend = [&rule = rule](const Attempts& attempts, bool) { return rule(attempts); };
-            promises.mayPromise = rule;
+            sends.mayAttempt = [&rule = rule](const Attempts& attempts, bool) { return rule(attempts); };
+            promises.mayPromiseNotRun = rule;
             const auto twice = sends.broken(false);
             auto refused = promises.broken(false);
             if (refused.empty()) refused = promises.broken(true);
@@ -314,65 +319,59 @@
     void answers() {
         CPPUNIT_ASSERT_EQUAL(std::string(), brokenBy(judge));
         std::string seen;
-        const auto with = [](std::function<void(Answer&)> change) -> Judge {
-            return [change](const Answer& answer) {
+        const auto with = [](std::function<void(ResponseHead&)> change) -> Judge {
+            return [change](const ResponseHead& answer) {
                 auto changed = answer;
                 change(changed);
                 return judge(changed);
             };
         };
-        for (const auto& [fault,
-                          judged] : std::vector<std::
-                                                    pair<
-                                                        const char*,
-                                                        Judge>>{{"the id is not looked at",
-                                                                 with([](Answer& a) {
-                                                                     a.id = Answer::Id::own;
-                                                                 })},
-                                                                {"the id is looked at for a success alone",
-                                                                 with([](Answer& a) {
-                                                                     a.id = a.status / 100 == 2
-                                                                                ? a.id
-                                                                                : Answer::Id::own;
-                                                                 })},
-                                                                {"an answer without an id is taken for this "
-                                                                 "one",
-                                                                 with([](Answer& a) {
-                                                                     a.id = a.id == Answer::Id::none
-                                                                                ? Answer::Id::own
-                                                                                : a.id;
-                                                                 })},
-                                                                {"every answer counts as another's",
-                                                                 [](const Answer&) { return std::nullopt; }},
-                                                                {"the stamp is not looked at",
-                                                                 with([](Answer& a) { a.stamped = true; })},
-                                                                {"the encoding is not looked at",
-                                                                 with([](Answer& a) { a.encoded = false; })},
-                                                                {"the end of the body is not looked at",
-                                                                 with([](Answer& a) { a.delimited = true; })},
-                                                                {"a 503 is taken for a refusal",
-                                                                 with(
-                                                                     [](Answer& a) {
-                                                                         a.notExecuted =
-                                                                             a.notExecuted || a.status == 503;
-                                                                     })},
-                                                                {"a pod's 429 is passed on",
-                                                                 [](const Answer& a) {
-                                                                     return a.status == 429 &&
-                                                                                    a.id == Answer::Id::own &&
-                                                                                    a.delimited
-                                                                                ? Event::answered
-                                                                                : judge(a);
-                                                                 }},
-                                                                {"a success counts as turned away where it "
-                                                                 "says so",
-                                                                 [](const Answer& a) {
-                                                                     return a.notExecuted &&
-                                                                                    a.id == Answer::Id::own &&
-                                                                                    a.delimited
-                                                                                ? Event::turned
-                                                                                : judge(a);
-                                                                 }}}) {
+        for (const auto& [fault, judged] :
+             std::vector<std::pair<const char*, Judge>>{{"the id is not looked at", with([](ResponseHead& a) {
+                                                             a.id = ResponseHead::Id::own;
+                                                         })},
+                                                        {"the id is looked at for a success alone",
+                                                         with([](ResponseHead& a) {
+                                                             a.id = a.status / 100 == 2
+                                                                        ? a.id
+                                                                        : ResponseHead::Id::own;
+                                                         })},
+                                                        {"an answer without an id is taken for this "
+                                                         "one",
+                                                         with([](ResponseHead& a) {
+                                                             a.id = a.id == ResponseHead::Id::none
+                                                                        ? ResponseHead::Id::own
+                                                                        : a.id;
+                                                         })},
+                                                        {"every answer counts as another's",
+                                                         [](const ResponseHead&) { return std::nullopt; }},
+                                                        {"the stamp is not looked at",
+                                                         with([](ResponseHead& a) { a.stamped = true; })},
+                                                        {"the encoding is not looked at",
+                                                         with([](ResponseHead& a) { a.encoded = false; })},
+                                                        {"the end of the body is not looked at",
+                                                         with([](ResponseHead& a) { a.delimited = true; })},
+                                                        {"a 503 is taken for a refusal",
+                                                         with([](ResponseHead& a) {
+                                                             a.notExecuted = a.notExecuted || a.status == 503;
+                                                         })},
+                                                        {"a pod's 429 is passed on",
+                                                         [](const ResponseHead& a) {
+                                                             return a.status == 429 &&
+                                                                            a.id == ResponseHead::Id::own &&
+                                                                            a.delimited
+                                                                        ? AttemptEvent::answered
+                                                                        : judge(a);
+                                                         }},
+                                                        {"a success counts as turned away where it "
+                                                         "says so",
+                                                         [](const ResponseHead& a) {
+                                                             return a.notExecuted &&
+                                                                            a.id == ResponseHead::Id::own &&
+                                                                            a.delimited
+                                                                        ? AttemptEvent::turned
+                                                                        : judge(a);
+                                                         }}}) {
             const auto rule = brokenBy(judged);
             CPPUNIT_ASSERT_MESSAGE(fault, !rule.empty());
             seen += std::string(fault) + " - " + rule + "\n";
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -1,17 +1,18 @@
-// Casting without sockets: what is sent where, what is never sent again, how much of anything there may be.
+// Routing without sockets: what is sent where, what is never sent again, how much of anything there may be.
 // Times are made up; chance is seeded.
 #include "routing/router.hpp"
 
 #include "support/transcript.hpp"
 
 using namespace lichenlanding;
-using casting::Attempt, casting::Casting, casting::Event, casting::Try;
+using routing::Attempt, routing::Router, routing::AttemptEvent, routing::RoutedRequest;
 
 namespace {
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
+constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
-std::shared_ptr<const playbill::Playbill> bill(const std::string& version, const std::string& service = "s") {
+std::shared_ptr<const config::Configuration> bill(const std::string& version,
+                                                  const std::string& service = "s") {
     std::string text = R"({"config_version":")" + version + R"(","resources":[)";
     for (const auto* kind : {"idempotent", "non_idempotent"})
         text += std::string(R"({"resource_type":"route_table","metadata":{"name":")") + kind +
@@ -20,49 +21,50 @@
                 R"(","max_attempts":3}},)";
     text += R"({"resource_type":"service_table","metadata":{"name":"s"},"spec":{"max_connections":100}},)"
             R"({"resource_type":"service_table","metadata":{"name":"t"},"spec":{}}]})";
-    return std::make_shared<playbill::Playbill>(playbill::Playbill::read(text));
+    return std::make_shared<config::Configuration>(config::Configuration::read(text));
 }
 
 struct Room {
     explicit Room(std::size_t pods = 4, double slack = 20) {
         boot.zone = "z", boot.budgetSlack = slack, boot.budgetRatio = 0.2, boot.exposureShare = 0.1;
-        room = std::make_unique<Casting>(boot, 7);
+        room = std::make_unique<Router>(boot, 7);
         room->take(bill("00000001"));
-        room->company(1, now - 10 * second);
+        room->company(1, now - 10 * kSecond);
         for (std::size_t at = 0; at < pods; ++at) list("p" + std::to_string(at));
     }
     void list(const std::string& id, const std::string& version = "v1", bool draining = false,
               const std::string& zone = "z") {
         room->apply({0, {id, "s", "a", zone, version, 3, draining, 0}, false}, now);
     }
-    Try begin(const char* kind) {
-        Try request;
-        CPPUNIT_ASSERT(room->begin(request, "h", std::string("/") + kind + "/1", now, 2 * second));
+    RoutedRequest begin(const char* kind) {
+        RoutedRequest request;
+        CPPUNIT_ASSERT(room->begin(request, "h", std::string("/") + kind + "/1", now, 2 * kSecond));
         return request;
     }
     // Sends once; the pod's id, or "-".
-    std::string send(Try& request) {
+    std::string send(RoutedRequest& request) {
         last = room->next(request, now);
         return last ? last->actor()->listed.id : "-";
     }
-    void end(Try& request, Event end, int status = 200, Nanos took = 100 * ms) {
+    void end(RoutedRequest& request, AttemptEvent end, int status = 200, Nanos took = 100 * kMillisecond) {
         end_(request, *last, end, status, took);
     }
     // As a host tells it: all but what ends unreached was written first.
-    void end_(Try& request, Attempt& attempt, Event end, int status = 200, Nanos took = 100 * ms) {
-        if (end != Event::unreached) attempt.on(Event::written);
+    void end_(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
+              Nanos took = 100 * kMillisecond) {
+        if (end != AttemptEvent::unreached) attempt.on(AttemptEvent::written);
         room->ended(request, attempt, end, status, took, now);
     }
     void rollout(const std::string& state, int stage = 0, std::int64_t number = 1) {
-        cues::Rollout order;
+        messages::Rollout order;
         order.service = "s", order.target = "v2", order.state = state, order.stage = stage,
         order.number = number;
         room->rollouts({order}, now);
     }
-    playbill::Boot boot;
-    std::unique_ptr<Casting> room;
+    config::BootstrapSettings boot;
+    std::unique_ptr<Router> room;
     std::shared_ptr<Attempt> last;
-    Nanos now = 100 * second;
+    Nanos now = 100 * kSecond;
 };
 
 const char* const reading = "idempotent";
@@ -94,12 +96,12 @@
         std::string seen;
         for (const auto* kind : {reading, writing})
             for (const auto& [name, end] :
-                 std::vector<std::pair<const char*, Event>>{{"turned", Event::turned},
-                                                            {"elsewhere", Event::elsewhere},
-                                                            {"unreached", Event::unreached},
-                                                            {"cut", Event::cut},
-                                                            {"spoilt", Event::spoilt},
-                                                            {"overdue", Event::overdue}}) {
+                 std::vector<std::pair<const char*, AttemptEvent>>{{"turned", AttemptEvent::turned},
+                                                                   {"elsewhere", AttemptEvent::elsewhere},
+                                                                   {"unreached", AttemptEvent::unreached},
+                                                                   {"cut", AttemptEvent::cut},
+                                                                   {"spoilt", AttemptEvent::spoilt},
+                                                                   {"overdue", AttemptEvent::overdue}}) {
                 Room room;
                 auto request = room.begin(kind);
                 const auto first = room.send(request);
@@ -123,16 +125,16 @@
             Room room(8);
             auto request = room.begin(kind);  // to three pods at most
             std::string ends;
-            for (const auto end : {Event::turned, Event::unreached, Event::unreached, Event::turned,
-                                   Event::turned, Event::turned}) {
+            for (const auto end : {AttemptEvent::turned, AttemptEvent::unreached, AttemptEvent::unreached,
+                                   AttemptEvent::turned, AttemptEvent::turned, AttemptEvent::turned}) {
                 if (room.send(request) == "-") break;
                 room.end(request, end);
-                ends += casting::name(end) + std::string(" ");
+                ends += routing::name(end) + std::string(" ");
             }
             CPPUNIT_ASSERT_EQUAL(std::string("turned unreached unreached turned turned "), ends);
             auto nobody = room.begin(kind);
             int attempts = 0;
-            for (; room.send(nobody) != "-"; ++attempts) room.end(nobody, Event::unreached);
+            for (; room.send(nobody) != "-"; ++attempts) room.end(nobody, AttemptEvent::unreached);
             CPPUNIT_ASSERT_EQUAL(5, attempts);
             CPPUNIT_ASSERT_EQUAL(503, room.room->refusal(nobody).status);
         }
@@ -147,17 +149,17 @@
             const bool storm = second_ >= 10 && second_ < 20;
             const int before = further;
             for (int at = 0; at < 20; ++at) {
-                room.now += second / 20;
+                room.now += kSecond / 20;
                 auto request = room.begin(reading);
                 for (auto sent = room.send(request); sent != "-"; sent = room.send(request)) {
-                    if (casting::arrivals(request.attempts) > 1) ++further;
-                    room.end(request, storm ? Event::turned : Event::answered);
+                    if (routing::arrivals(request.attempts) > 1) ++further;
+                    room.end(request, storm ? AttemptEvent::turned : AttemptEvent::answered);
                     if (!storm) break;
                 }
             }
             if (!storm) CPPUNIT_ASSERT_EQUAL(before, further);
         }
-        // 0.2 of 200 requests and a quarter of 24: 46 in ten seconds are this foyer's part.
+        // 0.2 of 200 requests and a quarter of 24: 46 in ten seconds are this proxy's part.
         CPPUNIT_ASSERT(further > 20);
         CPPUNIT_ASSERT(further <= 46);
     }
@@ -168,13 +170,13 @@
         Room room;
         for (int at = 0; at < 4; ++at) room.list("n" + std::to_string(at), "v2");
         room.rollout("in_progress");
-        room.now += 3 * second;
+        room.now += 3 * kSecond;
         int fresh = 0;
         for (int at = 0; at < 1000; ++at) {
-            room.now += 10 * ms;
+            room.now += 10 * kMillisecond;
             auto request = room.begin(reading);
             fresh += room.send(request)[0] == 'n';
-            room.end(request, Event::answered);
+            room.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh >= 40);
         CPPUNIT_ASSERT(fresh <= 50);
@@ -183,18 +185,18 @@
         CPPUNIT_ASSERT_EQUAL(1000u, counted[0].all() + counted[1].all());
         fresh = 0;
         for (int at = 0; at < 2000; ++at) {
-            room.now += 10 * ms;
+            room.now += 10 * kMillisecond;
             auto request = room.begin(writing);
             const bool its = room.send(request)[0] == 'n';
             fresh += its;
-            room.end(request, its ? Event::cut : Event::answered);
+            room.end(request, its ? AttemptEvent::cut : AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh >= 4);
         CPPUNIT_ASSERT(fresh < 60);  // until 0.3 of those it has seen are bad
     }
 
     // EXPOSURE: where few requests come, a part of what the rule lets go beyond the share begins the watch,
-    // no quicker than an earlier pod is sent requests; a foyer that starts in the middle is granted none.
+    // no quicker than an earlier pod is sent requests; a proxy that starts in the middle is granted none.
     void fewRequests() {
         std::string seen;
         for (const bool there : {true, false}) {
@@ -203,15 +205,15 @@
             if (there) room.room->rollouts({}, room.now);
             room.room->company(12, room.now);
             room.rollout("in_progress");
-            room.now += 3 * second;
+            room.now += 3 * kSecond;
             seen += there ? "there at the order:" : "started since:";
             for (int part = 0; part < 4; ++part) {
                 int fresh = 0;
                 for (int at = 0; at < 12; ++at) {
-                    room.now += 270 * ms;
+                    room.now += 270 * kMillisecond;
                     auto request = room.begin(writing);
                     fresh += room.send(request)[0] == 'n';
-                    room.end(request, Event::answered);
+                    room.end(request, AttemptEvent::answered);
                 }
                 seen += " " + std::to_string(fresh);
             }
@@ -224,18 +226,18 @@
     void twoOrders() {
         Room room;
         room.list("n", "v2"), room.list("m", "v2"), room.list("x", "v3"), room.list("y", "v3");
-        cues::Rollout good, bad;
+        messages::Rollout good, bad;
         good.service = bad.service = "s", good.target = "v2", bad.target = "v3", good.stage = 2,
         good.number = 2, bad.number = 1;
         room.room->rollouts({bad, good}, room.now);
-        room.now += 3 * second;
+        room.now += 3 * kSecond;
         std::map<std::string, int> where;
         for (int at = 0; at < 1000; ++at) {
-            room.now += 10 * ms;
+            room.now += 10 * kMillisecond;
             auto request = room.begin(reading);
             CPPUNIT_ASSERT(room.send(request) != "-");
             ++where[room.last->actor()->listed.version];
-            room.end(request, Event::answered);
+            room.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT_EQUAL(0, where["v1"]);
         CPPUNIT_ASSERT(where["v3"] >= 40);
@@ -247,23 +249,23 @@
     void orderedAnew() {
         Room room;
         room.list("n", "v2"), room.list("m", "v2");
-        cues::Rollout first, anew;
+        messages::Rollout first, anew;
         first.service = anew.service = "s", first.target = anew.target = "v2";
         first.term = 12'000, anew.term = 15'000, first.number = 1, anew.number = 3;
         const auto serve = [&] {
             int fresh = 0;
             for (int at = 0; at < 600; ++at) {
-                room.now += 10 * ms;
+                room.now += 10 * kMillisecond;
                 auto request = room.begin(reading);
                 CPPUNIT_ASSERT(room.send(request) != "-");
                 const bool its = room.last->actor()->listed.version == "v2";
                 fresh += its;
-                room.end(request, Event::answered, its ? 500 : 200);
+                room.end(request, AttemptEvent::answered, its ? 500 : 200);
             }
             return fresh;
         };
         room.room->rollouts({first}, room.now);
-        room.now += 3 * second;
+        room.now += 3 * kSecond;
         CPPUNIT_ASSERT(serve() > 0);
         CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
         first.state = "rolled_back", first.number = 2;
@@ -286,7 +288,7 @@
                 auto request = room.begin(reading);
                 const auto sent = room.send(request);
                 ++where[sent == "-" ? sent : room.last->actor()->listed.version];
-                if (sent != "-") room.end(request, Event::answered);
+                if (sent != "-") room.end(request, AttemptEvent::answered);
             }
             seen += what + ":";
             for (const auto& [version, count] : where) seen += " " + version + " " + std::to_string(count);
@@ -297,11 +299,11 @@
         see("nobody ordered v2", room);
         room.rollout("in_progress");
         see("in progress, its pods not warm yet", room);
-        room.now += 3 * second;
+        room.now += 3 * kSecond;
         see("in progress", room);
         room.rollout("in_progress", 1, 2);
         see("rehearsal, within the share so far", room);
-        room.now += second;
+        room.now += kSecond;
         see("after the rehearsal", room);
         room.rollout("in_progress", 2, 2);
         see("all traffic", room);
@@ -309,13 +311,13 @@
         see("completed", room);
         room.rollout("rolled_back", 0, 4);
         see("rolled back", room);
-        Room late(0);  // a foyer that starts while both are there
+        Room late(0);  // a proxy that starts while both are there
         late.rollout("in_progress");
-        late.list("n", "v2"), late.list("p", "v1"), late.now += 3 * second;
+        late.list("n", "v2"), late.list("p", "v1"), late.now += 3 * kSecond;
         see("started in the middle", late);
         Room known(0);  // the list came before the order was known
         known.list("n", "v2"), known.list("p", "v1");
-        known.rollout("in_progress"), known.now += 3 * second;
+        known.rollout("in_progress"), known.now += 3 * kSecond;
         see("order known late", known);
         approve("router-versions", seen);
     }
@@ -330,19 +332,19 @@
         CPPUNIT_ASSERT_EQUAL(std::string("-"), room.send(other));
         room.list("p1");
         CPPUNIT_ASSERT_EQUAL(std::string("p1"), room.send(other));
-        room.end(other, Event::elsewhere);
+        room.end(other, AttemptEvent::elsewhere);
         auto third = room.begin(reading);
         CPPUNIT_ASSERT_EQUAL(std::string("-"), room.send(third));
     }
 
-    // CONFIG: a foyer that wakes up, or hears an older prompter, never goes back.
+    // CONFIG: a proxy that wakes up, or hears an older control node, never goes back.
     void neverBack() {
         Room room;
         room.room->take(bill("00000009", "t"));
         room.room->take(bill("00000008"));
         auto request = room.begin(reading);
         CPPUNIT_ASSERT_EQUAL(std::string("t"), request.service);
-        CPPUNIT_ASSERT_EQUAL(9u, room.room->playbill()->version);
+        CPPUNIT_ASSERT_EQUAL(9u, room.room->configuration()->version);
     }
 
     // Many pods, each heard of now and then: where those of the own zone make requests wait and others do
@@ -355,12 +357,12 @@
             for (int at = 0; at < 40; ++at) room.list("f" + std::to_string(at), "v1", false, "y");
             int others = 0;
             for (int at = 0; at < 2000; ++at) {
-                room.now += 60 * ms;
+                room.now += 60 * kMillisecond;
                 auto request = room.begin(writing);
                 const bool other = room.send(request)[0] == 'f';
                 others += at >= 1000 && other;
                 room.room->reported(*room.last->actor(), 3, other ? far : near, room.now);
-                room.end(request, Event::answered);
+                room.end(request, AttemptEvent::answered);
             }
             seen += "waiting in the own zone " + std::to_string(near) + ", elsewhere " + std::to_string(far) +
                     ": " + std::to_string((others + 5) / 10) + " of 100 go elsewhere\n";
@@ -374,18 +376,18 @@
         auto stuck = room.begin(writing);
         const auto mute = room.send(stuck);
         const auto owing = room.last;
-        room.now += second;
+        room.now += kSecond;
         for (int at = 0; at < 50; ++at) {
             auto request = room.begin(reading);
             CPPUNIT_ASSERT(room.send(request) != mute);
-            room.end(request, Event::answered);
+            room.end(request, AttemptEvent::answered);
         }
-        room.end_(stuck, *owing, Event::answered, 200, second);
+        room.end_(stuck, *owing, AttemptEvent::answered, 200, kSecond);
         bool again = false;
         for (int at = 0; at < 50; ++at) {
             auto request = room.begin(reading);
             again = room.send(request) == mute || again;
-            room.end(request, Event::answered);
+            room.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(again);
     }
@@ -393,19 +395,20 @@
     // A pod at which nothing is out owes nothing, however its last send ended: after its rest it is drawn
     // again like any other.
     void owesNothing() {
-        for (const auto end : {Event::unreached, Event::cut, Event::spoilt, Event::overdue}) {
+        for (const auto end :
+             {AttemptEvent::unreached, AttemptEvent::cut, AttemptEvent::spoilt, AttemptEvent::overdue}) {
             Room room;
             auto failed = room.begin(writing);
             const auto pod = room.send(failed);
             room.end(failed, end);
-            room.now += 2 * second;
+            room.now += 2 * kSecond;
             int again = 0;
             for (int at = 0; at < 50; ++at) {
                 auto request = room.begin(reading);
                 again += room.send(request) == pod;
-                room.end(request, Event::answered);
+                room.end(request, AttemptEvent::answered);
             }
-            CPPUNIT_ASSERT_MESSAGE(casting::name(end), again > 0);
+            CPPUNIT_ASSERT_MESSAGE(routing::name(end), again > 0);
         }
     }
 
@@ -415,7 +418,7 @@
         Room room(1);
         room.list("n", "v2"), room.list("m", "v2");
         room.rollout("in_progress");
-        room.now += 3 * second;
+        room.now += 3 * kSecond;
         auto waits = room.begin(reading);
         room.send(waits);
         for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!room.room->next(waits, room.now));
@@ -425,7 +428,7 @@
             auto request = room.begin(writing);
             const auto sent = room.send(request);
             fresh += sent != "-" && sent != "p0";
-            if (sent != "-") room.end(request, Event::answered);
+            if (sent != "-") room.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh <= 2);
     }
--- a/tests/scale_test/scale_test.cpp
+++ b/tests/scale_test/scale_test.cpp
@@ -43,7 +43,7 @@
     }
 
     static std::string refusal(const std::string& name, const std::string& value) {
-        rehearsal::Plan plan;
+        scale_test::ScenarioConfig plan;
         try {
             plan.set(name, value);
         } catch (const std::runtime_error& wrong) {
@@ -58,50 +58,50 @@
         CPPUNIT_ASSERT_EQUAL(std::string("foyers: must be 1 to 3000"), refusal("foyers", "0"));
         CPPUNIT_ASSERT_EQUAL(std::string("foyers: no whole number: many"), refusal("foyers", "many"));
         CPPUNIT_ASSERT_EQUAL(std::string("foyer: no such setting"), refusal("foyer", "1"));
-        rehearsal::Plan plan;
+        scale_test::ScenarioConfig plan;
         plan.set("pods", "15000"), plan.set("loss", "true");
-        const auto again = rehearsal::Plan::from(plan.describe());
+        const auto again = scale_test::ScenarioConfig::from(plan.describe());
         CPPUNIT_ASSERT(again.describe() == plan.describe());
         CPPUNIT_ASSERT_EQUAL(std::int64_t{15000}, again.pods);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{1}, again.loss);
     }
 
     void configurationsAreValidAndGrow() {
-        rehearsal::Plan plan;
+        scale_test::ScenarioConfig plan;
         plan.routes = 300;
-        const auto first = playbill::Playbill::read(rehearsal::configuration(plan, 0));
-        const auto third = playbill::Playbill::read(rehearsal::configuration(plan, 2));
+        const auto first = config::Configuration::read(scale_test::configuration(plan, 0));
+        const auto third = config::Configuration::read(scale_test::configuration(plan, 2));
         CPPUNIT_ASSERT_EQUAL(1u, first.version);
         CPPUNIT_ASSERT_EQUAL(3u, third.version);
         CPPUNIT_ASSERT_EQUAL(std::size_t{300}, first.routes.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{302}, third.routes.size());
-        const auto path = rehearsal::changedPath(2) + "x";
-        CPPUNIT_ASSERT(!first.find(rehearsal::changedHost, path));
-        CPPUNIT_ASSERT(third.find(rehearsal::changedHost, path));
+        const auto path = scale_test::changedPath(2) + "x";
+        CPPUNIT_ASSERT(!first.find(scale_test::kChangedHost, path));
+        CPPUNIT_ASSERT(third.find(scale_test::kChangedHost, path));
     }
 
     void quantilesAreOfTheTimesThemselves() {
         std::vector<Nanos> times;
         for (int n = 100; n >= 1; --n) times.push_back(n * 1'000'000);
-        const auto told = rehearsal::spread(times);
+        const auto told = scale_test::spread(times);
         CPPUNIT_ASSERT_EQUAL(50.0, told.at("median_ms").get<double>());
         CPPUNIT_ASSERT_EQUAL(99.0, told.at("p99_ms").get<double>());
         CPPUNIT_ASSERT_EQUAL(100.0, told.at("max_ms").get<double>());
-        CPPUNIT_ASSERT(rehearsal::spread({}).is_null());
+        CPPUNIT_ASSERT(scale_test::spread({}).is_null());
         CPPUNIT_ASSERT_EQUAL(std::string("| a | b |\n| --- | ---: |\n| x | 1.23 |\n| - | 0.0457 |\n"),
-                             rehearsal::table({"a", "b"}, {{"x", 1.2345}, {nullptr, 0.04567}}));
+                             scale_test::table({"a", "b"}, {{"x", 1.2345}, {nullptr, 0.04567}}));
     }
 
     // Bytes by connection, as the kernel tells them, between two readings of this process.
     void aConnectionIsCounted() {
-        using namespace wings;
+        using namespace transport;
         asio::io_context io;
         auto door = listen(io, "127.0.0.1:0");
         tcp::socket one(io);
         one.connect(door.local_endpoint());
         auto other = door.accept();
         const std::map<std::string, pid_t> ids{{"me", getpid()}};
-        const auto before = rehearsal::Reading::take(ids);
+        const auto before = scale_test::Reading::take(ids);
         asio::write(one, asio::buffer(std::string(1000, 'x')));
         std::string got(1000, ' ');
         asio::read(other, asio::buffer(got));
@@ -113,7 +113,7 @@
         };
         for (const auto from = spent(); spent() < from + 60;) {
         }
-        const auto after = rehearsal::Reading::take(ids);
+        const auto after = scale_test::Reading::take(ids);
         const auto flows = after.flows(before, "me", {{"me", "role"}});
         const auto flow = flows.find("role");
         CPPUNIT_ASSERT(flow != flows.end());
@@ -130,13 +130,13 @@
         CPPUNIT_ASSERT_EQUAL_MESSAGE(all, 0, status);
         std::map<std::string, Json> times;
         Json end, hollow;
-        std::map<std::string, int> prompters;
+        std::map<std::string, int> controlNodes;
         for (const auto& line : lines) {
             const auto read = Json::parse(line, nullptr, false);
             if (!read.is_object()) continue;
             if (read.contains("time")) times[read.at("time").get<std::string>()] = read;
             if (read.value("phase", "") == "end") end = read;
-            if (read.value("role", "") == "prompter") ++prompters[read.at("phase").get<std::string>()];
+            if (read.value("role", "") == "prompter") ++controlNodes[read.at("phase").get<std::string>()];
             if (read.value("role", "") == "hollow" && read.at("phase") == "changes") hollow = read;
         }
         const auto counted = [&](const char* what) {
@@ -144,13 +144,13 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(what, 0, times.at(what).value("missing", 0));
             return times.at(what).at("spread").at("n").get<int>();
         };
-        CPPUNIT_ASSERT_EQUAL(13, counted("start until ready"));  // 12 hollow foyers and a real one
+        CPPUNIT_ASSERT_EQUAL(13, counted("start until ready"));  // 12 hollow proxies and a real one
         CPPUNIT_ASSERT_EQUAL(2, counted("change acknowledged until at the last foyer"));
         CPPUNIT_ASSERT_EQUAL(2, counted("change acknowledged until served by a real foyer"));
         CPPUNIT_ASSERT_EQUAL(2, counted("pod draining until known to the last foyer"));
         CPPUNIT_ASSERT_EQUAL(2, counted("restart of a foyer (500 ms away) until ready"));
         for (const auto* phase : {"start", "steady", "changes", "pods", "restarts"})
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(phase, 3, prompters[phase]);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(phase, 3, controlNodes[phase]);
         CPPUNIT_ASSERT_EQUAL(3.0, hollow.at("each").at("prompter").at("connections").get<double>());
         CPPUNIT_ASSERT(hollow.at("each").at("prompter").at("messages_in_s").get<double>() > 0);
         CPPUNIT_ASSERT(end.at("whole").get<bool>());
--- a/tests/storage/replica_store.cpp
+++ b/tests/storage/replica_store.cpp
@@ -1,4 +1,5 @@
-// The prompter's disk: what is written is there again; damage and fullness are told and never guessed over.
+// The control node's disk: what is written is there again; damage and fullness are told and never guessed
+// over.
 #include "storage/replica_store.hpp"
 
 #include <sys/resource.h>
@@ -10,7 +11,7 @@
 #include "support/transcript.hpp"
 
 using namespace lichenlanding;
-using promptbook::DiskError, promptbook::Promptbook;
+using storage::StorageError, storage::LmdbReplicaStore;
 
 class PromptbookTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(PromptbookTest);
@@ -22,8 +23,9 @@
 
     std::string folder;
 
-    static std::map<std::string, reg::Cell> cell(const std::string& value, std::uint64_t round) {
-        std::map<std::string, reg::Cell> cells;
+    static std::map<std::string, consensus::RegisterState> cell(const std::string& value,
+                                                                std::uint64_t round) {
+        std::map<std::string, consensus::RegisterState> cells;
         cells["configuration"] = {{round, 7}, {round, 7}, value};
         return cells;
     }
@@ -38,11 +40,11 @@
 
     void again() {
         {
-            Promptbook book(folder, 8 << 20);
+            LmdbReplicaStore book(folder, 8 << 20);
             book.write(cell("first", 1), {{"members", "a,b,c"}});
             book.write(cell(std::string(200'000, 'x'), 2), {});
         }
-        Promptbook book(folder, 8 << 20);
+        LmdbReplicaStore book(folder, 8 << 20);
         CPPUNIT_ASSERT_EQUAL(std::string("a,b,c"), book.note("members"));
         CPPUNIT_ASSERT_EQUAL(std::string(), book.note("none"));
         CPPUNIT_ASSERT(book.cells() == cell(std::string(200'000, 'x'), 2));
@@ -51,7 +53,7 @@
     // A byte of the value changed on disk: the checksum tells, whoever opens it.
     void damaged() {
         {
-            Promptbook book(folder, 8 << 20);
+            LmdbReplicaStore book(folder, 8 << 20);
             book.write(cell("the words that are looked for", 1), {});
         }
         std::fstream file(folder + "/data.mdb", std::ios::in | std::ios::out | std::ios::binary);
@@ -67,14 +69,14 @@
         }
         file.close();
         CPPUNIT_ASSERT(changed > 0);
-        Promptbook book(folder, 8 << 20);
-        CPPUNIT_ASSERT_THROW(book.cells(), DiskError);
+        LmdbReplicaStore book(folder, 8 << 20);
+        CPPUNIT_ASSERT_THROW(book.cells(), StorageError);
     }
 
     // The disk takes no more: the write is refused whole, what was there stays, and it goes on when there is
     // room.
     void full() {
-        auto book = std::make_unique<Promptbook>(folder, 8 << 20);
+        auto book = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
         book->write(cell("kept", 1), {});
         rlimit before{};
         getrlimit(RLIMIT_FSIZE, &before);
@@ -82,9 +84,9 @@
         const rlimit little{static_cast<rlim_t>(std::filesystem::file_size(folder + "/data.mdb")),
                             before.rlim_max};
         setrlimit(RLIMIT_FSIZE, &little);
-        CPPUNIT_ASSERT_THROW(book->write(cell(std::string(300'000, 'y'), 2), {}), DiskError);
+        CPPUNIT_ASSERT_THROW(book->write(cell(std::string(300'000, 'y'), 2), {}), StorageError);
         setrlimit(RLIMIT_FSIZE, &before);
-        book = std::make_unique<Promptbook>(folder, 8 << 20);
+        book = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
         CPPUNIT_ASSERT(book->cells() == cell("kept", 1));
         book->write(cell(std::string(300'000, 'y'), 2), {});
         CPPUNIT_ASSERT(book->cells() == cell(std::string(300'000, 'y'), 2));
@@ -92,7 +94,7 @@
 
     // Three hundred configurations leave no more on disk than a few of them.
     void bounded() {
-        Promptbook book(folder, 8 << 20);
+        LmdbReplicaStore book(folder, 8 << 20);
         for (int at = 1; at <= 300; ++at)
             book.write(
                 cell(std::string(60'000, static_cast<char>('a' + at % 26)), static_cast<std::uint64_t>(at)),
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -1,5 +1,5 @@
-// Catching up costs what is held, not what has happened: bytes and messages of a restarted prompter and a
-// restarted foyer after 10, 300 and 1,100 changes; and a configuration of 24,000 routes, squeezed, on a slow
+// Catching up costs what is held, not what has happened: bytes and messages of a restarted control node and a
+// restarted proxy after 10, 300 and 1,100 changes; and a configuration of 24,000 routes, squeezed, on a slow
 // line. Counted, never timed.
 #include <iostream>
 #include <random>
@@ -11,13 +11,13 @@
 #include "transport/compression.hpp"
 
 using namespace keeper_stage;
-using callboard_stage::Callboard, callboard_stage::pods;
+using callboard_stage::ConfigurationCache, callboard_stage::pods;
 
 namespace {
 
 struct Cost {
     std::size_t messages = 0, bytes = 0;
-    void add(const Json& message) { ++messages, bytes += Link::pack(message)->size(); }
+    void add(const Json& message) { ++messages, bytes += PeerConnection::pack(message)->size(); }
 };
 
 // A value that squeezes to nothing much, of one size whichever change it is.
@@ -48,10 +48,11 @@
     return all + "}";
 }
 
-// What a foyer and a prompter exchange when it has come up.
-Cost exchange(Callboard& prompter, Callboard& foyer) {
+// What a proxy and a control node exchange when it has come up.
+Cost exchange(ConfigurationCache& controlNode, ConfigurationCache& proxy) {
     Cost cost;
-    callboard_stage::tell(prompter, foyer, prompter.digest(), Callboard::From::prompter,
+    callboard_stage::tell(controlNode, proxy, controlNode.digest(),
+                          ConfigurationCache::MessageSource::controlNode,
                           [&](const Json& message) { cost.add(message); });
     return cost;
 }
@@ -72,27 +73,27 @@
 
 class CatchingUpTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(CatchingUpTest);
-    CPPUNIT_TEST(prompters);
-    CPPUNIT_TEST(foyers);
+    CPPUNIT_TEST(controlNodes);
+    CPPUNIT_TEST(proxies);
     CPPUNIT_TEST(largeConfiguration);
     CPPUNIT_TEST_SUITE_END();
 
     static const std::string& value(const Member& member) {
-        return member.keeper->known(prompter::configurationKey).value;
+        return member.replica->known(control_plane::kConfigurationKey).value;
     }
     static bool votes(Cast& cast, const std::vector<int>& all) {
-        return cast.inContact(all) &&
-               std::all_of(all.begin(), all.end(), [&](int at) { return cast.keeper(at).votes(); });
+        return cast.hasQuorumContact(all) &&
+               std::all_of(all.begin(), all.end(), [&](int at) { return cast.replica(at).votes(); });
     }
     // Asked again where there is no contact yet.
     static void change(Cast& cast, int at, const std::string& to) {
-        cast.until("a change is taken", [&] { return cast.write(at, to, second) == to; });
+        cast.until("a change is taken", [&] { return cast.write(at, to, kSecond) == to; });
     }
 
   public:
     // The third of three machines is away while the two others take all changes. It comes back with its old
     // disk, or an empty one, and knows the newest: what it and they heard until then is counted.
-    void prompters() {
+    void controlNodes() {
         for (const bool empty : {false, true}) {
             std::vector<Cost> costs;
             for (const int count : changes) {
@@ -119,8 +120,8 @@
                 auto& cost = costs.emplace_back();
                 const auto third = machines.members[2]->at();
                 for (const auto& member : machines.members)
-                    member->overheard = [&cost, third, all = member->at() == third](const Link& link,
-                                                                                    const Json& message) {
+                    member->overheard = [&cost, third, all = member->at() == third](
+                                            const PeerConnection& link, const Json& message) {
                         // Pings say that one is there, whatever there is to catch up with.
                         const bool ping = message.at("t") == "ping" || message.at("t") == "pong";
                         if ((all || link.peer == third) && !ping) cost.add(message);
@@ -133,28 +134,28 @@
         }
     }
 
-    // A foyer that starts, and one that comes back with the news of before, after so many changes of the
+    // A proxy that starts, and one that comes back with the news of before, after so many changes of the
     // configuration and as many of the list (40 pods at any time, each replaced in turn).
-    void foyers() {
+    void proxies() {
         std::vector<Cost> empty, old;
         for (const int count : changes) {
-            Callboard prompter{{}}, away{{}};
-            prompter.configuration(1, valueOf(0));
-            prompter.rollouts(0, "[]");
-            prompter.list(pods(10'000, 10'040), 1);
-            exchange(prompter, away);
+            ConfigurationCache controlNode{{}}, away{{}};
+            controlNode.configuration(1, valueOf(0));
+            controlNode.rollouts(0, "[]");
+            controlNode.list(pods(10'000, 10'040), 1);
+            exchange(controlNode, away);
             for (int change = 1; change <= count; ++change) {
-                prompter.configuration(static_cast<std::uint32_t>(change + 1), valueOf(change));
-                prompter.rollouts(change, "[]");
-                prompter.list(pods(10'000 + change, 10'040 + change),
-                              1 + static_cast<std::uint64_t>(change) / 100);
+                controlNode.configuration(static_cast<std::uint32_t>(change + 1), valueOf(change));
+                controlNode.rollouts(change, "[]");
+                controlNode.list(pods(10'000 + change, 10'040 + change),
+                                 1 + static_cast<std::uint64_t>(change) / 100);
             }
-            Callboard fresh{{}};
-            empty.push_back(exchange(prompter, fresh));
-            old.push_back(exchange(prompter, away));
+            ConfigurationCache fresh{{}};
+            empty.push_back(exchange(controlNode, fresh));
+            old.push_back(exchange(controlNode, away));
             for (const auto* one : {&fresh, &away}) {
-                CPPUNIT_ASSERT(one->digest() == prompter.digest());
-                CPPUNIT_ASSERT(one->troupe().members() == prompter.troupe().members());
+                CPPUNIT_ASSERT(one->digest() == controlNode.digest());
+                CPPUNIT_ASSERT(one->endpoints().members() == controlNode.endpoints().members());
             }
         }
         flat("foyer, empty", empty, 5, 21'000);
@@ -164,15 +165,16 @@
     // 24,000 routes: their size on disks and links, and that they are read.
     void largeConfiguration() {
         const auto body = configuration(24'000);
-        const auto squeezed = squeeze(body);
-        const auto packed = Link::pack(Json{{"t", "configuration"}, {"squeezed", cues::writeText(squeezed)}});
-        std::cerr << "  24,000 routes: " << body.size() << " bytes, squeezed " << squeezed.size()
+        const auto compressed = compress(body);
+        const auto packed = PeerConnection::pack(
+            Json{{"t", "configuration"}, {"squeezed", messages::encodeBytes(compressed)}});
+        std::cerr << "  24,000 routes: " << body.size() << " bytes, squeezed " << compressed.size()
                   << ", as a message " << packed->size() << "\n";
-        CPPUNIT_ASSERT(squeezed.size() * 8 < body.size());
-        CPPUNIT_ASSERT(packed->size() > wholeAtMost);  // so it goes in pieces
+        CPPUNIT_ASSERT(compressed.size() * 8 < body.size());
+        CPPUNIT_ASSERT(packed->size() > kWholeAtMost);  // so it goes in pieces
         CPPUNIT_ASSERT_EQUAL(std::size_t(24'000),
-                             playbill::Playbill::read(unsqueeze(squeezed)).routes.size());
-        // Foyers of a zone on lines of 2 Mbit/s have it in this time, beside all else.
+                             config::Configuration::read(decompress(compressed)).routes.size());
+        // Proxies of a zone on lines of 2 Mbit/s have it in this time, beside all else.
         const auto seconds = static_cast<double>(packed->size()) * 8 / 2e6;
         CPPUNIT_ASSERT(seconds < 3);
     }
--- a/tests/subscription/peer_updates.cpp
+++ b/tests/subscription/peer_updates.cpp
@@ -1,6 +1,6 @@
-// News among many foyers in virtual time: the real rooms, a scripted network. Prompters push changes; foyers
-// watch three others each and mend their copies. Counted, never timed: messages and bytes a foyer, rounds
-// until all agree. Chance is seeded.
+// News among many proxies in virtual time: the real rooms, a scripted network. Control nodes push changes;
+// proxies watch three others each and mend their copies. Counted, never timed: messages and bytes a proxy,
+// rounds until all agree. Chance is seeded.
 #include "hashing/rendezvous.hpp"
 #include "messages/codec.hpp"
 #include "support/subscription_fixture.hpp"
@@ -10,33 +10,33 @@
 
 namespace {
 
-constexpr Nanos ms = 1'000'000, second = 1000 * ms;
-constexpr Nanos heartbeat = 1500 * ms;
+constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
+constexpr Nanos heartbeat = 1500 * kMillisecond;
 
-// One prompter (number 0) and foyers that it tells; links of 1 ms that lose what is cut.
+// One control node (number 0) and proxies that it tells; links of 1 ms that lose what is cut.
 class Town {
   public:
-    Town(std::size_t foyers, std::uint64_t seed) : chance(seed) {
-        boards.emplace_back(Callboard::Reader{});
+    Town(std::size_t proxies, std::uint64_t seed) : chance(seed) {
+        boards.emplace_back(ConfigurationCache::Subscriber{});
         names.push_back("prompter");
         std::vector<std::string> all;
-        for (std::size_t at = 1; at <= foyers; ++at) {
+        for (std::size_t at = 1; at <= proxies; ++at) {
             names.push_back("edge-" + std::to_string(at));
             all.push_back(names.back());
-            boards.emplace_back(Callboard::Reader{});
+            boards.emplace_back(ConfigurationCache::Subscriber{});
             numbers[names.back()] = at;
         }
-        for (std::size_t at = 1; at <= foyers; ++at)
-            for (const auto& name : company::watched(all, names[at])) watch.emplace_back(at, numbers[name]);
-        sent.resize(foyers + 1), bytes.resize(foyers + 1), cut.resize(foyers + 1);
+        for (std::size_t at = 1; at <= proxies; ++at)
+            for (const auto& name : hashing::watched(all, names[at])) watch.emplace_back(at, numbers[name]);
+        sent.resize(proxies + 1), bytes.resize(proxies + 1), cut.resize(proxies + 1);
     }
     void send(std::size_t from, std::size_t to, const Json& message) {
         const auto size = Json::to_cbor(message).size();
         ++sent[from], bytes[from] += size;
-        if (from * to == 0 && (cut[from] || cut[to])) return;  // cut off from the prompter
+        if (from * to == 0 && (cut[from] || cut[to])) return;  // cut off from the control node
         if (loss > 0 && chance() % 100 < static_cast<unsigned>(loss)) return;
-        const Nanos late = disorder ? static_cast<Nanos>(chance() % 50) * ms : 0;
-        way.emplace(std::pair(now + ms + late, ++order), std::tuple(from, to, message));
+        const Nanos late = disorder ? static_cast<Nanos>(chance() % 50) * kMillisecond : 0;
+        way.emplace(std::pair(now + kMillisecond + late, ++order), std::tuple(from, to, message));
     }
     void all(const Json& message) {
         if (message.is_null()) return;
@@ -55,9 +55,9 @@
             way.erase(way.begin());
             now = std::max(now, at.first);
             const auto& [from, to, message] = what;
-            const auto role = to == 0     ? Callboard::From::follower
-                              : from == 0 ? Callboard::From::prompter
-                                          : Callboard::From::neighbour;
+            const auto role = to == 0     ? ConfigurationCache::MessageSource::follower
+                              : from == 0 ? ConfigurationCache::MessageSource::controlNode
+                                          : ConfigurationCache::MessageSource::neighbour;
             boards[to].heard(message, role, now,
                              [&, from = from, to = to](const Json& reply) { send(to, from, reply); });
         }
@@ -77,7 +77,7 @@
     }
 
     std::mt19937_64 chance;
-    std::vector<Callboard> boards;
+    std::vector<ConfigurationCache> boards;
     std::vector<std::string> names;
     std::map<std::string, std::size_t> numbers;
     std::vector<std::pair<std::size_t, std::size_t>> watch;
@@ -85,7 +85,7 @@
     std::vector<bool> cut;
     int loss = 0;  // of a hundred messages
     bool disorder = false;
-    Nanos now = 100 * second;
+    Nanos now = 100 * kSecond;
 
   private:
     std::map<std::pair<Nanos, std::uint64_t>, std::tuple<std::size_t, std::size_t, Json>> way;
@@ -113,7 +113,8 @@
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // A third of the foyers lose every prompter: what is told meanwhile reaches them by those they watch.
+    // A third of the proxies lose every control node: what is told meanwhile reaches them by those they
+    // watch.
     void cutOff() {
         Town town(12, 1);
         begin(town, 40);
@@ -132,8 +133,8 @@
         CPPUNIT_ASSERT(rounds <= 2);
         for (std::size_t at = 1; at <= 12; ++at) {
             CPPUNIT_ASSERT_EQUAL(9u, town.boards[at].version());
-            CPPUNIT_ASSERT(town.boards[at].troupe().left(pod(0).id));
-            CPPUNIT_ASSERT(town.boards[at].troupe().members().at(pod(4).id).draining);
+            CPPUNIT_ASSERT(town.boards[at].endpoints().left(pod(0).id));
+            CPPUNIT_ASSERT(town.boards[at].endpoints().members().at(pod(4).id).draining);
         }
     }
 
@@ -168,41 +169,43 @@
         town.cut[1] = true;
         town.all(town.boards[0].list(pods(3, 12, 5), 1));
         town.settle();
-        Callboard young{Callboard::Reader{}};  // has just come up, and hears the old copy first
+        ConfigurationCache young{
+            ConfigurationCache::Subscriber{}};  // has just come up, and hears the old copy first
         std::vector<Json> asked;
-        young.heard(town.boards[1].digest(), Callboard::From::neighbour, town.now,
+        young.heard(town.boards[1].digest(), ConfigurationCache::MessageSource::neighbour, town.now,
                     [&](Json reply) { asked.push_back(std::move(reply)); });
-        const auto feed = [&](Callboard& from, Callboard::From role, const std::vector<Json>& messages) {
+        const auto feed = [&](ConfigurationCache& from, ConfigurationCache::MessageSource role,
+                              const std::vector<Json>& messages) {
             std::vector<Json> answers;
             for (const auto& message : messages)
-                from.heard(message, Callboard::From::neighbour, town.now,
+                from.heard(message, ConfigurationCache::MessageSource::neighbour, town.now,
                            [&](Json reply) { answers.push_back(std::move(reply)); });
             std::vector<Json> next;
             for (const auto& answer : answers)
                 young.heard(answer, role, town.now, [&](Json reply) { next.push_back(std::move(reply)); });
             return next;
         };
-        feed(town.boards[1], Callboard::From::neighbour, asked);
-        CPPUNIT_ASSERT(young.troupe().members().contains(pod(0).id));  // the old copy's word, as yet
+        feed(town.boards[1], ConfigurationCache::MessageSource::neighbour, asked);
+        CPPUNIT_ASSERT(young.endpoints().members().contains(pod(0).id));  // the old copy's word, as yet
         asked.clear();
-        young.heard(town.boards[2].digest(), Callboard::From::neighbour, town.now,
+        young.heard(town.boards[2].digest(), ConfigurationCache::MessageSource::neighbour, town.now,
                     [&](Json reply) { asked.push_back(std::move(reply)); });
-        feed(town.boards[2], Callboard::From::neighbour, asked);
-        CPPUNIT_ASSERT(young.troupe().members() == town.boards[0].troupe().members());
+        feed(town.boards[2], ConfigurationCache::MessageSource::neighbour, asked);
+        CPPUNIT_ASSERT(young.endpoints().members() == town.boards[0].endpoints().members());
         asked.clear();
-        young.heard(town.boards[1].digest(), Callboard::From::neighbour, town.now,
+        young.heard(town.boards[1].digest(), ConfigurationCache::MessageSource::neighbour, town.now,
                     [&](Json reply) { asked.push_back(std::move(reply)); });
-        feed(town.boards[1], Callboard::From::neighbour, asked);
-        CPPUNIT_ASSERT(young.troupe().members() == town.boards[0].troupe().members());
-        CPPUNIT_ASSERT(!young.troupe().members().contains(pod(0).id));
+        feed(town.boards[1], ConfigurationCache::MessageSource::neighbour, asked);
+        CPPUNIT_ASSERT(young.endpoints().members() == town.boards[0].endpoints().members());
+        CPPUNIT_ASSERT(!young.endpoints().members().contains(pod(0).id));
     }
 
-    // What news costs a foyer and the prompter, at three sizes: bounds that the design note states.
+    // What news costs a proxy and the control node, at three sizes: bounds that the design note states.
     void costs() {
         std::string seen;
-        for (const auto& [foyers, count] :
+        for (const auto& [proxies, count] :
              std::vector<std::pair<std::size_t, int>>{{12, 38}, {88, 323}, {500, 2000}}) {
-            Town town(foyers, 5);
+            Town town(proxies, 5);
             begin(town, count);
             const auto line = [&](const std::string& what) {
                 seen += "  " + what + ": a foyer sends " + std::to_string(town.most(town.sent)) +
@@ -211,7 +214,7 @@
                         std::to_string(town.bytes[0]) + "\n";
                 town.forget();
             };
-            seen += std::to_string(foyers) + " foyers, " + std::to_string(count) + " pods\n";
+            seen += std::to_string(proxies) + " foyers, " + std::to_string(count) + " pods\n";
             line("all start");
             town.round();
             line("a heartbeat without news");
@@ -222,13 +225,13 @@
             town.all(town.boards[0].cue());
             town.settle();
             line("a configuration of 3,000 bytes");
-            for (std::size_t at = 1; at <= foyers; at += 10) town.cut[at] = true;
+            for (std::size_t at = 1; at <= proxies; at += 10) town.cut[at] = true;
             town.all(town.boards[0].list(pods(5, count + 5, 9), 1));
             town.settle();
             town.forget();
             int rounds = 0;
-            while (town.agreeing() < foyers && rounds < 9) town.round(), ++rounds;
-            CPPUNIT_ASSERT_EQUAL(foyers, town.agreeing());
+            while (town.agreeing() < proxies && rounds < 9) town.round(), ++rounds;
+            CPPUNIT_ASSERT_EQUAL(proxies, town.agreeing());
             line("a tenth cut off, mended in " + std::to_string(rounds) + " heartbeats");
         }
         approve("peer-updates-costs", seen);
@@ -241,7 +244,7 @@
         std::map<std::string, std::vector<std::string>> before;
         std::map<std::string, int> watchers;
         for (const auto& name : names) {
-            before[name] = company::watched(names, name);
+            before[name] = hashing::watched(names, name);
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), before[name].size());
             for (const auto& other : before[name]) ++watchers[other];
         }
@@ -250,7 +253,7 @@
         std::erase(left, gone);
         int changed = 0;
         for (const auto& name : left) {
-            const auto after = company::watched(left, name);
+            const auto after = hashing::watched(left, name);
             const bool had = std::find(before[name].begin(), before[name].end(), gone) != before[name].end();
             if (!had) CPPUNIT_ASSERT(after == before[name]);
             changed += had;
--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -13,8 +13,8 @@
 namespace control_stage {
 
 using namespace lichenlanding;
-using namespace lichenlanding::wings;
-using prompter::OperatorCalls;
+using namespace lichenlanding::transport;
+using control_plane::AdminApi;
 namespace http = boost::beast::http;
 
 struct ScriptedRegister {
@@ -23,9 +23,9 @@
     explicit ScriptedRegister(asio::io_context& io)
         : gate(io, std::chrono::steady_clock::time_point::max()) {}
     void release() { held = false, gate.cancel(); }
-    OperatorCalls::Register its() {
+    AdminApi::Register its() {
         return {[this] { return contact; },
-                [this](std::string key, reg::Change change, Nanos within) {
+                [this](std::string key, consensus::Change change, Nanos within) {
                     return run(std::move(key), std::move(change), within);
                 },
                 [this](std::string key, Nanos within) {
@@ -33,12 +33,12 @@
                         std::move(key), [](const std::string& held) { return held; }, within);
                 }};
     }
-    Task<std::optional<std::string>> run(std::string key, reg::Change change, Nanos) {
+    Task<std::optional<std::string>> run(std::string key, consensus::Change change, Nanos) {
         ++asked;
         auto fate = Fate::answered;
         if (!fates.empty()) fate = fates.front(), fates.pop_front();
-        Code code;
-        while (held) co_await gate.async_wait(told(code));
+        ErrorCode code;
+        while (held) co_await gate.async_wait(withErrorCode(code));
         if (fate == Fate::lostBefore) co_return std::nullopt;
         auto& value = values[key];
         value = change(value);
@@ -73,7 +73,7 @@
 
 class ControlStage {
   public:
-    explicit ControlStage(bool metrics = false, prompter::CallerBounds bounds = {})
+    explicit ControlStage(bool metrics = false, control_plane::AdminApiLimits bounds = {})
         : calls(
               io, reg.its(),
               [] {
@@ -84,13 +84,13 @@
     void until(Done done) {
         loop_stage::until(io, 200'000, done);
     }
-    OperatorCalls::Response ask(const std::string& target, const std::string& body,
-                                http::verb method = http::verb::post) {
-        OperatorCalls::Request request(method, target, 11);
+    AdminApi::Response ask(const std::string& target, const std::string& body,
+                           http::verb method = http::verb::post) {
+        AdminApi::Request request(method, target, 11);
         request.body() = body;
         return loop_stage::result(io, calls.answer(request), [&](auto done) { until(done); });
     }
-    OperatorCalls::Response call(const std::string& name, const std::string& body = "") {
+    AdminApi::Response call(const std::string& name, const std::string& body = "") {
         return ask("/api/rpc?call=" + name, body);
     }
     unsigned status(const std::string& name, const std::string& body = "") {
@@ -117,8 +117,8 @@
     }
     void send(const std::shared_ptr<Caller>& caller, const std::string& sent) {
         start(io, "send", [](std::shared_ptr<Caller> caller_, std::string sent_) -> Task<> {
-            Code code;
-            co_await asio::async_write(caller_->socket, asio::buffer(sent_), told(code));
+            ErrorCode code;
+            co_await asio::async_write(caller_->socket, asio::buffer(sent_), withErrorCode(code));
         }(caller, sent));
     }
     // Reads so many answers, or to the end of the connection.
@@ -126,8 +126,8 @@
         start(io, "listen", [](std::shared_ptr<Caller> caller_, int answers_) -> Task<> {
             for (; answers_ > 0; --answers_) {
                 http::response<http::string_body> response;
-                Code code;
-                co_await http::async_read(caller_->socket, caller_->buffer, response, told(code));
+                ErrorCode code;
+                co_await http::async_read(caller_->socket, caller_->buffer, response, withErrorCode(code));
                 if (code) {
                     caller_->seen += "end\n";
                     co_return;
@@ -149,7 +149,7 @@
     asio::io_context io{1};
     asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
     ScriptedRegister reg{io};
-    OperatorCalls calls;
+    AdminApi calls;
     std::unique_ptr<tcp::acceptor> door;
 };
 
--- a/tests/support/event_loop_fixture.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -8,7 +8,7 @@
 
 namespace loop_stage {
 
-using namespace lichenlanding::wings;
+using namespace lichenlanding::transport;
 
 template <typename Done>
 void until(asio::io_context& io, int turnsAtMost, Done done) {
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -1,4 +1,4 @@
-// A foyer's front on real loopback sockets in one thread: scripted pods, clients that write bytes. What all
+// A proxy's front on real loopback sockets in one thread: scripted pods, clients that write bytes. What all
 // of them saw becomes a transcript. Nothing waits for time to pass; a stall fails the test.
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace stage {
 
 using namespace lichenlanding;
-using namespace lichenlanding::wings;
+using namespace lichenlanding::transport;
 namespace http = boost::beast::http;
 
 // What a pod does with the next request on a connection. `bytes` may hold {id}, put in place of the
@@ -31,18 +31,19 @@
   public:
     explicit Stage(const std::string& routes = "") {
         boot.zone = "z", boot.budgetSlack = 20;
-        casting = std::make_unique<casting::Casting>(boot, 1);
-        casting->take(std::make_shared<playbill::Playbill>(playbill::Playbill::read(configuration(routes))));
-        casting->company(1, now() - 10 * second);
-        casting->rollouts({}, now());
-        casting->listed();
-        upstream = std::make_unique<foyer::Upstream>(io);
-        front = std::make_unique<foyer::Front>(io, *casting, *upstream, [] { return true; });
+        router = std::make_unique<routing::Router>(boot, 1);
+        router->take(
+            std::make_shared<config::Configuration>(config::Configuration::read(configuration(routes))));
+        router->company(1, now() - 10 * kSecond);
+        router->rollouts({}, now());
+        router->listed();
+        upstream = std::make_unique<proxy::UpstreamClient>(io);
+        front = std::make_unique<proxy::HttpServer>(io, *router, *upstream, [] { return true; });
         clients = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
         start(io, "clients", front->serve(*clients));
     }
     ~Stage() {
-        Code ignored;
+        ErrorCode ignored;
         clients->close(ignored);
         for (auto& [_, acceptor] : doors) acceptor->close(ignored);
         io.stop();
@@ -70,7 +71,7 @@
     }
     void list(const std::string& name, const std::string& address, bool draining = false,
               const std::string& version = "v1") {
-        casting->apply({0, {name, "s", address, "z", version, 2, draining, 0}, false}, now());
+        router->apply({0, {name, "s", address, "z", version, 2, draining, 0}, false}, now());
     }
 
     // Sends bytes on a new connection and reads `answers` answers; tells whether it then ends.
@@ -101,10 +102,10 @@
     }
 
     asio::io_context io{1};
-    playbill::Boot boot;
-    std::unique_ptr<casting::Casting> casting;
-    std::unique_ptr<foyer::Upstream> upstream;
-    std::unique_ptr<foyer::Front> front;
+    config::BootstrapSettings boot;
+    std::unique_ptr<routing::Router> router;
+    std::unique_ptr<proxy::UpstreamClient> upstream;
+    std::unique_ptr<proxy::HttpServer> front;
     std::unique_ptr<tcp::acceptor> clients;
     std::map<std::string, std::unique_ptr<tcp::acceptor>> doors;
     std::map<std::string, std::deque<Act>> scripts;
@@ -121,8 +122,8 @@
     Task<> serve(std::string name) {
         auto& door = *doors[name];
         while (door.is_open()) {
-            Code code;
-            auto socket = co_await door.async_accept(told(code));
+            ErrorCode code;
+            auto socket = co_await door.async_accept(withErrorCode(code));
             if (code) co_return;
             ++connections[name];
             start(io, "pod connection", hear(name, std::move(socket)));
@@ -132,8 +133,8 @@
         beast::flat_buffer buffer;
         for (;;) {
             http::request<http::string_body> request;
-            Code code;
-            co_await http::async_read(socket, buffer, request, told(code));
+            ErrorCode code;
+            co_await http::async_read(socket, buffer, request, withErrorCode(code));
             if (code) {
                 if (code != http::error::end_of_stream)
                     arrivals.push_back(name + ": a connection ended in the middle");
@@ -158,25 +159,26 @@
             const std::string id(request["X-Attempt-Id"]);
             for (auto at = act.bytes.find("{id}"); at != act.bytes.npos; at = act.bytes.find("{id}"))
                 act.bytes.replace(at, 4, id);
-            if (!act.bytes.empty()) co_await asio::async_write(socket, asio::buffer(act.bytes), told(code));
+            if (!act.bytes.empty())
+                co_await asio::async_write(socket, asio::buffer(act.bytes), withErrorCode(code));
             if (act.after == Act::reset) socket.set_option(tcp::socket::linger(true, 0));
             if (act.after == Act::close || act.after == Act::reset) co_return;
             if (act.after == Act::hold) {
                 char byte;
-                co_await socket.async_read_some(asio::buffer(&byte, 1), told(code));
+                co_await socket.async_read_some(asio::buffer(&byte, 1), withErrorCode(code));
                 co_return;
             }
         }
     }
     Task<> talk(std::string bytes, int answers, bool toEnd, std::string& seen, bool& done) {
         tcp::socket socket(io);
-        Code code;
-        co_await socket.async_connect(clients->local_endpoint(), told(code));
-        co_await asio::async_write(socket, asio::buffer(bytes), told(code));
+        ErrorCode code;
+        co_await socket.async_connect(clients->local_endpoint(), withErrorCode(code));
+        co_await asio::async_write(socket, asio::buffer(bytes), withErrorCode(code));
         beast::flat_buffer buffer;
         for (int answer = 0; answer < answers; ++answer) {
             http::response<http::string_body> response;
-            co_await http::async_read(socket, buffer, response, told(code));
+            co_await http::async_read(socket, buffer, response, withErrorCode(code));
             if (code) {
                 seen += "  ended: " +
                         std::string(code == http::error::end_of_stream     ? "closed"
@@ -195,7 +197,7 @@
         }
         if (toEnd) {
             char byte;
-            co_await socket.async_read_some(asio::buffer(&byte, 1), told(code));
+            co_await socket.async_read_some(asio::buffer(&byte, 1), withErrorCode(code));
             seen += code ? "  then it ends\n" : "  then more comes\n";
         }
         done = true;
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -11,15 +11,15 @@
 namespace keeper_stage {
 
 using namespace lichenlanding;
-using namespace lichenlanding::wings;
-using prompter::Keeper;
+using namespace lichenlanding::transport;
+using control_plane::ReplicaNode;
 
 struct Disk {
     std::mutex lock;
     std::condition_variable turned;
     bool hangs = false, full = false;
     int writes = 0, waiting = 0;
-    std::map<std::string, reg::Cell> cells;
+    std::map<std::string, consensus::RegisterState> cells;
     std::map<std::string, std::string> notes;
 
     void set(bool& what, bool value) {
@@ -35,19 +35,20 @@
         return writes;
     }
     // As it is now, and put back as it was.
-    std::pair<std::map<std::string, reg::Cell>, std::map<std::string, std::string>> image() {
+    std::pair<std::map<std::string, consensus::RegisterState>, std::map<std::string, std::string>> image() {
         std::lock_guard hold(lock);
         return {cells, notes};
     }
-    void restore(std::pair<std::map<std::string, reg::Cell>, std::map<std::string, std::string>> old) {
+    void restore(
+        std::pair<std::map<std::string, consensus::RegisterState>, std::map<std::string, std::string>> old) {
         std::lock_guard hold(lock);
         cells = std::move(old.first), notes = std::move(old.second);
     }
 };
 
-struct ScriptedBook final : promptbook::Book {
+struct ScriptedBook final : storage::ReplicaStore {
     explicit ScriptedBook(Disk& disk_) : disk(disk_) {}
-    std::map<std::string, reg::Cell> cells() const override {
+    std::map<std::string, consensus::RegisterState> cells() const override {
         std::lock_guard hold(disk.lock);
         return disk.cells;
     }
@@ -56,68 +57,70 @@
         const auto at = disk.notes.find(name);
         return at == disk.notes.end() ? "" : at->second;
     }
-    void write(const std::map<std::string, reg::Cell>& cells,
+    void write(const std::map<std::string, consensus::RegisterState>& cells,
                const std::map<std::string, std::string>& notes) override {
         std::unique_lock hold(disk.lock);
         ++disk.waiting;
         disk.turned.wait(hold, [&] { return !disk.hangs; });
         --disk.waiting;
-        if (disk.full) throw promptbook::DiskError("scripted: no space left");
+        if (disk.full) throw storage::StorageError("scripted: no space left");
         ++disk.writes;
         for (const auto& [key, cell] : cells)
-            if (cell == reg::Cell{}) disk.cells.erase(key);
+            if (cell == consensus::RegisterState{}) disk.cells.erase(key);
             else disk.cells[key] = cell;
         for (const auto& [name, note] : notes) disk.notes[name] = note;
     }
     Disk& disk;
 };
 
-// One life of one prompter.
+// One life of one control node.
 struct Member {
-    Member(asio::io_context& io_, playbill::Boot boot_, Disk& disk_)
+    Member(asio::io_context& io_, config::BootstrapSettings boot_, Disk& disk_)
         : io(io_), disk(disk_), boot(std::move(boot_)) {
-        const Keeper::Owner of{[this](const std::string& key) { told.push_back(keeper->known(key).value); },
-                               [this] {
-                                   for (const auto& address : keeper->members()) dial(address);
-                               }};
-        keeper = std::make_unique<Keeper>(io, boot, of, [this](bool anew) {
+        const ReplicaNode::Owner of{
+            [this](const std::string& key) { told.push_back(replica->known(key).value); },
+            [this] {
+                for (const auto& address : replica->members()) dial(address);
+            }};
+        replica = std::make_unique<ReplicaNode>(io, boot, of, [this](bool anew) {
             if (anew) disk.restore({});
             return std::make_unique<ScriptedBook>(disk);
         });
-        owner = std::make_shared<Link::Owner>();
-        owner->greet = [this](Link& link) {
+        owner = std::make_shared<PeerConnection::Owner>();
+        owner->greet = [this](PeerConnection& link) {
             open.push_back(link.weak_from_this());
-            auto hello = keeper->greeting();
+            auto hello = replica->greeting();
             hello.update({{"t", "hello"}, {"at", at()}});
             return hello;
         };
-        owner->heard = [this](Link& link, const Json& message) {
+        owner->heard = [this](PeerConnection& link, const Json& message) {
             if (away == 0) return heard(link, message);
-            start(io, "on its way", [](Member& self, std::shared_ptr<Link> link_, Json message_) -> Task<> {
-                co_await sleep(self.away);
-                self.heard(*link_, message_);
-            }(*this, link.shared_from_this(), message));
+            start(io, "on its way",
+                  [](Member& self, std::shared_ptr<PeerConnection> link_, Json message_) -> Task<> {
+                      co_await sleep(self.away);
+                      self.heard(*link_, message_);
+                  }(*this, link.shared_from_this(), message));
         };
-        owner->closed = [this](Link& link) {
+        owner->closed = [this](PeerConnection& link) {
             const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && !dialer->second->link()) keeper->parted(link.peer);
+            if (dialer != dialers.end() && !dialer->second->link()) replica->onPeerDisconnected(link.peer);
         };
         door = std::make_unique<tcp::acceptor>(listen(io, at()));
-        keeper->open();
-        start(io, "links", serveLinks(io, *door, owner));
-        start(io, "maintain", keeper->maintain());
+        replica->open();
+        start(io, "links", servePeerConnections(io, *door, owner));
+        start(io, "maintain", replica->maintain());
         for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
     }
-    void heard(Link& link, const Json& message) {
+    void heard(PeerConnection& link, const Json& message) {
         if (cut || gone) return;  // a cut says nothing: links stay up, words are lost
         const bool hello = message.at("t") == "hello";
         if (hello) message.at("at").get_to(link.peer);
         if (overheard) overheard(link, message);
-        if (!hello) return void(keeper->heard(link, message));
+        if (!hello) return void(replica->heard(link, message));
         const auto dialer = dialers.find(link.peer);
         if (dialer != dialers.end() && dialer->second->link().get() == &link)
-            keeper->joined(link.peer, link.shared_from_this());
-        keeper->greeted(message);
+            replica->joined(link.peer, link.shared_from_this());
+        replica->onHello(message);
         for (const auto& address : message.at("members")) dial(address.get<std::string>());
     }
     std::string at() const { return boot.internal(boot.ip); }
@@ -128,7 +131,7 @@
     }
     void kill() {
         gone = true;
-        Code ignored;
+        ErrorCode ignored;
         door->close(ignored);
         for (auto& [_, dialer] : dialers) dialer->stop();
         for (auto& link : open)
@@ -137,14 +140,15 @@
 
     asio::io_context& io;
     Disk& disk;
-    playbill::Boot boot;
+    config::BootstrapSettings boot;
     bool cut = false, gone = false;
-    Nanos away = 0;                                           // how long each message to it is on its way
-    std::function<void(const Link&, const Json&)> overheard;  // of each message, once its sender is known
-    std::unique_ptr<Keeper> keeper;
-    std::shared_ptr<Link::Owner> owner;
+    Nanos away = 0;  // how long each message to it is on its way
+    std::function<void(const PeerConnection&, const Json&)>
+        overheard;  // of each message, once its sender is known
+    std::unique_ptr<ReplicaNode> replica;
+    std::shared_ptr<PeerConnection::Owner> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;
-    std::vector<std::weak_ptr<Link>> open;
+    std::vector<std::weak_ptr<PeerConnection>> open;
     std::unique_ptr<tcp::acceptor> door;
     std::vector<std::string> told;
 };
@@ -158,7 +162,7 @@
         }
         members.resize(static_cast<std::size_t>(machines));
         zone = [](int at) { return "z" + std::to_string(at % 3); };
-        tolerance = [](playbill::Boot& boot) { boot.machinesLost = 1; };
+        tolerance = [](config::BootstrapSettings& boot) { boot.machinesLost = 1; };
         for (int at = 0; at < started; ++at) launch(at, true);
     }
     ~Cast() {
@@ -166,10 +170,10 @@
         io.stop();
     }
     void launch(int at, bool bootstrap) {
-        playbill::Boot boot;
+        config::BootstrapSettings boot;
         boot.ip = "127.0.3." + std::to_string(at + 1), boot.name = boot.ip, boot.internalPorts = {port};
         boot.zone = zone(at), boot.region = "r", boot.bootstrap = bootstrap, boot.quorumMember = true;
-        boot.controlReplace = 700 * ms;
+        boot.controlReplace = 700 * kMillisecond;
         tolerance(boot);
         for (int seed = 0; seed < 3 && seed < static_cast<int>(members.size()); ++seed)
             boot.seeds.push_back("127.0.3." + std::to_string(seed + 1) + ":1");
@@ -179,43 +183,43 @@
     template <typename Done>
     void until(const char* what, Done done) {
         // Given up after so long, with what each of them knows then.
-        for (const Nanos last = now() + 20 * second; !done();) {
+        for (const Nanos last = now() + 20 * kSecond; !done();) {
             CPPUNIT_ASSERT_MESSAGE(std::string("nothing happens any more: ") + what,
                                    io.run_one_for(std::chrono::seconds(8)) > 0);
             if (now() < last) continue;
             std::string told = what;
             for (const auto& member : members)
                 if (member && !member->gone)
-                    told += "\n" + member->at() + " " + member->keeper->describe().dump();
+                    told += "\n" + member->at() + " " + member->replica->describe().dump();
             CPPUNIT_FAIL(told);
         }
     }
-    Keeper& keeper(int at) { return *members[at]->keeper; }
-    bool inContact(std::vector<int> all) {
-        return std::all_of(all.begin(), all.end(), [&](int at) { return keeper(at).inContact(); });
+    ReplicaNode& replica(int at) { return *members[at]->replica; }
+    bool hasQuorumContact(std::vector<int> all) {
+        return std::all_of(all.begin(), all.end(), [&](int at) { return replica(at).hasQuorumContact(); });
     }
     // What a write of `value` at this member ends with; "-": no majority in time.
-    std::string write(int at, const std::string& value, Nanos within = 5 * second) {
-        const reg::Change put = [value](const std::string&) { return value; };
+    std::string write(int at, const std::string& value, Nanos within = 5 * kSecond) {
+        const consensus::Change put = [value](const std::string&) { return value; };
         return change(at, put, within);
     }
     std::string read(int at) {
         return change(
-            at, [](const std::string& held) { return held; }, second);
+            at, [](const std::string& held) { return held; }, kSecond);
     }
-    std::string change(int at, const reg::Change& change, Nanos within) {
+    std::string change(int at, const consensus::Change& change, Nanos within) {
         const auto result =
-            loop_stage::result(io, keeper(at).change(prompter::configurationKey, change, within),
+            loop_stage::result(io, replica(at).change(control_plane::kConfigurationKey, change, within),
                                [&](auto done) { until("a change ends", done); });
         return result.value_or("-");
     }
-    // The registers that there are: each set of members that some prompter holds for the newest.
+    // The registers that there are: each set of members that some control node holds for the newest.
     std::set<std::string> registers() {
         std::set<std::string> all;
         for (const auto& member : members) {
             if (!member || member->gone) continue;
             std::string text;
-            for (const auto& address : member->keeper->members()) text += address + " ";
+            for (const auto& address : member->replica->members()) text += address + " ";
             all.insert(text);
         }
         return all;
@@ -224,7 +228,7 @@
     asio::io_context io{1};
     int port = 0;
     std::function<std::string(int)> zone;
-    std::function<void(playbill::Boot&)> tolerance;
+    std::function<void(config::BootstrapSettings&)> tolerance;
     std::deque<Disk> disks;
     std::vector<std::unique_ptr<Member>> members, ended;  // ended: lives that are over, kept for their tasks
 };
