--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -65,7 +65,7 @@
         parser.header_limit(64 << 10);
         parser.body_limit(std::uint64_t{1} << 30);
         parser.eager(true);
-        Code code;
+        ErrorCode code;
         const auto used = parser.put(asio::buffer(left.data(), left.size()), code);
         if (parser.is_header_done() && parser.get().result_int() == 100) {
             left.remove_prefix(used);
@@ -93,43 +93,43 @@
 House::House(Script script_, const std::vector<std::string>& pods, double slack)
     : script(std::move(script_)) {
     boot_.zone = "z", boot_.budgetSlack = slack;
-    casting = std::make_unique<casting::Casting>(boot_, 1);
+    router = std::make_unique<routing::Router>(boot_, 1);
     limit(2048, 9'000'000);
-    casting->company(1, now() - 10 * second);
-    casting->rollouts({}, now());
-    casting->listed();
-    upstream = std::make_unique<foyer::Upstream>(foyerLoop);
-    front = std::make_unique<foyer::Front>(foyerLoop, *casting, *upstream, [this] { return awake; });
-    clients_ = std::make_unique<tcp::acceptor>(wings::listen(foyerLoop, "127.0.0.1:0"));
-    start(foyerLoop, "clients", front->serve(*clients_));
+    router->company(1, now() - 10 * kSecond);
+    router->rollouts({}, now());
+    router->listed();
+    upstream = std::make_unique<proxy::UpstreamClient>(proxyLoop);
+    front = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
+    clients_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
+    start(proxyLoop, "clients", front->serve(*clients_));
     for (const auto& pod : pods) {
-        doors_[pod] = std::make_unique<tcp::acceptor>(wings::listen(worldLoop, "127.0.0.1:0"));
+        doors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
         start(worldLoop, "pod", serve(pod));
         list(pod);
     }
 }
 
 House::~House() {
-    Code ignored;
+    ErrorCode ignored;
     clients_->close(ignored);
     for (auto& [_, door] : doors_) door->close(ignored);
-    foyerLoop.stop(), worldLoop.stop();
+    proxyLoop.stop(), worldLoop.stop();
 }
 
 void House::list(const std::string& pod, bool draining) {
     const auto address = "127.0.0.1:" + std::to_string(doors_.at(pod)->local_endpoint().port());
-    casting->apply({0, {pod, "s", address, "z", "v1", 2, draining, 0}, false}, now());
+    router->apply({0, {pod, "s", address, "z", "v1", 2, draining, 0}, false}, now());
 }
 
 void House::limit(int headerBytes, int bodyBytes) {
-    const auto version = casting->playbill() ? static_cast<int>(casting->playbill()->version) + 1 : 1;
-    casting->take(std::make_shared<playbill::Playbill>(
-        playbill::Playbill::read(configuration(version, headerBytes, bodyBytes))));
+    const auto version = router->configuration() ? static_cast<int>(router->configuration()->version) + 1 : 1;
+    router->take(std::make_shared<config::Configuration>(
+        config::Configuration::read(configuration(version, headerBytes, bodyBytes))));
 }
 
 int House::inFlight() const {
     int all = 0;
-    for (const auto& [_, actor] : casting->actors()) all += actor->out;
+    for (const auto& [_, actor] : router->hosts()) all += actor->out;
     return all;
 }
 
@@ -148,11 +148,11 @@
                   const std::vector<std::string>& ids) {
     client->asked.insert(client->asked.end(), ids.begin(), ids.end());
     const auto kept = std::make_shared<std::string>(bytes);
-    asio::async_write(client->socket, asio::buffer(*kept), [kept, client](Code, std::size_t) {});
+    asio::async_write(client->socket, asio::buffer(*kept), [kept, client](ErrorCode, std::size_t) {});
 }
 
 void House::leave(const std::shared_ptr<Client>& client, bool reset) {
-    Code ignored;
+    ErrorCode ignored;
     if (reset) client->socket.set_option(tcp::socket::linger(true, 0), ignored);
     client->socket.close(ignored);
 }
@@ -173,7 +173,7 @@
 
 void House::quiet() {
     until([&] { return inFlight() == 0; });
-    while (foyerLoop.poll() + worldLoop.poll() > 0) {
+    while (proxyLoop.poll() + worldLoop.poll() > 0) {
     }
     judge();
 }
@@ -213,22 +213,22 @@
 
 void House::release(const std::string& pod, const std::string& id) {
     auto& bell = held_[pod + id];
-    if (!bell) bell = std::make_shared<Bell>(worldLoop);
-    bell->ring();
+    if (!bell) bell = std::make_shared<AsyncEvent>(worldLoop);
+    bell->notify();
 }
 
 void House::say(const std::string& pod, const std::string& bytes) {
     for (const auto& weak : sockets_[pod])
         if (const auto socket = weak.lock(); socket && socket->is_open()) {
-            Code ignored;
+            ErrorCode ignored;
             asio::write(*socket, asio::buffer(bytes), ignored);
         }
 }
 
 Task<> House::listen_(std::shared_ptr<Client> client) {
     char bytes[16384];
-    for (Code code; !code;) {
-        const auto count = co_await client->socket.async_read_some(asio::buffer(bytes), told(code));
+    for (ErrorCode code; !code;) {
+        const auto count = co_await client->socket.async_read_some(asio::buffer(bytes), withErrorCode(code));
         client->got.append(bytes, count);
     }
     client->ended = true;
@@ -237,8 +237,8 @@
 Task<> House::serve(std::string pod) {
     auto& door = *doors_[pod];
     for (;;) {
-        Code code;
-        auto socket = std::make_shared<tcp::socket>(co_await door.async_accept(told(code)));
+        ErrorCode code;
+        auto socket = std::make_shared<tcp::socket>(co_await door.async_accept(withErrorCode(code)));
         if (code) co_return;
         socket->set_option(tcp::no_delay(true));
         ++connections[pod];
@@ -250,15 +250,15 @@
 Task<> House::hear(std::string pod, std::shared_ptr<tcp::socket> socket) {
     ++open[pod];
     const auto end = [&](bool reset) {
-        Code ignored;
+        ErrorCode ignored;
         if (reset) socket->set_option(tcp::socket::linger(true, 0), ignored);
         socket->close(ignored);
         --open[pod];
     };
     beast::flat_buffer buffer;
     for (;;) {
-        Code code;
-        co_await socket->async_wait(tcp::socket::wait_read, told(code));
+        ErrorCode code;
+        co_await socket->async_wait(tcp::socket::wait_read, withErrorCode(code));
         if (forgetful.contains(pod)) {
             // It has forgotten the connection: nothing on it is read, and the peer hears of it only now.
             if (code || socket->available(code) == 0) co_return end(false);
@@ -266,25 +266,25 @@
         }
         http::request_parser<http::string_body> parser;
         parser.body_limit(std::uint64_t{1} << 30);
-        co_await http::async_read(*socket, buffer, parser, told(code));
+        co_await http::async_read(*socket, buffer, parser, withErrorCode(code));
         if (code) co_return end(false);
         const std::string id(parser.get()["X-Attempt-Id"]);
         const auto reply = script({pod, id, ++arrivals[id]});
         runs[id] += reply.runs;
         if (runs[id] == 0) runs.erase(id);
         auto& place = held_[pod + id];
-        if (!place) place = std::make_shared<Bell>(worldLoop);
+        if (!place) place = std::make_shared<AsyncEvent>(worldLoop);
         const auto bell = place;
-        if (reply.held) co_await bell->wait(now() + 20 * second);
+        if (reply.held) co_await bell->wait(now() + 20 * kSecond);
         const auto bytes = filled(reply.bytes, id);
-        if (!bytes.empty()) co_await asio::async_write(*socket, asio::buffer(bytes), told(code));
+        if (!bytes.empty()) co_await asio::async_write(*socket, asio::buffer(bytes), withErrorCode(code));
         if (!reply.later.empty()) {
-            co_await bell->wait(now() + 20 * second);
-            co_await asio::async_write(*socket, asio::buffer(reply.later), told(code));
+            co_await bell->wait(now() + 20 * kSecond);
+            co_await asio::async_write(*socket, asio::buffer(reply.later), withErrorCode(code));
         }
         if (reply.after == Reply::silent) {
             char none[1024];
-            while (!code) co_await socket->async_read_some(asio::buffer(none), told(code));
+            while (!code) co_await socket->async_read_some(asio::buffer(none), withErrorCode(code));
         }
         if (code || reply.after != Reply::keep) co_return end(reply.after == Reply::reset);
     }
--- a/tests/support/scripted_pods.hpp
+++ b/tests/support/scripted_pods.hpp
@@ -1,4 +1,4 @@
-// A foyer's front between scripted pods and clients, on loopback: the foyer on a loop of its own, so that it
+// A proxy's front between scripted pods and clients, on loopback: the proxy on a loop of its own, so that it
 // can stand still while the others go on. Pods count what they run; `judge()` holds what every exchange must
 // keep. Nothing sleeps for a result: both loops are driven until it is there, and a stall fails the test.
 #pragma once
@@ -12,7 +12,7 @@
 namespace scripted {
 
 using namespace lichenlanding;
-using namespace lichenlanding::wings;
+using namespace lichenlanding::transport;
 
 // What a pod does with one request.
 struct Reply {
@@ -72,13 +72,13 @@
     void until(Done done) {
         const Nanos began = now();
         for (Nanos last = began; !done();) {
-            const auto turns = foyerLoop.poll() + worldLoop.poll();
-            if (turns > 0 || foyerLoop.run_one_for(std::chrono::microseconds(60)) > 0) last = now();
+            const auto turns = proxyLoop.poll() + worldLoop.poll();
+            if (turns > 0 || proxyLoop.run_one_for(std::chrono::microseconds(60)) > 0) last = now();
             CPPUNIT_ASSERT_MESSAGE("nothing happens any more",
-                                   now() - last < 8 * second && now() - began < 20 * second);
+                                   now() - last < 8 * kSecond && now() - began < 20 * kSecond);
         }
     }
-    // The foyer stands still; pods and clients don't.
+    // The proxy stands still; pods and clients don't.
     void standStill(Nanos time);
     // What every exchange must keep; called by quiet().
     void judge() const;
@@ -87,12 +87,12 @@
     void say(const std::string& pod, const std::string& bytes);   // on each of its open connections
     void list(const std::string& pod, bool draining = false);
     void limit(int headerBytes, int bodyBytes);  // a newer configuration
-    int inFlight() const;                        // over all pods, as casting counts
+    int inFlight() const;                        // over all pods, as routing counts
 
-    asio::io_context foyerLoop{1}, worldLoop{1};
-    std::unique_ptr<casting::Casting> casting;
-    std::unique_ptr<foyer::Upstream> upstream;
-    std::unique_ptr<foyer::Front> front;
+    asio::io_context proxyLoop{1}, worldLoop{1};
+    std::unique_ptr<routing::Router> router;
+    std::unique_ptr<proxy::UpstreamClient> upstream;
+    std::unique_ptr<proxy::HttpServer> front;
     bool awake = true;
     Script script;
     std::map<std::string, int> runs, arrivals;     // by id
@@ -108,9 +108,9 @@
     std::unique_ptr<tcp::acceptor> clients_;
     std::map<std::string, std::unique_ptr<tcp::acceptor>> doors_;
     std::map<std::string, std::vector<std::weak_ptr<tcp::socket>>> sockets_;
-    std::map<std::string, std::shared_ptr<Bell>> held_;
+    std::map<std::string, std::shared_ptr<AsyncEvent>> held_;
     std::vector<std::shared_ptr<Client>> all_;
-    playbill::Boot boot_;
+    config::BootstrapSettings boot_;
 };
 
 }  // namespace scripted
--- a/tests/support/subscription_fixture.hpp
+++ b/tests/support/subscription_fixture.hpp
@@ -1,4 +1,4 @@
-// Lists of pods, and callboards that tell one another, without links or time.
+// Lists of pods, and configuration caches that tell one another, without links or time.
 #pragma once
 
 #include "subscription/configuration_cache.hpp"
@@ -6,30 +6,32 @@
 namespace callboard_stage {
 
 using namespace lichenlanding;
-using callboard::Callboard;
+using subscription::ConfigurationCache;
 using Json = nlohmann::json;
 
-inline troupe::Member pod(const std::string& id, bool draining = false,
-                          const std::string& address = "10.1.0.1:80") {
+inline discovery::Endpoint pod(const std::string& id, bool draining = false,
+                               const std::string& address = "10.1.0.1:80") {
     return {id, "s", address, "z", "v1", 2, draining, 0};
 }
-inline troupe::Member pod(int number, bool draining = false) {
+inline discovery::Endpoint pod(int number, bool draining = false) {
     return pod("i-" + std::to_string(100'000 + number), draining, "10.1.0.1:" + std::to_string(number));
 }
-inline std::vector<troupe::Member> pods(int from, int to, int drainingTo = 0) {
-    std::vector<troupe::Member> all;
+inline std::vector<discovery::Endpoint> pods(int from, int to, int drainingTo = 0) {
+    std::vector<discovery::Endpoint> all;
     for (int at = from; at < to; ++at) all.push_back(pod(at, at < drainingTo));
     return all;
 }
 
-// A message of a prompter to a foyer, or of a neighbour to another, and all that follows from it, both ways
-// until nobody has more to say; `each` is shown every message.
+// A message of a control node to a proxy, or of a neighbour to another, and all that follows from it, both
+// ways until nobody has more to say; `each` is shown every message.
 inline void tell(
-    Callboard& from, Callboard& to, Json message, Callboard::From role = Callboard::From::prompter,
+    ConfigurationCache& from, ConfigurationCache& to, Json message,
+    ConfigurationCache::MessageSource role = ConfigurationCache::MessageSource::controlNode,
     const std::function<void(const Json&)>& each = [](const Json&) {}) {
     if (message.is_null()) return;
-    const auto other =
-        role == Callboard::From::prompter ? Callboard::From::follower : Callboard::From::neighbour;
+    const auto other = role == ConfigurationCache::MessageSource::controlNode
+                           ? ConfigurationCache::MessageSource::follower
+                           : ConfigurationCache::MessageSource::neighbour;
     std::vector<Json> way{std::move(message)};
     for (bool forth = true; !way.empty(); forth = !forth) {
         std::vector<Json> back;
--- a/tests/transport/chunks.cpp
+++ b/tests/transport/chunks.cpp
@@ -8,11 +8,11 @@
 #include "transport/peer_connection.hpp"
 
 using namespace lichenlanding;
-using namespace lichenlanding::wings;
+using namespace lichenlanding::transport;
 
 namespace {
 
-Packed bytes(std::size_t count, char first) {
+EncodedMessage bytes(std::size_t count, char first) {
     std::string all(count, first);
     for (std::size_t at = 0; at < count; at += 97) all[at] = static_cast<char>(first + at / 97 % 20);
     return std::make_shared<const std::string>(std::move(all));
@@ -33,11 +33,11 @@
     // reader no sign of life for longer than a link is given up after.
     void slowLine() {
         constexpr double nanosPerByte = 8 * 1e9 / 2e6;
-        constexpr Nanos silentAfter = 2100 * ms;  // as in wings/link
+        constexpr Nanos silentAfter = 2100 * kMillisecond;  // as in wings/link
         const auto large = bytes(600'000, 'z');
         CPPUNIT_ASSERT(static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte) > silentAfter);
-        Outbox out;
-        Assembly in;
+        SendQueue out;
+        ChunkReassembler in;
         out.push(large);
         std::map<std::string, Nanos> pushed;
         Nanos time = 0, lastHeard = 0, longestGap = 0, longestWait = 0, wholeAt = 0;
@@ -45,7 +45,7 @@
         for (Nanos nextSmall = 0; !out.empty() || wholeAt == 0;) {
             while (nextSmall <= time) {
                 const auto text = "p" + std::to_string(small++);
-                pushed[text] = nextSmall, nextSmall += 100 * ms;
+                pushed[text] = nextSmall, nextSmall += 100 * kMillisecond;
                 out.push(std::make_shared<const std::string>(text));
             }
             const auto frame = out.next();
@@ -61,17 +61,17 @@
             }
         }
         CPPUNIT_ASSERT(longestGap < silentAfter / 10);
-        CPPUNIT_ASSERT(longestWait < 300 * ms);
+        CPPUNIT_ASSERT(longestWait < 300 * kMillisecond);
         CPPUNIT_ASSERT(wholeAt <
                        static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte * 1.01));
     }
 
     void anySize() {
         for (const std::size_t size :
-             {std::size_t{0}, std::size_t{1}, wholeAtMost, wholeAtMost + 1, 3 * pieceBytes - 1,
-              3 * pieceBytes, 3 * pieceBytes + 1, std::size_t{5'000'000}}) {
-            Outbox out;
-            Assembly in;
+             {std::size_t{0}, std::size_t{1}, kWholeAtMost, kWholeAtMost + 1, 3 * kPieceBytes - 1,
+              3 * kPieceBytes, 3 * kPieceBytes + 1, std::size_t{5'000'000}}) {
+            SendQueue out;
+            ChunkReassembler in;
             // Two large ones in a row, a small one that overtakes them.
             for (const char first : {'a', 'b'}) out.push(bytes(size, first));
             out.push(bytes(7, 'p'));
@@ -81,16 +81,16 @@
             while (!out.empty()) {
                 const auto frame = out.next();
                 ++frames;
-                CPPUNIT_ASSERT(frame->size() <= wholeAtMost);
+                CPPUNIT_ASSERT(frame->size() <= kWholeAtMost);
                 if (auto whole = in.take(*frame)) came.push_back(std::move(*whole));
             }
             CPPUNIT_ASSERT_EQUAL(std::size_t(0), out.bytes());
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), came.size());
-            const auto place = size > wholeAtMost ? 0 : 2;
+            const auto place = size > kWholeAtMost ? 0 : 2;
             CPPUNIT_ASSERT_EQUAL(*bytes(7, 'p'), came[static_cast<std::size_t>(place)]);
             came.erase(came.begin() + place);
             CPPUNIT_ASSERT(came[0] == *bytes(size, 'a') && came[1] == *bytes(size, 'b'));
-            CPPUNIT_ASSERT_EQUAL(size > wholeAtMost ? 1 + 2 * ((size + pieceBytes - 1) / pieceBytes) : 3,
+            CPPUNIT_ASSERT_EQUAL(size > kWholeAtMost ? 1 + 2 * ((size + kPieceBytes - 1) / kPieceBytes) : 3,
                                  frames);
         }
     }
@@ -98,12 +98,12 @@
     // Each way to spoil the pieces of a message is found, at the piece or at the end.
     void spoilt() {
         std::vector<std::string> good;
-        Outbox out;
-        out.push(bytes(4 * pieceBytes, 'x'));
+        SendQueue out;
+        out.push(bytes(4 * kPieceBytes, 'x'));
         while (!out.empty()) good.push_back(*out.next());
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), good.size());
         const auto refused = [](const std::vector<std::string>& frames) {
-            Assembly in;
+            ChunkReassembler in;
             try {
                 for (const auto& frame : frames)
                     if (in.take(frame)) return std::string("whole");
@@ -153,10 +153,11 @@
         std::mt19937 chance(7);
         for (auto& letter : text) letter = static_cast<char>(chance());  // what can't be squeezed
         std::vector<std::string> came;
-        auto reader = std::make_shared<Link::Owner>(), writer = std::make_shared<Link::Owner>();
-        reader->greet = [](Link&) { return Json(); };
-        reader->closed = writer->closed = [](Link&) {};
-        reader->heard = [&](Link&, const Json& message) {
+        auto reader = std::make_shared<PeerConnection::Owner>(),
+             writer = std::make_shared<PeerConnection::Owner>();
+        reader->greet = [](PeerConnection&) { return Json(); };
+        reader->closed = writer->closed = [](PeerConnection&) {};
+        reader->heard = [&](PeerConnection&, const Json& message) {
             const auto kind = message.at("t").get<std::string>();
             came.push_back(kind);
             if (kind == "large") {
@@ -165,13 +166,13 @@
                                           [](auto a, auto b) { return a == static_cast<std::uint8_t>(b); }));
             }
         };
-        writer->heard = [](Link&, const Json&) {};
-        writer->greet = [&](Link& link) {
+        writer->heard = [](PeerConnection&, const Json&) {};
+        writer->greet = [&](PeerConnection& link) {
             link.send(Json{{"t", "large"}, {"bytes", Json::binary({text.begin(), text.end()})}});
             for (int at = 0; at < 20; ++at) link.send(Json{{"t", "small"}});
             return Json();
         };
-        start(io, "links", serveLinks(io, door, reader));
+        start(io, "links", servePeerConnections(io, door, reader));
         const auto dialer = std::make_shared<Dialer>(io, address, writer);
         dialer->go();
         while (came.size() < 21) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr Nanos ms = 1'000'000, target = 600 * ms;
+constexpr Nanos kMillisecond = 1'000'000, target = 600 * kMillisecond;
 
 Counts counts(int good, Nanos took, int bad = 0) {
     Counts made;
-    for (int at = 0; at < good; ++at) made.count(took + (at % 7) * 10 * ms, target, false);
+    for (int at = 0; at < good; ++at) made.count(took + (at % 7) * 10 * kMillisecond, target, false);
     for (int at = 0; at < bad; ++at) made.count(took, target, true);
     return made;
 }
@@ -37,16 +37,17 @@
     void totalsOnce() {
         verdict::Pool pool;
         const auto all = [&] { return pool.sum()["r"][0].all(); };
-        pool.take("a", 1, 1, {{"r", {counts(5, 100 * ms), {}}}});
-        pool.take("a", 1, 1, {{"r", {counts(5, 100 * ms), {}}}});  // twice
+        pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});
+        pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});  // twice
         CPPUNIT_ASSERT_EQUAL(5u, all());
-        pool.take("a", 1, 3, {{"r", {counts(9, 100 * ms), {}}}});
-        pool.take("a", 1, 2, {{"r", {counts(7, 100 * ms), {}}}});  // late
+        pool.take("a", 1, 3, {{"r", {counts(9, 100 * kMillisecond), {}}}});
+        pool.take("a", 1, 2, {{"r", {counts(7, 100 * kMillisecond), {}}}});  // late
         CPPUNIT_ASSERT_EQUAL(9u, all());
-        pool.take("a", 2, 1, {{"r", {counts(2, 100 * ms), {}}}});  // its next life counts beside the first
-        pool.take("b", 1, 1, {{"r", {counts(4, 100 * ms), {}}}});
+        pool.take("a", 2, 1,
+                  {{"r", {counts(2, 100 * kMillisecond), {}}}});  // its next life counts beside the first
+        pool.take("b", 1, 1, {{"r", {counts(4, 100 * kMillisecond), {}}}});
         CPPUNIT_ASSERT_EQUAL(15u, all());
-        const auto back = cues::readTotals(cues::write(pool.sum()));
+        const auto back = messages::decodeTotals(messages::write(pool.sum()));
         CPPUNIT_ASSERT_EQUAL(15u, back.at("r")[0].all());
     }
 
@@ -61,17 +62,18 @@
                     std::to_string(judged.fresh) + " against " + std::to_string(judged.earlier) + "\n";
         };
         judge("nothing yet", {}, {});
-        judge("too few", counts(12, 150 * ms), counts(300, 150 * ms));
-        judge("alike", counts(120, 150 * ms), counts(900, 150 * ms));
-        judge("quicker", counts(80, 90 * ms), counts(900, 150 * ms));
-        judge("a little slower", counts(60, 175 * ms), counts(900, 150 * ms));
-        judge("eight times slower", counts(30, 1200 * ms), counts(900, 150 * ms));
-        judge("half of it fails", counts(10, 150 * ms, 10), counts(900, 150 * ms));
-        judge("a few fail, as before", counts(196, 150 * ms, 4), counts(980, 150 * ms, 20));
-        judge("one route of three fails", counts(120, 150 * ms), counts(900, 150 * ms),
-              {{"q", {counts(5, 150 * ms, 6), counts(200, 150 * ms)}},
-               {"p", {counts(60, 150 * ms), counts(400, 150 * ms)}}});
-        judge("two failures alone", counts(4, 150 * ms, 2), counts(900, 150 * ms));
+        judge("too few", counts(12, 150 * kMillisecond), counts(300, 150 * kMillisecond));
+        judge("alike", counts(120, 150 * kMillisecond), counts(900, 150 * kMillisecond));
+        judge("quicker", counts(80, 90 * kMillisecond), counts(900, 150 * kMillisecond));
+        judge("a little slower", counts(60, 175 * kMillisecond), counts(900, 150 * kMillisecond));
+        judge("eight times slower", counts(30, 1200 * kMillisecond), counts(900, 150 * kMillisecond));
+        judge("half of it fails", counts(10, 150 * kMillisecond, 10), counts(900, 150 * kMillisecond));
+        judge("a few fail, as before", counts(196, 150 * kMillisecond, 4),
+              counts(980, 150 * kMillisecond, 20));
+        judge("one route of three fails", counts(120, 150 * kMillisecond), counts(900, 150 * kMillisecond),
+              {{"q", {counts(5, 150 * kMillisecond, 6), counts(200, 150 * kMillisecond)}},
+               {"p", {counts(60, 150 * kMillisecond), counts(400, 150 * kMillisecond)}}});
+        judge("two failures alone", counts(4, 150 * kMillisecond, 2), counts(900, 150 * kMillisecond));
         approve("verdict-judgements", seen);
     }
 
@@ -103,24 +105,24 @@
     void voterReplaced() {
         std::vector<std::string> names;
         for (int at = 0; at < 12; ++at) names.push_back("edge-" + std::to_string(at));
-        const auto before = company::chosen(names, "s\nv2", 3);
+        const auto before = hashing::chosen(names, "s\nv2", 3);
         std::erase(names, before[1]);
-        const auto after = company::chosen(names, "s\nv2", 3);
+        const auto after = hashing::chosen(names, "s\nv2", 3);
         CPPUNIT_ASSERT_EQUAL(before[0], after[0]);
         CPPUNIT_ASSERT_EQUAL(before[2], after[1]);
         CPPUNIT_ASSERT(std::find(before.begin(), before.end(), after[2]) == before.end());
         std::map<std::string, int> load;
         for (int at = 0; at < 3000; ++at)
-            for (const auto& name : company::chosen(names, "s\nv" + std::to_string(at), 3)) ++load[name];
+            for (const auto& name : hashing::chosen(names, "s\nv" + std::to_string(at), 3)) ++load[name];
         for (const auto& [name, count] : load) CPPUNIT_ASSERT(count > 700 && count < 950);  // 818 each
     }
 
     // Lists that come late or by another way bring nobody back; the differences mend any view.
     void listMonotone() {
-        troupe::Troupe ahead, behind;
-        const auto follow = [](troupe::Troupe& view, const std::vector<troupe::Member>& listed) {
+        discovery::EndpointSet ahead, behind;
+        const auto follow = [](discovery::EndpointSet& view, const std::vector<discovery::Endpoint>& listed) {
             std::string seen;
-            for (const auto& event : view.towards(listed, 0)) {
+            for (const auto& event : view.eventsTowards(listed, 0)) {
                 seen += (event.gone ? "-" : event.member.draining ? "~" : "+") + event.member.id;
                 view.apply(event);
             }
