--- a/bench/metadata.cpp
+++ b/bench/metadata.cpp
@@ -5,7 +5,7 @@
 
 #include <iterator>
 
-#include "../tests/stand_ins/repository.hpp"
+#include "support/metadata_repository.hpp"
 
 using namespace stand_ins;
 
--- a/bench/refresh_and_hits.cpp
+++ b/bench/refresh_and_hits.cpp
@@ -13,8 +13,8 @@
 #include <cstdio>
 #include <fstream>
 
-#include "../tests/stand_ins/repository.hpp"
-#include "net/sidecar.hpp"
+#include "sidecar/sidecar.hpp"
+#include "support/metadata_repository.hpp"
 
 using namespace lichenlanding;
 using namespace lichenlanding::net;
--- a/src/adapter/instance.cpp
+++ b/src/adapter/instance.cpp
@@ -1,4 +1,4 @@
-#include "instance.hpp"
+#include "adapter/instance.hpp"
 
 #include <algorithm>
 
--- a/src/adapter/instance.hpp
+++ b/src/adapter/instance.hpp
@@ -5,8 +5,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "balance.hpp"
-#include "wire.hpp"
+#include "adapter/wire.hpp"
+#include "policy/policy_engine.hpp"
 
 namespace lichenlanding::wire {
 
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -6,7 +6,7 @@
 #include <map>
 #include <memory>
 
-#include "instance.hpp"
+#include "adapter/instance.hpp"
 
 using namespace lichenlanding;
 using namespace lichenlanding::wire;
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "adapter/wire.hpp"
 
 #include <cstdio>
 #include <map>
--- a/src/command/metadata_client.cpp
+++ b/src/command/metadata_client.cpp
@@ -4,7 +4,7 @@
 #include <cstdio>
 
 #include "command/command.hpp"
-#include "net/refresh.hpp"
+#include "sidecar/metadata_refresh.hpp"
 
 namespace lichenlanding::command {
 namespace {
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -3,7 +3,7 @@
 #include <csignal>
 
 #include "command/command.hpp"
-#include "net/sidecar.hpp"
+#include "sidecar/sidecar.hpp"
 
 namespace lichenlanding::command {
 
--- a/src/policy/pooling.hpp
+++ b/src/policy/count_pooling.hpp
@@ -1,7 +1,7 @@
 // Outcomes counted, sent to the voters, and summed there.
 #pragma once
 
-#include "policy/verdict.hpp"
+#include "policy/voter_verdict.hpp"
 
 namespace lichenlanding::policy {
 
--- a/src/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -1,4 +1,4 @@
-#include "gossip.hpp"
+#include "policy/gossip.hpp"
 
 namespace lichenlanding {
 namespace {
--- a/src/balance.cpp
+++ b/src/policy/policy_engine.cpp
@@ -4,7 +4,7 @@
 // thing that happens by one call; the answers go out through the Door, in the same call. The concerns are in
 // policy/, each on the one before: state, rules, votes, verdict, pooling, routing. The mechanism is that of
 // docs/design.md; "exception" marks where the code departs from its ordinary path.
-#include "balance.hpp"
+#include "policy/policy_engine.hpp"
 
 #include "policy/routing.hpp"
 
--- a/src/policy/state.hpp
+++ b/src/policy/policy_state.hpp
@@ -6,9 +6,9 @@
 #include <tuple>
 #include <unordered_map>
 
-#include "balance.hpp"
-#include "gossip.hpp"
 #include "limits/fleet.hpp"
+#include "policy/gossip.hpp"
+#include "policy/policy_engine.hpp"
 #include "verdict/rank.hpp"
 
 namespace lichenlanding::policy {
--- a/src/policy/routing.hpp
+++ b/src/policy/routing.hpp
@@ -1,7 +1,7 @@
 // Where each hit goes: the chain out, the chain back, the list of pods.
 #pragma once
 
-#include "policy/pooling.hpp"
+#include "policy/count_pooling.hpp"
 
 namespace lichenlanding::policy {
 
--- a/src/policy/rules.hpp
+++ b/src/policy/rules.hpp
@@ -1,7 +1,7 @@
 // The five rules: every forward asks lawful() (routing.hpp), every answer mayBounce().
 #pragma once
 
-#include "policy/state.hpp"
+#include "policy/policy_state.hpp"
 
 namespace lichenlanding::policy {
 
--- a/src/net/ending.cpp
+++ b/src/sidecar/call_result.cpp
@@ -1,4 +1,4 @@
-#include "net/ending.hpp"
+#include "sidecar/call_result.hpp"
 
 #include <iterator>
 
--- a/src/net/config.cpp
+++ b/src/sidecar/config.cpp
@@ -1,4 +1,4 @@
-#include "net/config.hpp"
+#include "sidecar/config.hpp"
 
 #include <cstdlib>
 #include <fstream>
--- a/src/net/config.hpp
+++ b/src/sidecar/config.hpp
@@ -1,8 +1,8 @@
 // What a sidecar is told at start: the environment names the file, the file holds the rest.
 #pragma once
 
-#include "net/connection.hpp"
-#include "net/messages.hpp"
+#include "sidecar/connection.hpp"
+#include "sidecar/messages.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/connection.cpp
+++ b/src/sidecar/connection.cpp
@@ -1,4 +1,4 @@
-#include "net/connection.hpp"
+#include "sidecar/connection.hpp"
 
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
@@ -7,7 +7,7 @@
 #include <cerrno>
 #include <stdexcept>
 
-#include "net/messages.hpp"
+#include "sidecar/messages.hpp"
 #include "text.hpp"
 
 namespace lichenlanding::net {
--- a/src/net/connection.hpp
+++ b/src/sidecar/connection.hpp
@@ -6,9 +6,9 @@
 #include <utility>
 #include <vector>
 
-#include "net/answer.hpp"
-#include "net/ending.hpp"
-#include "net/loop.hpp"
+#include "sidecar/call_result.hpp"
+#include "sidecar/event_loop.hpp"
+#include "sidecar/response_parser.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/discovery.cpp
+++ b/src/sidecar/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "net/discovery.hpp"
+#include "sidecar/discovery_client.hpp"
 
 #include <algorithm>
 
--- a/src/net/discovery.hpp
+++ b/src/sidecar/discovery_client.hpp
@@ -2,9 +2,9 @@
 // asked for whole.
 #pragma once
 
-#include "net/messages.hpp"
-#include "net/stream.hpp"
-#include "net/upstream.hpp"
+#include "sidecar/messages.hpp"
+#include "sidecar/upstream_pool.hpp"
+#include "sidecar/watch_stream.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/loop.cpp
+++ b/src/sidecar/event_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/loop.hpp"
+#include "sidecar/event_loop.hpp"
 
 #include <chrono>
 #include <csignal>
--- a/src/net/loop.hpp
+++ b/src/sidecar/event_loop.hpp
@@ -11,7 +11,7 @@
 #include <memory>
 #include <vector>
 
-#include "net/log.hpp"
+#include "sidecar/log.hpp"
 #include "state.hpp"
 
 namespace lichenlanding::net {
--- a/src/net/fetch.cpp
+++ b/src/sidecar/http_fetch.cpp
@@ -1,4 +1,4 @@
-#include "net/fetch.hpp"
+#include "sidecar/http_fetch.hpp"
 
 #include <stdexcept>
 
--- a/src/net/fetch.hpp
+++ b/src/sidecar/http_fetch.hpp
@@ -2,7 +2,7 @@
 // second time by itself.
 #pragma once
 
-#include "net/connection.hpp"
+#include "sidecar/connection.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/front.cpp
+++ b/src/sidecar/http_server.cpp
@@ -1,4 +1,4 @@
-#include "net/front.hpp"
+#include "sidecar/http_server.hpp"
 
 #include <arpa/inet.h>
 #include <event2/keyvalq_struct.h>
@@ -10,7 +10,7 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "net/messages.hpp"
+#include "sidecar/messages.hpp"
 
 namespace lichenlanding::net {
 namespace {
--- a/src/net/front.hpp
+++ b/src/sidecar/http_server.hpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "net/connection.hpp"
+#include "sidecar/connection.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/log.cpp
+++ b/src/sidecar/log.cpp
@@ -1,4 +1,4 @@
-#include "net/log.hpp"
+#include "sidecar/log.hpp"
 
 #include <array>
 #include <chrono>
--- a/src/net/messages.cpp
+++ b/src/sidecar/messages.cpp
@@ -1,4 +1,4 @@
-#include "net/messages.hpp"
+#include "sidecar/messages.hpp"
 
 #include <strings.h>
 
--- a/src/net/refresh.cpp
+++ b/src/sidecar/metadata_refresh.cpp
@@ -1,4 +1,4 @@
-#include "net/refresh.hpp"
+#include "sidecar/metadata_refresh.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/refresh.hpp
+++ b/src/sidecar/metadata_refresh.hpp
@@ -1,9 +1,9 @@
 // One update of what is trusted, and the targets looked up in it: the fetching round metadata::Update.
 #pragma once
 
-#include "net/mirror_fetch.hpp"
-#include "net/trust_store.hpp"
-#include "net/worker.hpp"
+#include "sidecar/mirror_fetch.hpp"
+#include "sidecar/trust_store.hpp"
+#include "sidecar/worker_thread.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/mirror_fetch.cpp
+++ b/src/sidecar/mirror_fetch.cpp
@@ -1,4 +1,4 @@
-#include "net/mirror_fetch.hpp"
+#include "sidecar/mirror_fetch.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/mirror_fetch.hpp
+++ b/src/sidecar/mirror_fetch.hpp
@@ -4,8 +4,8 @@
 
 #include "metadata/mirrors.hpp"
 #include "metadata/refusal.hpp"
-#include "net/fetch.hpp"
-#include "net/task.hpp"
+#include "sidecar/http_fetch.hpp"
+#include "sidecar/task.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/mirror.cpp
+++ b/src/sidecar/mirror_server.cpp
@@ -1,4 +1,4 @@
-#include "net/mirror.hpp"
+#include "sidecar/mirror_server.hpp"
 
 #include <algorithm>
 
--- a/src/net/mirror.hpp
+++ b/src/sidecar/mirror_server.hpp
@@ -6,7 +6,7 @@
 #include <list>
 #include <map>
 
-#include "net/front.hpp"
+#include "sidecar/http_server.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/peers.cpp
+++ b/src/sidecar/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "net/peers.hpp"
+#include "sidecar/peer_transport.hpp"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -8,7 +8,7 @@
 #include <cstring>
 #include <stdexcept>
 
-#include "gossip.hpp"
+#include "policy/gossip.hpp"
 
 namespace lichenlanding::net {
 namespace {
--- a/src/net/peers.hpp
+++ b/src/sidecar/peer_transport.hpp
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "net/connection.hpp"
+#include "sidecar/connection.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/desk.cpp
+++ b/src/sidecar/platform_client.cpp
@@ -1,4 +1,4 @@
-#include "net/desk.hpp"
+#include "sidecar/platform_client.hpp"
 
 namespace lichenlanding::net {
 namespace {
--- a/src/net/desk.hpp
+++ b/src/sidecar/platform_client.hpp
@@ -3,8 +3,8 @@
 
 #include <list>
 
-#include "net/messages.hpp"
-#include "net/stream.hpp"
+#include "sidecar/messages.hpp"
+#include "sidecar/watch_stream.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/passage.cpp
+++ b/src/sidecar/request_handler.cpp
@@ -1,6 +1,6 @@
-#include "net/passage.hpp"
+#include "sidecar/request_handler.hpp"
 
-#include "net/messages.hpp"
+#include "sidecar/messages.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/passage.hpp
+++ b/src/sidecar/request_handler.hpp
@@ -1,10 +1,10 @@
 // One hit's life, from the client's whole request to its answer and the end of its last forward.
 #pragma once
 
-#include "balance.hpp"
-#include "net/front.hpp"
-#include "net/task.hpp"
-#include "net/upstream.hpp"
+#include "policy/policy_engine.hpp"
+#include "sidecar/http_server.hpp"
+#include "sidecar/task.hpp"
+#include "sidecar/upstream_pool.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/answer.cpp
+++ b/src/sidecar/response_parser.cpp
@@ -1,11 +1,11 @@
-#include "net/answer.hpp"
+#include "sidecar/response_parser.hpp"
 
 #include <strings.h>
 
 #include <algorithm>
 #include <utility>
 
-#include "net/messages.hpp"
+#include "sidecar/messages.hpp"
 #include "text.hpp"
 
 namespace lichenlanding::net {
--- a/src/net/answer.hpp
+++ b/src/sidecar/response_parser.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/loop.hpp"
+#include "sidecar/event_loop.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -1,4 +1,4 @@
-#include "net/sidecar.hpp"
+#include "sidecar/sidecar.hpp"
 
 #include <malloc.h>
 
--- a/src/net/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -5,15 +5,15 @@
 #include <optional>
 #include <unordered_set>
 
-#include "balance.hpp"
-#include "net/config.hpp"
-#include "net/desk.hpp"
-#include "net/discovery.hpp"
-#include "net/front.hpp"
-#include "net/passage.hpp"
-#include "net/peers.hpp"
-#include "net/trust.hpp"
-#include "net/upstream.hpp"
+#include "policy/policy_engine.hpp"
+#include "sidecar/config.hpp"
+#include "sidecar/discovery_client.hpp"
+#include "sidecar/http_server.hpp"
+#include "sidecar/peer_transport.hpp"
+#include "sidecar/platform_client.hpp"
+#include "sidecar/request_handler.hpp"
+#include "sidecar/trust_manager.hpp"
+#include "sidecar/upstream_pool.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/task.hpp
+++ b/src/sidecar/task.hpp
@@ -5,7 +5,7 @@
 #include <exception>
 #include <utility>
 
-#include "net/log.hpp"
+#include "sidecar/log.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/trust_config.cpp
+++ b/src/sidecar/trust_config.cpp
@@ -1,4 +1,4 @@
-#include "net/trust_config.hpp"
+#include "sidecar/trust_config.hpp"
 
 #include <fstream>
 #include <nlohmann/json.hpp>
--- a/src/net/trust_config.hpp
+++ b/src/sidecar/trust_config.hpp
@@ -8,7 +8,7 @@
 
 #include "metadata/mirrors.hpp"
 #include "metadata/trusted_set.hpp"
-#include "net/fetch.hpp"
+#include "sidecar/http_fetch.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/trust.cpp
+++ b/src/sidecar/trust_manager.cpp
@@ -1,4 +1,4 @@
-#include "net/trust.hpp"
+#include "sidecar/trust_manager.hpp"
 
 #include <algorithm>
 #include <chrono>
--- a/src/net/trust.hpp
+++ b/src/sidecar/trust_manager.hpp
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "metadata/builds.hpp"
-#include "net/mirror.hpp"
-#include "net/refresh.hpp"
-#include "net/trust_config.hpp"
+#include "sidecar/metadata_refresh.hpp"
+#include "sidecar/mirror_server.hpp"
+#include "sidecar/trust_config.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/trust_store.cpp
+++ b/src/sidecar/trust_store.cpp
@@ -1,4 +1,4 @@
-#include "net/trust_store.hpp"
+#include "sidecar/trust_store.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/upstream.cpp
+++ b/src/sidecar/upstream_pool.cpp
@@ -1,8 +1,8 @@
-#include "net/upstream.hpp"
+#include "sidecar/upstream_pool.hpp"
 
 #include <algorithm>
 
-#include "net/messages.hpp"
+#include "sidecar/messages.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/upstream.hpp
+++ b/src/sidecar/upstream_pool.hpp
@@ -4,7 +4,7 @@
 #include <list>
 #include <map>
 
-#include "net/connection.hpp"
+#include "sidecar/connection.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/stream.cpp
+++ b/src/sidecar/watch_stream.cpp
@@ -1,4 +1,4 @@
-#include "net/stream.hpp"
+#include "sidecar/watch_stream.hpp"
 
 #include <algorithm>
 
--- a/src/net/stream.hpp
+++ b/src/sidecar/watch_stream.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "limits/fleet.hpp"
-#include "net/connection.hpp"
+#include "sidecar/connection.hpp"
 
 namespace lichenlanding::net {
 
--- a/src/net/worker.cpp
+++ b/src/sidecar/worker_thread.cpp
@@ -1,4 +1,4 @@
-#include "net/worker.hpp"
+#include "sidecar/worker_thread.hpp"
 
 #include <sys/eventfd.h>
 #include <sys/resource.h>
--- a/src/net/worker.hpp
+++ b/src/sidecar/worker_thread.hpp
@@ -7,7 +7,7 @@
 #include <mutex>
 #include <thread>
 
-#include "net/loop.hpp"
+#include "sidecar/event_loop.hpp"
 
 namespace lichenlanding::net {
 
--- a/tests/fuzz/metadata.cpp
+++ b/tests/fuzz/metadata.cpp
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "../stand_ins/repository.hpp"
 #include "metadata/uptane.hpp"
 #include "seeded.hpp"
+#include "support/metadata_repository.hpp"
 
 using namespace stand_ins;
 
--- a/tests/limits/fleet.cpp
+++ b/tests/limits/fleet.cpp
@@ -3,7 +3,7 @@
 #include <random>
 #include <set>
 
-#include "../helper.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace lichenlanding::limits;
 
--- a/tests/metadata/properties.cpp
+++ b/tests/metadata/properties.cpp
@@ -2,8 +2,8 @@
 // documents that are mutated at any place.
 #include <random>
 
-#include "../helper.hpp"
-#include "../stand_ins/repository.hpp"
+#include "support/metadata_repository.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace stand_ins;
 
--- a/tests/metadata/rhythm.cpp
+++ b/tests/metadata/rhythm.cpp
@@ -1,9 +1,9 @@
 // Whom to ask, when, and how often: the decisions of a client of mirrors, without one.
 #include <filesystem>
 
-#include "../helper.hpp"
 #include "metadata/mirrors.hpp"
-#include "net/trust_config.hpp"
+#include "sidecar/trust_config.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace metadata;
 
--- a/tests/metadata/uptane.cpp
+++ b/tests/metadata/uptane.cpp
@@ -1,8 +1,8 @@
 #include "metadata/uptane.hpp"
 
-#include "../helper.hpp"
-#include "../stand_ins/repository.hpp"
 #include "metadata/builds.hpp"
+#include "support/metadata_repository.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace stand_ins;
 
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -1,7 +1,7 @@
 // The client's workflow against repositories that are old, spoilt, mixed or hostile. Each case prints one
 // line, and what was trusted before must still be in force after a refusal.
-#include "../helper.hpp"
-#include "../stand_ins/repository.hpp"
+#include "support/metadata_repository.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace stand_ins;
 
--- a/tests/fleet.cpp
+++ b/tests/policy/fleet.cpp
@@ -1,6 +1,6 @@
 #include <deque>
 
-#include "helper.hpp"
+#include "support/sidecar_fixture.hpp"
 
 // A hundred sidecars, and a platform that takes 16 calls a second and no more.
 struct Fleet {
--- a/tests/routing.cpp
+++ b/tests/policy/routing.cpp
@@ -1,4 +1,4 @@
-#include "helper.hpp"
+#include "support/sidecar_fixture.hpp"
 
 TEST_CASE("further forwards keep away from the build on trial") {
     Scene scene;
--- a/tests/rules.cpp
+++ b/tests/policy/rules.cpp
@@ -1,4 +1,4 @@
-#include "helper.hpp"
+#include "support/sidecar_fixture.hpp"
 
 TEST_CASE("a mutating hit goes again only if it never ran") {
     Scene scene;
--- a/tests/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -1,4 +1,4 @@
-#include "helper.hpp"
+#include "support/sidecar_fixture.hpp"
 #include "verdict/rank.hpp"
 
 namespace {
--- a/tests/messages.cpp
+++ b/tests/sidecar/messages.cpp
@@ -1,6 +1,6 @@
 #include "adapter/wire.hpp"
-#include "helper.hpp"
-#include "net/config.hpp"
+#include "sidecar/config.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace lichenlanding::net;
 
--- a/tests/sockets.cpp
+++ b/tests/sidecar/sockets.cpp
@@ -1,9 +1,9 @@
 #include <sys/resource.h>
 
-#include "helper.hpp"
-#include "net/desk.hpp"
-#include "net/discovery.hpp"
-#include "net/peers.hpp"
+#include "sidecar/discovery_client.hpp"
+#include "sidecar/peer_transport.hpp"
+#include "sidecar/platform_client.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace lichenlanding::net;
 
--- a/tests/metadata/sidecar.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -4,9 +4,9 @@
 
 #include <filesystem>
 
-#include "../helper.hpp"
-#include "../stand_ins/repository.hpp"
-#include "net/refresh.hpp"
+#include "sidecar/metadata_refresh.hpp"
+#include "support/metadata_repository.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace stand_ins;
 
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -9,8 +9,8 @@
 #include <map>
 #include <random>
 
-#include "../helper.hpp"
 #include "store/folder.hpp"
+#include "support/sidecar_fixture.hpp"
 
 using namespace lichenlanding::store;
 
--- a/tests/helper.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -14,10 +14,10 @@
 #include <memory>
 #include <sstream>
 
-#include "balance.hpp"
 #include "doctest/doctest.h"
-#include "gossip.hpp"
-#include "net/sidecar.hpp"
+#include "policy/gossip.hpp"
+#include "policy/policy_engine.hpp"
+#include "sidecar/sidecar.hpp"
 
 using namespace lichenlanding;
 constexpr Nanos ms = 1'000'000;
