--- a/bench/refresh_and_hits.cpp
+++ b/bench/refresh_and_hits.cpp
@@ -17,7 +17,7 @@
 #include "support/metadata_repository.hpp"
 
 using namespace lichenlanding;
-using namespace lichenlanding::net;
+using namespace lichenlanding::sidecar;
 
 namespace {
 
@@ -42,7 +42,7 @@
 class Server {
   public:
     using Serve = std::function<void(evhttp_request*)>;
-    Server(Loop& loop, Serve serve) : serve_(std::move(serve)), server_(evhttp_new(loop.base())) {
+    Server(EventLoop& loop, Serve serve) : serve_(std::move(serve)), server_(evhttp_new(loop.base())) {
         evhttp_set_gencb(
             server_.get(), [](evhttp_request* call, void* self) { static_cast<Server*>(self)->serve_(call); },
             this);
@@ -60,7 +60,7 @@
 
   private:
     Serve serve_;
-    Owned<evhttp> server_;
+    LibeventPtr<evhttp> server_;
 };
 
 // Runs in a child; its first bytes on the pipe are what it tells.
@@ -89,7 +89,7 @@
 
 std::pair<pid_t, std::uint16_t> pods() {
     return child<std::uint16_t>([](auto told) {
-        Loop loop;
+        EventLoop loop;
         Server server(loop, [](auto* call) { Server::answer(call, 200, "body"); });
         told(server.port);
         loop.run();
@@ -101,7 +101,7 @@
     stand_ins::Repository repository(true, wall());
     std::ofstream(rootFile) << repository.firstRoot();
     return child<std::uint16_t>([&](auto told) {
-        Loop loop;
+        EventLoop loop;
         int round = 0;
         const auto renew = [&] {
             for (int one = 0; one < (round == 0 ? targets : 10); ++one)
@@ -112,12 +112,12 @@
             repository.publish();
         };
         renew();
-        Timer again(loop, [] {});
-        again.calls([&] {
+        Timer renewal(loop, [] {});
+        renewal.setCallback([&] {
             renew();
-            again.in(1000 * ms);
+            renewal.start(1000 * ms);
         });
-        again.in(1000 * ms);
+        renewal.start(1000 * ms);
         Server mirror(loop, [&](auto* call) {
             const std::string uri = evhttp_request_get_uri(call);
             const auto file = repository.files.find(uri.substr(uri.rfind('/') + 1));
@@ -129,30 +129,33 @@
     });
 }
 
-std::pair<pid_t, std::uint16_t> sidecar(const Ports& ports, const std::string& rootFile, How how) {
+std::pair<pid_t, std::uint16_t> startSidecar(const Ports& ports, const std::string& rootFile, How how) {
     return child<std::uint16_t>([&](auto told) {
         Config config;
         config.name = "n0", config.listen = {"127.0.0.1", 0}, config.seed = 7, config.sockets = 1024;
         config.discovery = config.platform = {"127.0.0.1", 1};
         auto& settings = config.settings;
         settings.zones = {"a"};
-        settings.groups = {{"read", 1000 * ms, 2500 * ms, 1, Effect::repeatable, Reach::all, 0, false, 0}};
-        settings.maxForwards = 2, settings.coldTime = 4000 * ms, settings.coldFrom = 0.4,
-        settings.fallMultiple = 2;
-        settings.caps = {1}, settings.freeForwards = 1, settings.exposureWindow = 6000 * ms,
-        settings.voteLife = 6000 * ms;
-        settings.answerWait = 800 * ms, settings.connectWithin = 250 * ms, settings.keepIdle = 15'000 * ms;
-        settings.maxOpen = 20'000, settings.votesPerSecond = 100;
-        config.news = StageNews{5, 0, Standing::released, 1, 0};
-        config.known.emplace();
-        config.known->whole = true;
+        settings.groups = {
+            {"read", 1000 * ms, 2500 * ms, 1, Effect::idempotent, DedupScope::all, 0, false, 0}};
+        settings.maxAttempts = 2, settings.slowStartTime = 4000 * ms, settings.slowStartFloor = 0.4,
+        settings.overloadMultiple = 2;
+        settings.caps = {1}, settings.freeAttempts = 1, settings.exposureWindow = 6000 * ms,
+        settings.voteTtl = 6000 * ms;
+        settings.voteTimeout = 800 * ms, settings.connectTimeout = 250 * ms,
+        settings.idleTimeout = 15'000 * ms;
+        settings.maxInFlight = 20'000, settings.votesPerSecond = 100;
+        config.rollout = RolloutUpdate{5, 0, RolloutState::released, 1, 0};
+        config.endpoints.emplace();
+        config.endpoints->complete = true;
         for (int pod = 0; pod < 16; ++pod)
-            config.known->lines.push_back(
+            config.endpoints->entries.push_back(
                 {"s-" + std::to_string(pod), "127.0.0.1:" + std::to_string(ports.pods), "a", 5});
         std::optional<TrustConfig> trust;
         if (how != off) {
             trust.emplace();
-            trust->root = rootFile, trust->builds = "releases/{build}", trust->folder = rootFile + ".trust";
+            trust->root = rootFile, trust->builds = "releases/{build}",
+            trust->directory = rootFile + ".trust";
             trust->metadata.push_back({{{"127.0.0.1", ports.mirror}, "/"}, false});
             trust->thread = how == beside;
             trust->rhythm = {1000 * ms, 100 * ms, 1000 * ms};
@@ -169,14 +172,14 @@
 };
 
 Figures load(std::uint16_t port) {
-    Loop loop;
+    EventLoop loop;
     std::vector<std::unique_ptr<Connection>> all;
     std::vector<Connection*> idle;
     std::vector<Nanos> took;
     std::size_t bad = 0, open = 0, id = 0;
     const Nanos gap = 1'000'000'000 / rate, begin = loop.now() + 500 * ms, end = begin + seconds * 1'000 * ms;
     for (Nanos next = begin; next < end || open > 0;) {
-        loop.turn();
+        loop.runOnce();
         if (loop.now() > end + 5'000 * ms) break;
         for (; next < end && next <= loop.now(); next += gap) {
             if (idle.empty()) {
@@ -193,11 +196,11 @@
                                {"X-Call-Class", "read"},
                                {"X-Budget", "2500m"}},
                               {}},
-                             1000 * ms, 0, [&, connection, due = next](const Return& back) {
+                             1000 * ms, 0, [&, connection, due = next](const CallResponse& back) {
                                  --open;
-                                 bad += back.code != 200;
+                                 bad += back.statusCode != 200;
                                  took.push_back(loop.now() - due);
-                                 if (connection->free()) idle.push_back(connection);
+                                 if (connection->available()) idle.push_back(connection);
                              });
         }
     }
@@ -231,7 +234,7 @@
                 targets);
     for (int run = 0; run < 3 * pairs; ++run) {
         const auto how = static_cast<How>(run / 3 % 2 ? 2 - run % 3 : run % 3);  // there and back
-        const auto [pid, port] = sidecar(ports, rootFile, how);
+        const auto [pid, port] = startSidecar(ports, rootFile, how);
         const auto figures = load(port);
         ended(pid);
         std::printf("refresh %s: median %.0f us, 99th %.0f us, worst %.0f us, %zu answered, %zu not\n",
--- a/src/adapter/instance.cpp
+++ b/src/adapter/instance.cpp
@@ -2,182 +2,209 @@
 
 #include <algorithm>
 
-namespace lichenlanding::wire {
+namespace lichenlanding::adapter {
+namespace {
+
+constexpr std::int64_t kMaxPodId = 0xffffffffLL;
+constexpr std::int64_t kMaxIndex = 1 << 20;  // of attempts, peers and stages
+constexpr std::int64_t kMaxBuild = 65535;
+constexpr std::int64_t kMaxCount = 1LL << 40;
+// Bits of a request's marks.
+constexpr std::int64_t kCostKnown = 1, kRetry = 2;
+
+}  // namespace
 
 Instance::Instance(std::int64_t number, const Settings& settings, std::uint64_t seed, Nanos now,
-                   std::string& out)
-    : number_(std::to_string(number)), out_(out), settings_(settings), balance_(settings_, seed, *this) {
-    balance_.at(now);
-    balance_.woke();
-}
-
-void Instance::read(Line& line, Nanos now, const std::vector<Row>* ledgers) {
-    balance_.at(now);
-    const auto name = line.name();
-    if (name == "NEW_REQUEST") {
-        readHit(line);
-    } else if (name == "RESOLVED") {
-        readOutcomeLine(line);
-    } else if (name == "WAKE") {
-        line.word("tag");
-        balance_.woke();
-    } else if (name == "ENDPOINTS") {
-        readList(line, ledgers);
-    } else if (name == "TRIAL_NEWS") {
-        readNews(line);
-    } else if (name == "HEARD") {
-        const auto peer = line.integer("srcPeer", 0, 1 << 20);
-        balance_.heard(static_cast<int>(peer), line.bytes("data"));
-    } else if (name == "HANGUP") {
-        if (auto* hit = findHit(line.word("tid"))) {
-            balance_.hangup(*hit);
-            letGo(hit);
-        }
-    } else if (name == "RETURNED") {
-        auto& returned = pod(static_cast<std::uint32_t>(line.integer("pod", 0, 0xffffffffLL)));
-        const auto age = line.time("ageMs");
-        balance_.flagged(returned, age, group(line, "profile"));
-    } else if (name == "HEAD_RECEIVED") {
-        auto* hit = findHit(line.word("tid"));
-        if (auto* forward = findForward(hit, line.integer("shot", 0, 1 << 20))) balance_.head(*forward);
-    } else if (name == "SAMPLED") {
-        line.integer("edition", 0, 65535);
-        group(line, "profile");
-        line.integer("attempts", 0, 1LL << 40);
-        line.integer("bad", 0, 1LL << 40);
-    } else if (name == "ECHO") {
-        readOutcome(line, "rc");
-        auto& probed = pod(static_cast<std::uint32_t>(line.integer("pod", 0, 0xffffffffLL)));
-        line.time("costTimeMs");
-        if (const auto holds = line.report("feedback", "inflight"); holds >= 0)
-            balance_.report(probed, holds);
-    } else {
-        throw Unreadable("cannot read " + std::string(name) + ": field message name");
-    }
+                   std::string& output)
+    : number_(std::to_string(number)), output_(output), settings_(settings), policy_(settings_, seed, *this) {
+    policy_.setTime(now);
+    policy_.onTimer();
+}
+
+void Instance::handle(LineReader& line, Nanos now, const std::vector<EndpointRow>* ledgers) {
+    policy_.setTime(now);
+    const auto name = line.messageName();
+    if (name == "NEW_REQUEST") return handleNewRequest(line);
+    if (name == "RESOLVED") return handleOutcome(line);
+    if (name == "ENDPOINTS") return handleEndpoints(line, ledgers);
+    if (name == "TRIAL_NEWS") return handleRolloutUpdate(line);
+    if (name == "HEARD") return handlePeerMessage(line);
+    if (name == "HANGUP") return handleDisconnect(line);
+    if (name == "RETURNED") return handleFlagged(line);
+    if (name == "HEAD_RECEIVED") return handleResponseHeaders(line);
+    if (name == "SAMPLED") return handleSample(line);
+    if (name == "ECHO") return handleProbed(line);
+    if (name != "WAKE") throw ParseError("cannot read " + std::string(name) + ": field message name");
+    line.word("tag");
+    policy_.onTimer();
+}
+
+void Instance::handleNewRequest(LineReader& line) {
+    auto request = std::make_unique<Request>();
+    request->id = line.word("tid");
+    request->key = line.wordOr("", "affinity");
+    const auto marks = line.integer("marks", 0, kMaxCount);
+    request->isRetry = (marks & kRetry) != 0;
+    request->group = &readGroup(line, "profile");
+    request->deadline = line.time("clientDeadlineMs");
+    line.word("realm");
+    const auto cost = line.timeOr(0, "workMs");
+    if (marks & kCostKnown) request->cost = cost;
+    auto& slot = requests_[request->id];
+    slot = std::move(request);
+    auto* taken = slot.get();
+    policy_.onRequest(*taken);
+    releaseIfOver(taken);
 }
 
-void Instance::readList(Line& line, const std::vector<Row>* ledgers) {
+void Instance::handleOutcome(LineReader& line) {
+    auto* request = findRequest(line.word("tid"));
+    const auto outcome = readOutcome(line, "rc");
+    const auto latency = line.time("costTimeMs");
+    auto* attempt = findAttempt(request, line.integer("shot", 0, kMaxIndex));
+    auto& target = readPod(line);
+    const bool clientDone = line.boolean("closed");
+    if (const auto inFlight = line.loadFigure("feedback", "inflight"); inFlight >= 0)
+        policy_.onLoadReport(target, inFlight);
+    if (!attempt || !attempt->inFlight) return;
+    policy_.onOutcome(*attempt, outcome, latency, clientDone);
+    releaseIfOver(request);
+}
+
+void Instance::handleResponseHeaders(LineReader& line) {
+    auto* request = findRequest(line.word("tid"));
+    if (auto* attempt = findAttempt(request, line.integer("shot", 0, kMaxIndex)))
+        policy_.onResponseHeaders(*attempt);
+}
+
+void Instance::handleDisconnect(LineReader& line) {
+    auto* request = findRequest(line.word("tid"));
+    if (!request) return;
+    policy_.onClientDisconnect(*request);
+    releaseIfOver(request);
+}
+
+void Instance::handleFlagged(LineReader& line) {
+    auto& source = readPod(line);
+    const auto age = line.time("ageMs");
+    policy_.onFlaggedResponse(source, age, readGroup(line, "profile"));
+}
+
+void Instance::handleProbed(LineReader& line) {
+    readOutcome(line, "rc");
+    auto& probed = readPod(line);
+    line.time("costTimeMs");
+    if (const auto inFlight = line.loadFigure("feedback", "inflight"); inFlight >= 0)
+        policy_.onLoadReport(probed, inFlight);
+}
+
+// The policy does not use samples; the line is checked all the same.
+void Instance::handleSample(LineReader& line) {
+    line.integer("edition", 0, kMaxBuild);
+    readGroup(line, "profile");
+    line.integer("attempts", 0, kMaxCount);
+    line.integer("bad", 0, kMaxCount);
+}
+
+void Instance::handleEndpoints(LineReader& line, const std::vector<EndpointRow>* ledgers) {
     const auto scope = line.word("scope");
-    if (scope == "error") return balance_.listFailed();
+    if (scope == "error") return policy_.onEndpointsUnavailable();
     if (scope != "diff" && scope != "snapshot" && scope != "disk") line.fail("scope");
-    if (line.absent()) line.word("seqNo");
-    else line.integer("seqNo", 0, 1LL << 62);
-    std::vector<Listing> listings;
+    line.integerOr(0, "seqNo", 0, 1LL << 62);
+    std::vector<EndpointUpdate> updates;
     for (const auto& row : ledgers[line.integer("slot", 0, 15)]) {
-        Listing listing{&pod(row.pod), row.build, -1, row.cell, row.availability, row.started};
+        EndpointUpdate update{&pod(row.pod), row.build, -1, row.cell, row.availability, row.startedAt};
         for (std::size_t zone = 0; zone < settings_.zones.size(); ++zone)
-            if (settings_.zones[zone] == row.zone) listing.zone = static_cast<int>(zone);
-        listings.push_back(listing);
+            if (settings_.zones[zone] == row.zone) update.zone = static_cast<int>(zone);
+        updates.push_back(update);
     }
-    balance_.listed(scope != "diff", listings);
-}
-
-void Instance::readHit(Line& line) {
-    auto hit = std::make_unique<Hit>();
-    hit->id = line.word("tid");
-    const bool keyless = line.absent();
-    hit->key = line.word("affinity");
-    if (keyless) hit->key.clear();
-    const auto marks = line.integer("marks", 0, 1LL << 40);
-    hit->repeated = (marks & 2) != 0;
-    hit->group = &group(line, "profile");
-    hit->deadline = line.time("clientDeadlineMs");
-    line.word("realm");
-    if (line.absent()) line.word("workMs");
-    else hit->work = (marks & 1) ? line.time("workMs") : (line.time("workMs"), 0);
-    auto& held = hits_[hit->id];
-    held = std::move(hit);
-    auto* taken = held.get();
-    balance_.hit(*taken);
-    letGo(taken);
-}
-
-void Instance::readOutcomeLine(Line& line) {
-    auto* hit = findHit(line.word("tid"));
-    const auto outcome = readOutcome(line, "rc");
-    const auto took = line.time("costTimeMs");
-    auto* forward = findForward(hit, line.integer("shot", 0, 1 << 20));
-    auto& sent = pod(static_cast<std::uint32_t>(line.integer("pod", 0, 0xffffffffLL)));
-    const bool closed = line.truth("closed");
-    if (const auto holds = line.report("feedback", "inflight"); holds >= 0) balance_.report(sent, holds);
-    if (!forward || !forward->out) return;
-    balance_.outcome(*forward, outcome, took, closed);
-    letGo(hit);
+    policy_.onEndpoints(scope != "diff", updates);
 }
 
 // An answer that is not `completed` tells nothing of the build, and its fields may be absent.
-void Instance::readNews(Line& line) {
-    const auto whole = [&](const char* field, std::int64_t most) {
-        return line.absent() ? (line.word(field), -1) : line.integer(field, -1, most);
-    };
-    const auto build = static_cast<int>(whole("edition", 65535));
-    const auto stage = static_cast<int>(whole("ring", 1 << 20));
-    const auto standing = static_cast<Standing>(std::max<std::int64_t>(whole("standing", 3), 0));
+void Instance::handleRolloutUpdate(LineReader& line) {
+    const auto build = static_cast<int>(line.integerOr(-1, "edition", -1, kMaxBuild));
+    const auto stage = static_cast<int>(line.integerOr(-1, "ring", -1, kMaxIndex));
+    const auto state = std::max<std::int64_t>(line.integerOr(-1, "standing", -1, 3), 0);
     const bool answer = line.integer("reason", 0, 1) == 1;
     const auto answered = readOutcome(line, "rc");
-    const auto cap = line.absent() ? (line.word("cap"), 0.0) : line.number("cap");
-    const auto age = line.absent() ? (line.word("ageMs"), Nanos{0}) : line.time("ageMs");
-    balance_.news(build, stage, standing, answer, answered, cap, age);
+    const auto cap = line.numberOr(0, "cap");
+    const auto age = line.timeOr(0, "ageMs");
+    policy_.onRolloutUpdate(build, stage, static_cast<RolloutState>(state), answer, answered, cap, age);
+}
+
+void Instance::handlePeerMessage(LineReader& line) {
+    const auto peer = line.integer("srcPeer", 0, kMaxIndex);
+    policy_.onPeerMessage(static_cast<int>(peer), line.bytes("data"));
 }
 
-Hit* Instance::findHit(std::string_view id) {
-    const auto found = hits_.find(std::string(id));
-    return found == hits_.end() ? nullptr : found->second.get();
+Request* Instance::findRequest(std::string_view id) {
+    const auto found = requests_.find(std::string(id));
+    return found == requests_.end() ? nullptr : found->second.get();
 }
 
-Forward* Instance::findForward(Hit* hit, std::int64_t shot) {
-    if (!hit || shot >= static_cast<std::int64_t>(hit->forwards.size())) return nullptr;
-    return &hit->forwards[static_cast<std::size_t>(shot)];
+Attempt* Instance::findAttempt(Request* request, std::int64_t index) {
+    if (!request || index >= static_cast<std::int64_t>(request->attempts.size())) return nullptr;
+    return &request->attempts[static_cast<std::size_t>(index)];
 }
 
 Pod& Instance::pod(std::uint32_t id) {
-    auto& held = pods_[id];
-    if (!held) {
-        held = std::make_unique<Pod>();
-        held->id = id;
+    auto& slot = pods_[id];
+    if (!slot) {
+        slot = std::make_unique<Pod>();
+        slot->id = id;
     }
-    return *held;
+    return *slot;
 }
 
-const PathGroup& Instance::group(Line& line, const char* field) {
+Pod& Instance::readPod(LineReader& line) {
+    return pod(static_cast<std::uint32_t>(line.integer("pod", 0, kMaxPodId)));
+}
+
+const PathGroup& Instance::readGroup(LineReader& line, const char* field) {
     const auto name = line.word(field);
     for (const auto& group : settings_.groups)
         if (group.name == name) return group;
     line.fail(field);
 }
 
-void Instance::letGo(Hit* hit) {
-    if (!hit->ended) return;
-    for (const auto& forward : hit->forwards)
-        if (forward.out) return;
-    hits_.erase(hits_.find(hit->id));
+void Instance::releaseIfOver(Request* request) {
+    if (!request->ended) return;
+    for (const auto& attempt : request->attempts)
+        if (attempt.inFlight) return;
+    requests_.erase(requests_.find(request->id));
 }
 
-void Instance::say(const char* name, std::initializer_list<std::string> values) {
-    out_ += name;
-    out_ += '\t';
-    out_ += number_;
+void Instance::reply(const char* name, std::initializer_list<std::string> values) {
+    output_ += name;
+    output_ += '\t';
+    output_ += number_;
     for (const auto& value : values) {
-        out_ += '\t';
-        out_ += value;
+        output_ += '\t';
+        output_ += value;
     }
-    out_ += '\n';
+    output_ += '\n';
 }
 
-void Instance::forward(const Forward& sent, Nanos timeout) {
-    say("PLACE", {sent.hit->id, std::to_string(sent.pod->id), millis(timeout)});
+void Instance::forward(const Attempt& attempt, Nanos timeout) {
+    reply("PLACE", {attempt.request->id, std::to_string(attempt.pod->id), formatMillis(timeout)});
+}
+void Instance::reject(const Request& request, Nanos retryAfter) {
+    reply("REFUSE", {request.id, formatMillis(retryAfter)});
+}
+void Instance::fail(const Request& request) { reply("DROP_REQUEST", {request.id}); }
+void Instance::cancel(const Request& request, int attempt) {
+    reply("CANCEL", {request.id, std::to_string(attempt)});
 }
-void Instance::bounce(const Hit& hit, Nanos retryAfter) { say("REFUSE", {hit.id, millis(retryAfter)}); }
-void Instance::error(const Hit& hit) { say("DROP_REQUEST", {hit.id}); }
-void Instance::cancel(const Hit& hit, int shot) { say("CANCEL", {hit.id, std::to_string(shot)}); }
-void Instance::probe(const Pod& pod) { say("CHECK", {std::to_string(pod.id)}); }
-void Instance::tell(int peer, const std::string& bytes) {
-    say("PUBLISH", {peer < 0 ? "all" : std::to_string(peer), hex(bytes)});
+void Instance::probe(const Pod& pod) { reply("CHECK", {std::to_string(pod.id)}); }
+void Instance::sendToPeer(int peer, const std::string& bytes) {
+    reply("PUBLISH", {peer < 0 ? "all" : std::to_string(peer), formatHex(bytes)});
 }
 void Instance::vote(Verdict verdict, int build, int stage) {
-    say("OPINION", {std::to_string(static_cast<int>(verdict)), std::to_string(build), std::to_string(stage)});
+    const auto code = std::to_string(static_cast<int>(verdict));
+    reply("OPINION", {code, std::to_string(build), std::to_string(stage)});
 }
-void Instance::wake(Nanos after) { say("WAKE_AT", {millis(after), "tick"}); }
-void Instance::listen() { say("LISTEN", {"1"}); }
+void Instance::scheduleTimer(Nanos delay) { reply("WAKE_AT", {formatMillis(delay), "tick"}); }
+void Instance::watchEndpoints() { reply("LISTEN", {"1"}); }
 
-}  // namespace lichenlanding::wire
+}  // namespace lichenlanding::adapter
--- a/src/adapter/instance.hpp
+++ b/src/adapter/instance.hpp
@@ -1,4 +1,4 @@
-// One sidecar behind the wire: it holds the ids, turns lines into calls and calls on the Door into lines.
+// One sidecar's policy behind the simulator's wire.
 #pragma once
 
 #include <memory>
@@ -8,43 +8,56 @@
 #include "adapter/wire.hpp"
 #include "policy/policy_engine.hpp"
 
-namespace lichenlanding::wire {
+namespace lichenlanding::adapter {
 
-class Instance final : private Door {
+/// Turns lines into events of a PolicyEngine, and its effects into lines. Owns the requests and pods that the
+/// lines name by id.
+class Instance final : private PolicyHost {
   public:
-    Instance(std::int64_t number, const Settings& settings, std::uint64_t seed, Nanos now, std::string& out);
+    /// Replies are appended to `output`, which must outlive the instance.
+    Instance(std::int64_t number, const Settings& settings, std::uint64_t seed, Nanos now,
+             std::string& output);
 
-    void read(Line& line, Nanos now, const std::vector<Row>* ledgers);
+    /// Handles one event line. `ledgers`: the 16 endpoint ledgers that lines refer to by slot. Throws
+    /// ParseError.
+    void handle(LineReader& line, Nanos now, const std::vector<EndpointRow>* ledgers);
 
   private:
-    void forward(const Forward& sent, Nanos timeout) override;
-    void bounce(const Hit& hit, Nanos retryAfter) override;
-    void error(const Hit& hit) override;
-    void cancel(const Hit& hit, int shot) override;
+    void forward(const Attempt& attempt, Nanos timeout) override;
+    void reject(const Request& request, Nanos retryAfter) override;
+    void fail(const Request& request) override;
+    void cancel(const Request& request, int attempt) override;
     void probe(const Pod& pod) override;
-    void tell(int peer, const std::string& bytes) override;
+    void sendToPeer(int peer, const std::string& bytes) override;
     void vote(Verdict verdict, int build, int stage) override;
-    void wake(Nanos after) override;
-    void listen() override;
+    void scheduleTimer(Nanos delay) override;
+    void watchEndpoints() override;
 
-    void say(const char* name, std::initializer_list<std::string> values);
-    Hit* findHit(std::string_view id);
-    Forward* findForward(Hit* hit, std::int64_t shot);
+    void reply(const char* name, std::initializer_list<std::string> values);
+    Request* findRequest(std::string_view id);
+    Attempt* findAttempt(Request* request, std::int64_t index);
     Pod& pod(std::uint32_t id);
-    const PathGroup& group(Line& line, const char* field);
-    void letGo(Hit* hit);
-
-    void readList(Line& line, const std::vector<Row>* ledgers);
-    void readHit(Line& line);
-    void readOutcomeLine(Line& line);
-    void readNews(Line& line);
+    Pod& readPod(LineReader& line);
+    const PathGroup& readGroup(LineReader& line, const char* field);
+    void releaseIfOver(Request* request);
+
+    void handleNewRequest(LineReader& line);
+    void handleOutcome(LineReader& line);
+    void handleResponseHeaders(LineReader& line);
+    void handleDisconnect(LineReader& line);
+    void handleFlagged(LineReader& line);
+    void handleProbed(LineReader& line);
+    void handleSample(LineReader& line);
+    void handleEndpoints(LineReader& line, const std::vector<EndpointRow>* ledgers);
+    void handleRolloutUpdate(LineReader& line);
+    void handlePeerMessage(LineReader& line);
 
     std::string number_;
-    std::string& out_;
+    std::string& output_;
     Settings settings_;
-    std::unordered_map<std::string, std::unique_ptr<Hit>> hits_;  // looked up, never walked through
+    std::unordered_map<std::string, std::unique_ptr<Request>> requests_;  // never iterated
     std::unordered_map<std::uint32_t, std::unique_ptr<Pod>> pods_;
-    Balance balance_;
+    PolicyEngine policy_;
 };
 
-}  // namespace lichenlanding::wire
+}  // namespace lichenlanding::adapter
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,79 +1,97 @@
-// The adapter: batches of events on standard input, one reply of actions each on standard output. It hosts
-// any number of instances; they share nothing.
+// The adapter: batches of events on standard input, one reply of effects each on standard output. It hosts
+// any number of instances, which share nothing.
 #include <array>
 #include <cstdio>
 #include <iostream>
 #include <map>
 #include <memory>
+#include <optional>
 
 #include "adapter/instance.hpp"
 
 using namespace lichenlanding;
-using namespace lichenlanding::wire;
+using namespace lichenlanding::adapter;
 
 namespace {
 
-std::array<std::vector<Row>, 16> ledgers;
-std::map<std::int64_t, std::unique_ptr<Instance>> instances;
-std::string reply;
+class Adapter {
+  public:
+    /// Reads one batch and writes its reply; false at the end of the input. Throws ParseError.
+    bool handleBatch() {
+        const auto first = readFirstLine();
+        if (!first) return false;
+        LineReader header(*first);
+        if (header.messageName() != "ROUND")
+            throw ParseError("cannot read " + std::string(header.messageName()) + ": field ROUND");
+        const auto now = header.time("clockMs");
+        for (auto event = readLine(); event != "GO"; event = readLine()) {
+            LineReader line(event);
+            handleEvent(line, now);
+        }
+        output_ += "READY\n";
+        std::fwrite(output_.data(), 1, output_.size(), stdout);
+        std::fflush(stdout);
+        output_.clear();
+        return true;
+    }
 
-std::string nextLine() {
-    std::string text;
-    if (!std::getline(std::cin, text)) throw Unreadable("cannot read batch: field GO");
-    if (!text.empty() && text.back() == '\r') text.pop_back();
-    return text;
-}
+  private:
+    // Empty lines between batches are skipped.
+    static std::optional<std::string> readFirstLine() {
+        std::string text;
+        while (std::getline(std::cin, text))
+            if (!text.empty() && text != "\r") break;
+        if (!std::cin) return {};
+        if (text.back() == '\r') text.pop_back();
+        return text;
+    }
 
-void readLedger(Line& line) {
-    auto& ledger = ledgers[static_cast<std::size_t>(line.integer("slot", 0, 15))];
-    ledger.clear();
-    for (auto rows = line.integer("rows", 0, 1 << 24); rows > 0; --rows) {
-        const auto text = nextLine();
-        Line row(text);
-        if (row.name() != "ROW") line.fail("rows");
-        ledger.push_back(readRow(row));
+    static std::string readLine() {
+        std::string text;
+        if (!std::getline(std::cin, text)) throw ParseError("cannot read batch: field GO");
+        if (!text.empty() && text.back() == '\r') text.pop_back();
+        return text;
     }
-}
 
-void readEvent(Line& line, Nanos now) {
-    if (line.name() == "LEDGER") return readLedger(line);
-    const auto who = line.integer("who", 0, 1LL << 32);
-    try {
-        if (line.name() == "STOP") {
-            instances.erase(who);
-        } else if (line.name() == "HELLO") {
-            const auto seed = line.seed("nonce64");
-            instances.erase(who);
-            instances[who] =
-                std::make_unique<Instance>(who, readSettings(readPairs(line.rest())), seed, now, reply);
-        } else if (const auto found = instances.find(who); found != instances.end()) {
-            found->second->read(line, now, ledgers.data());
+    void handleLedger(LineReader& line) {
+        auto& ledger = ledgers_[static_cast<std::size_t>(line.integer("slot", 0, 15))];
+        ledger.clear();
+        for (auto rows = line.integer("rows", 0, 1 << 24); rows > 0; --rows) {
+            const auto text = readLine();
+            LineReader row(text);
+            if (row.messageName() != "ROW") line.fail("rows");
+            ledger.push_back(readEndpointRow(row));
         }
-    } catch (const Unreadable&) {
-        throw;
-    } catch (const std::exception& failure) {
-        instances.erase(who);
-        reply += "FATAL\t" + std::to_string(who) + "\t" + failure.what() + "\n";
     }
-}
 
-bool readBatch() {
-    std::string text;
-    while (std::getline(std::cin, text))
-        if (!text.empty() && text != "\r") break;
-    if (!std::cin) return false;
-    if (text.back() == '\r') text.pop_back();
-    Line round(text);
-    if (round.name() != "ROUND")
-        throw Unreadable("cannot read " + std::string(round.name()) + ": field ROUND");
-    const auto now = round.time("clockMs");
-    for (;;) {
-        const auto event = nextLine();
-        if (event == "GO") return true;
-        Line line(event);
-        readEvent(line, now);
+    void startInstance(std::int64_t number, LineReader& line, Nanos now) {
+        const auto seed = line.seed("nonce64");
+        instances_.erase(number);
+        const auto settings = readSettings(readNamedValues(line.rest()));
+        instances_[number] = std::make_unique<Instance>(number, settings, seed, now, output_);
     }
-}
+
+    // An exception other than a line that cannot be parsed ends its instance alone.
+    void handleEvent(LineReader& line, Nanos now) {
+        if (line.messageName() == "LEDGER") return handleLedger(line);
+        const auto number = line.integer("who", 0, 1LL << 32);
+        try {
+            if (line.messageName() == "STOP") instances_.erase(number);
+            else if (line.messageName() == "HELLO") startInstance(number, line, now);
+            else if (const auto found = instances_.find(number); found != instances_.end())
+                found->second->handle(line, now, ledgers_.data());
+        } catch (const ParseError&) {
+            throw;
+        } catch (const std::exception& failure) {
+            instances_.erase(number);
+            output_ += "FATAL\t" + std::to_string(number) + "\t" + failure.what() + "\n";
+        }
+    }
+
+    std::array<std::vector<EndpointRow>, 16> ledgers_;
+    std::map<std::int64_t, std::unique_ptr<Instance>> instances_;
+    std::string output_;
+};
 
 }  // namespace
 
@@ -81,12 +99,8 @@
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
     try {
-        while (readBatch()) {
-            reply += "READY\n";
-            std::fwrite(reply.data(), 1, reply.size(), stdout);
-            std::fflush(stdout);
-            reply.clear();
-        }
+        Adapter adapter;
+        while (adapter.handleBatch()) continue;
     } catch (const std::exception& failure) {
         std::cerr << "lichenlanding_adapter: " << failure.what() << '\n';
         return 1;
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -5,41 +5,55 @@
 
 #include "text.hpp"
 
-namespace lichenlanding::wire {
+namespace lichenlanding::adapter {
+namespace {
 
-Line::Line(std::string_view text) : parts_(split(text, '\t')) {
-    name_ = parts_[0];
+constexpr double kMaxMillis = 1e12;  // of a time on the wire
+constexpr std::string_view kAbsent = "-";
+
+Availability readAvailability(LineReader& line) {
+    const auto state = line.word("availability");
+    if (state == "U") return Availability::up;
+    if (state == "L") return Availability::draining;
+    if (state == "D") return Availability::removed;
+    line.fail("availability");
+}
+
+}  // namespace
+
+LineReader::LineReader(std::string_view text) : fields_(split(text, '\t')) {
+    messageName_ = fields_[0];
     next_ = 1;
 }
 
-void Line::fail(const char* field) const {
-    throw Unreadable("cannot read " + std::string(name_) + ": field " + field);
+void LineReader::fail(const char* field) const {
+    throw ParseError("cannot read " + std::string(messageName_) + ": field " + field);
 }
 
-std::string_view Line::word(const char* field) {
-    if (next_ >= parts_.size()) fail(field);
-    return parts_[next_++];
+std::string_view LineReader::word(const char* field) {
+    if (next_ >= fields_.size()) fail(field);
+    return fields_[next_++];
 }
 
-std::int64_t Line::integer(const char* field, std::int64_t least, std::int64_t most) {
+std::int64_t LineReader::integer(const char* field, std::int64_t least, std::int64_t most) {
     std::int64_t value = 0;
     if (!parse(word(field), value) || value < least || value > most) fail(field);
     return value;
 }
 
-double Line::number(const char* field) {
+double LineReader::number(const char* field) {
     double value = 0;
     if (!parse(word(field), value) || !std::isfinite(value)) fail(field);
     return value;
 }
 
-Nanos Line::time(const char* field) {
+Nanos LineReader::time(const char* field) {
     const auto ms = number(field);
-    if (std::abs(ms) > 1e12) fail(field);
+    if (std::abs(ms) > kMaxMillis) fail(field);
     return nanosOfMillis(ms);
 }
 
-std::uint64_t Line::seed(const char* field) {
+std::uint64_t LineReader::seed(const char* field) {
     const auto text = word(field);
     std::uint64_t value = 0;
     std::int64_t negative = 0;
@@ -48,96 +62,111 @@
     fail(field);
 }
 
-bool Line::truth(const char* field) { return integer(field, 0, 1) == 1; }
+bool LineReader::boolean(const char* field) { return integer(field, 0, 1) == 1; }
 
-std::string Line::bytes(const char* field) {
+std::string LineReader::bytes(const char* field) {
     const auto text = word(field);
     std::string bytes;
-    if (text == "-") return bytes;
+    if (text == kAbsent) return bytes;
     if (text.size() % 2) fail(field);
     for (std::size_t at = 0; at < text.size(); at += 2) {
         unsigned value = 0;
-        const auto read = std::from_chars(text.data() + at, text.data() + at + 2, value, 16);
-        if (read.ec != std::errc() || read.ptr != text.data() + at + 2) fail(field);
+        const auto* end = text.data() + at + 2;
+        const auto read = std::from_chars(text.data() + at, end, value, 16);
+        if (read.ec != std::errc() || read.ptr != end) fail(field);
         bytes.push_back(static_cast<char>(value));
     }
     return bytes;
 }
 
-double Line::report(const char* field, std::string_view value) {
+double LineReader::loadFigure(const char* field, std::string_view name) {
     const auto text = word(field);
-    if (text == "-" || text.empty()) return -1;
+    if (text == kAbsent || text.empty()) return -1;
     for (auto pair : split(text, ',')) {
         const auto colon = pair.find(':');
-        double read = 0;
-        if (colon == pair.npos || !parse(pair.substr(colon + 1), read) || !std::isfinite(read)) fail(field);
-        if (pair.substr(0, colon) == value) return read;
+        double value = 0;
+        if (colon == pair.npos || !parse(pair.substr(colon + 1), value) || !std::isfinite(value)) fail(field);
+        if (pair.substr(0, colon) == name) return value;
     }
     return -1;
 }
 
-std::vector<std::string_view> Line::rest() {
-    std::vector<std::string_view> rest(parts_.begin() + static_cast<std::ptrdiff_t>(next_), parts_.end());
-    next_ = parts_.size();
+std::vector<std::string_view> LineReader::rest() {
+    std::vector<std::string_view> rest(fields_.begin() + static_cast<std::ptrdiff_t>(next_), fields_.end());
+    next_ = fields_.size();
     return rest;
 }
 
-Row readRow(Line& line) {
-    Row row;
+bool LineReader::skipAbsent() {
+    if (next_ >= fields_.size() || fields_[next_] != kAbsent) return false;
+    ++next_;
+    return true;
+}
+
+std::int64_t LineReader::integerOr(std::int64_t otherwise, const char* field, std::int64_t least,
+                                   std::int64_t most) {
+    return skipAbsent() ? otherwise : integer(field, least, most);
+}
+
+double LineReader::numberOr(double otherwise, const char* field) {
+    return skipAbsent() ? otherwise : number(field);
+}
+
+Nanos LineReader::timeOr(Nanos otherwise, const char* field) {
+    return skipAbsent() ? otherwise : time(field);
+}
+
+std::string_view LineReader::wordOr(std::string_view otherwise, const char* field) {
+    return skipAbsent() ? otherwise : word(field);
+}
+
+EndpointRow readEndpointRow(LineReader& line) {
+    EndpointRow row;
     row.build = static_cast<int>(line.number("ver"));
     row.pod = static_cast<std::uint32_t>(line.integer("pod", 0, 0xffffffffLL));
     row.zone = line.word("regionPart");
     line.word("machine");
-    if (line.absent()) line.word("cluster");
-    else row.cell = static_cast<int>(line.integer("cluster", -1, 1 << 30));
-    const auto state = line.word("availability");
-    if (state == "U") row.availability = Availability::up;
-    else if (state == "L") row.availability = Availability::draining;
-    else if (state == "D") row.availability = Availability::gone;
-    else line.fail("availability");
-    if (line.absent()) line.word("nominal");
-    else line.number("nominal");
-    if (line.absent()) {
-        line.word("launchedMs");
-    } else if (const auto started = line.time("launchedMs"); started != 0) {
-        row.started = started;
-    }
+    row.cell = static_cast<int>(line.integerOr(row.cell, "cluster", -1, 1 << 30));
+    row.availability = readAvailability(line);
+    line.numberOr(0, "nominal");
+    // 0 stands for a start that is not known, as an absent field does.
+    if (const auto startedAt = line.timeOr(0, "launchedMs"); startedAt != 0) row.startedAt = startedAt;
     return row;
 }
 
-Outcome readOutcome(Line& line, const char* field) {
+Outcome readOutcome(LineReader& line, const char* field) {
     static const std::map<std::string_view, Outcome> words = {
-        {"completed", Outcome::delivered},    {"errored", Outcome::errored},
-        {"saturated", Outcome::saturated},    {"overdue", Outcome::overdue},
-        {"refused_conn", Outcome::unreached}, {"severed", Outcome::severed},
-        {"recalled", Outcome::recalled},      {"superseded", Outcome::superseded}};
+        {"completed", Outcome::succeeded},      {"errored", Outcome::failed},
+        {"saturated", Outcome::rejected},       {"overdue", Outcome::timedOut},
+        {"refused_conn", Outcome::unreachable}, {"severed", Outcome::connectionLost},
+        {"recalled", Outcome::cancelled},       {"superseded", Outcome::superseded}};
     const auto found = words.find(line.word(field));
     if (found == words.end()) line.fail(field);
     return found->second;
 }
 
-NamedValues readPairs(const std::vector<std::string_view>& pairs) {
+NamedValues readNamedValues(const std::vector<std::string_view>& fields) {
     NamedValues values;
-    for (auto pair : pairs)
-        if (const auto equals = pair.find('='); equals != pair.npos)
-            values.emplace(pair.substr(0, equals), pair.substr(equals + 1));
+    for (auto field : fields)
+        if (const auto equals = field.find('='); equals != field.npos)
+            values.emplace(field.substr(0, equals), field.substr(equals + 1));
     return values;
 }
 
-std::string hex(std::string_view bytes) {
+std::string formatHex(std::string_view bytes) {
     static const char digits[] = "0123456789abcdef";
     std::string text;
     for (auto byte : bytes) {
         text.push_back(digits[static_cast<unsigned char>(byte) >> 4]);
         text.push_back(digits[static_cast<unsigned char>(byte) & 15]);
     }
-    return text.empty() ? "-" : text;
+    return text.empty() ? std::string(kAbsent) : text;
 }
 
-std::string millis(Nanos span) {
+std::string formatMillis(Nanos span) {
     char text[40];
     std::snprintf(text, sizeof text, "%.3f", static_cast<double>(span) / 1e6);
     return text;
 }
 
-}  // namespace lichenlanding::wire
+}  // namespace lichenlanding::adapter
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -1,6 +1,7 @@
-// Lines of the wire: cutting them up and reading values, and the pairs of a HELLO.
+// Lines of the simulator's wire: fields separated by tabs, read in order, and the formats of replies.
 #pragma once
 
+#include <limits>
 #include <stdexcept>
 #include <string>
 #include <string_view>
@@ -8,51 +9,70 @@
 
 #include "settings.hpp"
 
-namespace lichenlanding::wire {
+namespace lichenlanding::adapter {
 
-// A line that cannot be read; what() names the message and the field.
-struct Unreadable : std::runtime_error {
+/// A line that cannot be parsed; what() names the message and the field.
+struct ParseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The parts of one line, read in order, each under the name it has on the wire page.
-class Line {
+/// A cursor over the fields of one line. Every reader takes the next field and throws ParseError, naming
+/// `field`, if there is none or it is not in the format or range.
+class LineReader {
   public:
-    explicit Line(std::string_view text);
+    /// `text` must outlive the reader.
+    explicit LineReader(std::string_view text);
 
-    std::string_view name() const { return name_; }
+    std::string_view messageName() const { return messageName_; }
     std::string_view word(const char* field);
-    bool absent() const { return parts_.size() > next_ && parts_[next_] == "-"; }
     std::int64_t integer(const char* field, std::int64_t least, std::int64_t most);
     double number(const char* field);
-    Nanos time(const char* field);  // milliseconds on the wire
+    /// Milliseconds on the wire.
+    Nanos time(const char* field);
     std::uint64_t seed(const char* field);
-    bool truth(const char* field);
-    double report(const char* field, std::string_view value);  // of a load report; below 0 if not in it
-    std::string bytes(const char* field);                      // hex digits
+    bool boolean(const char* field);  ///< 0 or 1
+    /// The figure `name` of a load report ("name:1,other:2"); below 0 if the report has none.
+    double loadFigure(const char* field, std::string_view name);
+    /// Hexadecimal digits, or "-" for none.
+    std::string bytes(const char* field);
+    /// All fields that are left.
     std::vector<std::string_view> rest();
+
+    /// Fields that may be absent, which is a "-": `otherwise` is returned then.
+    std::int64_t integerOr(std::int64_t otherwise, const char* field, std::int64_t least, std::int64_t most);
+    double numberOr(double otherwise, const char* field);
+    Nanos timeOr(Nanos otherwise, const char* field);
+    std::string_view wordOr(std::string_view otherwise, const char* field);
+
     [[noreturn]] void fail(const char* field) const;
 
   private:
-    std::string_view name_;
-    std::vector<std::string_view> parts_;
+    bool skipAbsent();
+
+    std::string_view messageName_;
+    std::vector<std::string_view> fields_;
     std::size_t next_ = 0;
 };
 
-struct Row {
+/// One row of an endpoint ledger.
+struct EndpointRow {
     int build = 0;
     std::uint32_t pod = 0;
     std::string zone;
     int cell = -1;
     Availability availability = Availability::up;
-    Nanos started = std::numeric_limits<Nanos>::min() / 4;
+    Nanos startedAt = std::numeric_limits<Nanos>::min() / 4;
 };
 
-Row readRow(Line& line);
-Outcome readOutcome(Line& line, const char* field);
-NamedValues readPairs(const std::vector<std::string_view>& pairs);
+/// Throws ParseError, as readOutcome() does.
+EndpointRow readEndpointRow(LineReader& line);
+Outcome readOutcome(LineReader& line, const char* field);
+/// From "name=value" fields; others are skipped.
+NamedValues readNamedValues(const std::vector<std::string_view>& fields);
 
-std::string hex(std::string_view bytes);
-std::string millis(Nanos span);
+/// Hexadecimal digits; "-" for none.
+std::string formatHex(std::string_view bytes);
+/// Milliseconds with three decimals.
+std::string formatMillis(Nanos span);
 
-}  // namespace lichenlanding::wire
+}  // namespace lichenlanding::adapter
--- a/src/command/metadata_client.cpp
+++ b/src/command/metadata_client.cpp
@@ -19,9 +19,9 @@
     std::size_t atMost = 1u << 30;
 };
 
-std::vector<net::Url> urlsOf(const std::vector<std::string>& texts) {
-    std::vector<net::Url> urls;
-    for (const auto& text : texts) urls.push_back(net::readUrl(text));
+std::vector<sidecar::Url> urlsOf(const std::vector<std::string>& texts) {
+    std::vector<sidecar::Url> urls;
+    for (const auto& text : texts) urls.push_back(sidecar::parseUrl(text));
     return urls;
 }
 
@@ -45,7 +45,7 @@
         const auto shipped = readFile(asked_.root);
         const auto set = TrustedSet::start(shipped, now_);
         if (!set) return refuse(set.refusal());
-        auto store = net::TrustStore::open(asked_.folder);
+        auto store = sidecar::TrustStore::open(asked_.folder);
         if (!store) return refuse(store.refusal());
         if (const auto kept = (*store)->read("root.json"))
             if (const auto before = TrustedSet::start(*kept, now_);
@@ -81,16 +81,17 @@
 
     int update(const std::string& target) {
         if (bases_.empty()) throw CLI::RequiredError("--metadata-url");
-        auto store = net::TrustStore::open(asked_.folder);
+        auto store = sidecar::TrustStore::open(asked_.folder);
         if (!store) return refuse(store.refusal());
         std::string said;
         auto set = (*store)->start({}, now_, said);
         if (!set) return refuse(set.refusal());
         Update update(std::move(*set), **store);
         if (!target.empty()) update.lookFor(target);
-        net::FetchCounts counts;
-        net::Refresh refresh(loop_, mirrors_, bases_, **store, std::move(update), patience_, counts, nullptr,
-                             [this](net::Refresh&) { loop_.stop(); });
+        sidecar::FetchCounts counts;
+        sidecar::MetadataRefresh refresh(loop_, mirrors_, bases_, **store, std::move(update), patience_,
+                                         counts, nullptr,
+                                         [this](sidecar::MetadataRefresh&) { loop_.stop(); });
         refresh.start();
         loop_.run();
         if (const auto refusal = refresh.refusal()) return refuse(*refusal);
@@ -105,7 +106,7 @@
         return take(*found, refresh.update().consistent(), counts);
     }
 
-    int take(const Found& found, bool consistent, net::FetchCounts& counts) {
+    int take(const Found& found, bool consistent, sidecar::FetchCounts& counts) {
         // Its name as one file's name; what is too long for one goes by its hash.
         auto name = percentEncoded(found.path);
         if (name.size() > 200 || name == "." || name == "..") name = digest("sha256", found.path);
@@ -114,7 +115,7 @@
             say(path + " is there already");
             return success;
         }
-        net::Download download(loop_, targetMirrors_, targetBases_, patience_, counts);
+        sidecar::TargetDownload download(loop_, targetMirrors_, targetBases_, patience_, counts);
         std::optional<Result<std::string>> got;
         download.start(found, consistent, asked_.atMost, [&](Result<std::string> result) {
             got = std::move(result);
@@ -130,8 +131,8 @@
 
     const Asked& asked_;
     UnixSeconds now_;
-    std::vector<net::Url> bases_, targetBases_;
-    net::Loop loop_;
+    std::vector<sidecar::Url> bases_, targetBases_;
+    sidecar::EventLoop loop_;
     Mirrors mirrors_, targetMirrors_;
     Patience patience_;
 };
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -8,17 +8,17 @@
 namespace lichenlanding::command {
 
 int serve(const std::string& metadata) {
-    using namespace net;
+    using namespace sidecar;
     const auto trust = metadata.empty() ? std::nullopt : std::optional(readTrustConfig(metadata));
     Sidecar sidecar(configFromEnvironment(), trust);
     const auto on = [&](int signal, std::function<void()> call) {
-        return std::make_unique<Watch>(sidecar.loop(), signal, Watch::signal, std::move(call));
+        return std::make_unique<EventWatch>(sidecar.loop(), signal, EventWatch::kSignal, std::move(call));
     };
     const auto terminate = on(SIGTERM, [&] { sidecar.stop(); });
     const auto interrupt = on(SIGINT, [&] { sidecar.stop(); });
     const auto hangup = on(SIGHUP, [&] {
-        if (const auto config = configAgain()) sidecar.reload(*config);
-        if (const auto again = metadata.empty() ? std::nullopt : trustConfigAgain(metadata))
+        if (const auto config = reloadConfig()) sidecar.reload(*config);
+        if (const auto again = metadata.empty() ? std::nullopt : reloadTrustConfig(metadata))
             sidecar.reload(*again);
     });
     sidecar.run();
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -3,9 +3,10 @@
 namespace lichenlanding {
 namespace {
 
-constexpr unsigned char version = 4;
-constexpr std::uint32_t builds = 65536;  // numbers of builds are below
+constexpr unsigned char kWireVersion = 4;
+constexpr std::uint32_t kBuildNumberLimit = 65536;  // build numbers are below it
 
+// Varints: seven bits a byte, the lowest first; the high bit says that more follow.
 void put(std::string& to, std::uint32_t value) {
     while (value >= 0x80) {
         to.push_back(static_cast<char>(value | 0x80));
@@ -14,18 +15,23 @@
     to.push_back(static_cast<char>(value));
 }
 
-// Most counts of a quiet sidecar are 0: a bit for each tells which follow.
 template <typename Tally, typename Each>
-void visit(Tally& tally, const Each& each) {
+void visitCounts(Tally& tally, const Each& each) {
     for (auto& count : tally.bins) each(count);
-    each(tally.errored), each(tally.flagged), each(tally.unranked);
+    each(tally.errored);
+    each(tally.flagged);
+    each(tally.unranked);
 }
 
 void put(std::string& to, const Tally& tally) {
+    // Most counts are 0 under little traffic: a bit for each says whether it follows.
     std::uint32_t present = 0, bit = 1;
-    visit(tally, [&](auto count) { present |= count ? bit : 0, bit <<= 1; });
+    visitCounts(tally, [&](auto count) {
+        if (count) present |= bit;
+        bit <<= 1;
+    });
     put(to, present);
-    visit(tally, [&](auto count) {
+    visitCounts(tally, [&](auto count) {
         if (count) put(to, count);
     });
 }
@@ -53,14 +59,17 @@
     Tally tally() {
         Tally read;
         std::uint32_t present = number();
-        visit(read, [&](auto& count) { count = (present & 1) ? number() : 0, present >>= 1; });
+        visitCounts(read, [&](auto& count) {
+            count = (present & 1) ? number() : 0;
+            present >>= 1;
+        });
         if (present) good = false;
         return read;
     }
 };
 
-std::string head(const Message& message) {
-    std::string bytes{static_cast<char>(version), static_cast<char>(message.kind)};
+std::string encodeHeader(const Message& message) {
+    std::string bytes{static_cast<char>(kWireVersion), static_cast<char>(message.kind)};
     put(bytes, message.epoch);
     put(bytes, message.seq);
     put(bytes, message.build);
@@ -71,7 +80,7 @@
 }  // namespace
 
 std::string encode(const Message& message) {
-    std::string bytes = head(message);
+    std::string bytes = encodeHeader(message);
     for (const auto& tallies : message.groups)
         for (const auto& tally : tallies) put(bytes, tally);
     return bytes;
@@ -83,13 +92,13 @@
     for (std::size_t group = 0; group < groups.size(); ++group) {
         std::string one;
         for (const auto& tally : groups[group]) put(one, tally);
-        if (!bytes.empty() && bytes.size() + one.size() > maxMessage) {
+        if (!bytes.empty() && bytes.size() + one.size() > kMaxMessageBytes) {
             all.push_back(std::move(bytes));
             bytes.clear();
         }
         if (bytes.empty()) {
             message.firstGroup = static_cast<std::uint32_t>(group);
-            bytes = head(message);
+            bytes = encodeHeader(message);
         }
         bytes += one;
     }
@@ -101,10 +110,12 @@
     std::vector<std::string> all;
     for (const auto& pod : pods) {
         std::string one;
-        put(one, pod.id), put(one, pod.tries), put(one, pod.slowness);
-        if (all.empty() || all.back().size() + one.size() > maxMessage) {
+        put(one, pod.id);
+        put(one, pod.attempts);
+        put(one, pod.slowness);
+        if (all.empty() || all.back().size() + one.size() > kMaxMessageBytes) {
             message.seq = ++seq;
-            all.push_back(head(message));
+            all.push_back(encodeHeader(message));
         }
         all.back() += one;
     }
@@ -112,8 +123,8 @@
 }
 
 std::optional<Message> decode(const std::string& bytes) {
-    if (bytes.size() < 2 || bytes.size() > maxMessage) return {};
-    if (static_cast<unsigned char>(bytes[0]) != version) return {};
+    if (bytes.size() < 2 || bytes.size() > kMaxMessageBytes) return {};
+    if (static_cast<unsigned char>(bytes[0]) != kWireVersion) return {};
     Message message;
     if (bytes[1] < 1 || bytes[1] > 4) return {};
     message.kind = static_cast<Message::Kind>(bytes[1]);
@@ -121,7 +132,7 @@
     message.epoch = reader.number();
     message.seq = reader.number();
     message.build = reader.number();
-    if (message.build >= builds) return {};
+    if (message.build >= kBuildNumberLimit) return {};
     const auto last = reader.number();
     if (message.kind == Message::Kind::verdict) {
         message.verdict = last;
@@ -129,7 +140,9 @@
     } else if (message.kind != Message::Kind::counts) {
         while (reader.good && reader.at < bytes.size()) {
             PodNote note;
-            note.id = reader.number(), note.tries = reader.number(), note.slowness = reader.number();
+            note.id = reader.number();
+            note.attempts = reader.number();
+            note.slowness = reader.number();
             message.pods.push_back(note);
         }
     } else {
--- a/src/policy/gossip.hpp
+++ b/src/policy/gossip.hpp
@@ -1,4 +1,4 @@
-// The messages between sidecars, at most 256 bytes each. Encoding only: nothing here decides.
+// The encoding of messages between sidecars.
 #pragma once
 
 #include <array>
@@ -9,47 +9,47 @@
 
 namespace lichenlanding {
 
-constexpr std::size_t maxMessage = 256;
-constexpr int latencyBins = 10;
+constexpr std::size_t kMaxMessageBytes = 256;
+constexpr int kLatencyBins = 10;
 
-// Outcomes of one path group at one build, counted since the build on trial was first seen.
+/// Outcomes of one path group at one side, counted since the build on trial was first seen.
 struct Tally {
-    std::array<std::uint32_t, latencyBins>
-        bins{};                              // the last one holds errors, time-outs and flagged answers
-    std::uint32_t errored = 0, flagged = 0;  // of those in the last bin, outright errors and flagged ones
-    std::uint32_t unranked = 0;  // in no bin: of the new build, outcomes of pods still warming; of
-    // the earlier ones, hits bounced for want of room
+    std::array<std::uint32_t, kLatencyBins> bins{};  ///< the last: errors, time-outs, flagged responses
+    std::uint32_t errored = 0, flagged = 0;          ///< of those in the last bin
+    /// In no bin: of the new build, outcomes of warming pods; of the earlier ones, requests shed.
+    std::uint32_t unranked = 0;
 };
 
-// Of the build on trial, of the earlier builds meanwhile, and of all builds before it was first seen.
+/// The sides: the build on trial, the earlier builds since it was seen, and all builds before it was seen.
 using Tallies = std::array<Tally, 3>;
 
-// What was seen of one pod: to the voters, outcomes and their slowness; from them, how it compares.
+/// What was seen of one pod. To the voters: attempts and the sum of their slowness. From them: how its
+/// slowness compares to the mean. Slowness is in units of 1/64.
 struct PodNote {
-    std::uint32_t id = 0, tries = 0, slowness = 0;
+    std::uint32_t id = 0, attempts = 0, slowness = 0;
 };
 
 struct Message {
     enum class Kind : std::uint8_t { counts = 1, verdict = 2, pods = 3, view = 4 };
     Kind kind = Kind::counts;
-    std::uint32_t epoch = 0;  // drawn at each start of the sender
-    std::uint32_t seq = 0;    // rises by one with each sending
+    std::uint32_t epoch = 0;  ///< drawn at each start of the sender
+    std::uint32_t seq = 0;    ///< rises by one with each message
     std::uint32_t build = 0;
-    std::uint32_t verdict = 0;
-    std::uint32_t firstGroup = 0;
+    std::uint32_t verdict = 0;     ///< of kind `verdict`
+    std::uint32_t firstGroup = 0;  ///< of kind `counts`: the path group of groups[0]
     std::vector<Tallies> groups;
     std::vector<PodNote> pods;
 };
 
 std::string encode(const Message& message);
 
-// As many messages as the path groups need, each within the limit.
-std::vector<std::string> encodeCounts(Message head, const std::vector<Tallies>& groups);
+/// As many messages as the path groups need, each of at most kMaxMessageBytes.
+std::vector<std::string> encodeCounts(Message header, const std::vector<Tallies>& groups);
 
-// The same for what was seen of pods; each message takes the next seq.
-std::vector<std::string> encodePods(Message head, const std::vector<PodNote>& pods, std::uint32_t& seq);
+/// The same for notes on pods; each message takes the next `seq`.
+std::vector<std::string> encodePods(Message header, const std::vector<PodNote>& pods, std::uint32_t& seq);
 
-// Nothing if the bytes are malformed, cut short or of an unknown version.
+/// Nothing if the bytes are malformed, cut short or of an unknown version.
 std::optional<Message> decode(const std::string& bytes);
 
 }  // namespace lichenlanding
--- a/src/policy/policy_engine.hpp
+++ b/src/policy/policy_engine.hpp
@@ -1,7 +1,5 @@
-// The interface of the decisions. Whoever hosts a sidecar makes one Balance, tells it of everything that
-// happens by one call each, in order, and lets it speak through a Door. The host owns Hits and Pods, which
-// keep their place in memory: a Hit until it has ended and none of its forwards is out, a Pod as long as the
-// Balance lives. The clock is set by at() before the calls of a moment.
+// The interface of the policy: PolicyEngine takes events, PolicyHost carries out effects. Two hosts implement
+// it, the sidecar on real sockets (src/sidecar) and the simulator's adapter (src/adapter).
 #pragma once
 
 #include <memory>
@@ -12,43 +10,73 @@
 
 namespace lichenlanding {
 
-class Door {
+/// The effects that a policy asks for. They are called from within a PolicyEngine's event calls, on the same
+/// thread; an implementation must not call the engine back before that call has returned.
+class PolicyHost {
   public:
-    virtual ~Door() = default;
-    virtual void forward(const Forward& sent, Nanos timeout) = 0;  // the newest of its hit
-    virtual void bounce(const Hit& hit, Nanos retryAfter) = 0;     // 0: no advice
-    virtual void error(const Hit& hit) = 0;
-    virtual void cancel(const Hit& hit, int shot) = 0;
+    virtual ~PolicyHost() = default;
+    /// Sends the newest attempt of its request; it times out after `timeout` nanoseconds.
+    virtual void forward(const Attempt& attempt, Nanos timeout) = 0;
+    /// Answers that the request may be retried without harm, after `retryAfter` nanoseconds (0: no advice).
+    virtual void reject(const Request& request, Nanos retryAfter) = 0;
+    /// Answers with an error, which promises nothing.
+    virtual void fail(const Request& request) = 0;
+    /// Gives up an attempt in flight; `attempt` is its index in Request::attempts.
+    virtual void cancel(const Request& request, int attempt) = 0;
+    /// Asks a pod for its load report.
     virtual void probe(const Pod& pod) = 0;
-    virtual void tell(int peer, const std::string& bytes) = 0;
+    /// Sends at most kMaxMessageBytes to one peer, by index, or to all of them if `peer` is below 0.
+    virtual void sendToPeer(int peer, const std::string& bytes) = 0;
+    /// Sends a vote to the platform, which answers by PolicyEngine::onRolloutUpdate.
     virtual void vote(Verdict verdict, int build, int stage) = 0;
-    virtual void wake(Nanos after) = 0;
-    virtual void listen() = 0;  // ask for the list and its changes, where it does not come by itself
+    /// Asks for PolicyEngine::onTimer after `delay` nanoseconds; replaces an earlier timer.
+    virtual void scheduleTimer(Nanos delay) = 0;
+    /// Asks for the endpoint list and its changes, where they do not come by themselves.
+    virtual void watchEndpoints() = 0;
 };
 
-class Balance {
+/// The policy of one sidecar. The host reports every event by one call, in order, after setTime(). It owns
+/// Requests and Pods, whose addresses must stay: a Request's until it has ended and no attempt is in flight,
+/// a Pod's as long as the engine lives. Not thread-safe. No call throws for what comes from outside.
+class PolicyEngine {
   public:
-    Balance(const Settings& settings, std::uint64_t seed, Door& door);
-    ~Balance();
-
-    void at(Nanos now);
-    void listed(bool whole, std::span<const Listing> lines);
-    void listFailed();
-    void hit(Hit& hit);
-    void head(Forward& forward);  // a streamed answer has begun
-    void outcome(Forward& forward, Outcome outcome, Nanos took, bool closed);
-    void hangup(Hit& hit);
-    void report(Pod& pod, double holds);  // the hits that the pod says it holds
-    void flagged(Pod& pod, Nanos age, const PathGroup& group);
-    void heard(int peer, const std::string& bytes);
-    void news(int build, int stage, Standing standing, bool answer, Outcome answered, double cap, Nanos age);
-    // What signed metadata say of a build; asked for where settings need it.
-    void attested(int build, Attestation attestation);
-    void woke();
+    /// `seed` fixes all random choices: equal seeds and events give equal effects.
+    PolicyEngine(const Settings& settings, std::uint64_t seed, PolicyHost& host);
+    ~PolicyEngine();
+
+    /// The time of the events that follow: monotonic nanoseconds, never going back.
+    void setTime(Nanos now);
+    /// Endpoints listed or changed. `complete`: pods that are not among them are removed.
+    void onEndpoints(bool complete, std::span<const EndpointUpdate> updates);
+    /// watchEndpoints() failed; it is asked for again where endpoints are pulled.
+    void onEndpointsUnavailable();
+    /// A new request. It is forwarded or answered before the call returns.
+    void onRequest(Request& request);
+    /// A streamed response has begun: the request's deadline no longer applies.
+    void onResponseHeaders(Attempt& attempt);
+    /// The end of an attempt, `latency` nanoseconds after it was sent. `clientDone`: the client has its
+    /// answer or has left.
+    void onOutcome(Attempt& attempt, Outcome outcome, Nanos latency, bool clientDone);
+    /// The client has left; nothing is answered any more.
+    void onClientDisconnect(Request& request);
+    /// The requests in flight that a pod reports by itself.
+    void onLoadReport(Pod& pod, double inFlight);
+    /// A response given `age` nanoseconds ago was found to be wrong.
+    void onFlaggedResponse(Pod& pod, Nanos age, const PathGroup& group);
+    /// Bytes from another sidecar; what cannot be decoded is dropped.
+    void onPeerMessage(int peer, const std::string& bytes);
+    /// The state of a rollout, `age` nanoseconds old. `answer`: it answers the last vote, whose outcome is
+    /// `answered`. `cap`: the share of requests that builds on trial may get.
+    void onRolloutUpdate(int build, int stage, RolloutState state, bool answer, Outcome answered, double cap,
+                         Nanos age);
+    /// What signed metadata say of a build; needed only with Settings::attestationRequired.
+    void onAttestation(int build, Attestation attestation);
+    /// The timer of scheduleTimer() has fired. The first call starts the engine.
+    void onTimer();
 
   private:
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace lichenlanding
--- a/src/policy/rules.hpp
+++ b/src/policy/rules.hpp
@@ -1,97 +1,98 @@
-// The five rules: every forward asks lawful() (routing.hpp), every answer mayBounce().
+// The five rules: every attempt must be permitted(), every rejection mayReject().
 #pragma once
 
 #include "policy/policy_state.hpp"
 
 namespace lichenlanding::policy {
 
-struct Rules : State {
-    using State::State;
+struct Rules : PolicyState {
+    using PolicyState::PolicyState;
 
     bool onTrial(const Build& build) const {
-        return build.number > told.build ||
-               (build.number == told.build && told.standing != Standing::released);
+        return build.number > rollout.build ||
+               (build.number == rollout.build && rollout.state != RolloutState::released);
+    }
+    bool timed() const { return settings.voteMode == VoteMode::timed; }
+    bool rollingBack() const {
+        return rollout.state == RolloutState::rollingBack || rollout.state == RolloutState::rolledBack;
     }
 
-    bool vouchedFor(const Build& build) const {
-        return !attestationNeeded || build.attestation == Attestation::valid;
+    bool attested(const Build& build) const {
+        return !settings.attestationRequired || build.attestation == Attestation::valid;
     }
 
-    // A build that the news does not name yet counts as in the first stage, and so does one that no valid
-    // metadata vouch for, whatever stage it was brought to.
+    // A build that is not announced yet, or lacks a required attestation, has the cap of the first stage.
     double cap(const Build& build) const {
-        if (build.number != told.build) return firstCap;
-        return vouchedFor(build) ? told.cap : std::min(told.cap, firstCap);
+        if (build.number != rollout.build) return firstStageCap;
+        return attested(build) ? rollout.cap : std::min(rollout.cap, firstStageCap);
     }
 
     double& allowance(Build& build, const PathGroup& group) const {
-        return build.allowance[perGroup ? static_cast<std::size_t>(group.index) : 0];
+        return build.allowance[settings.perGroup ? static_cast<std::size_t>(group.index) : 0];
     }
 
-    // No effect twice: what may have run goes again only where its path group drops or stands repeats.
-    bool effectOnce(const Hit& hit, const Pod& pod) const {
-        for (const auto& earlier : hit.forwards) {
-            if (earlier.out) return false;  // never two at once
-            if (!earlier.mayHaveRun || hit.group->effect == Effect::repeatable) continue;
-            if (hit.group->effect == Effect::mutating || now >= earlier.sent + hit.group->window)
+    // No effect twice: what may have run is retried only where its path group deduplicates or is idempotent.
+    bool executesOnce(const Request& request, const Pod& pod) const {
+        const auto& group = *request.group;
+        for (const auto& earlier : request.attempts) {
+            if (earlier.inFlight) return false;  // never two at once
+            if (!earlier.mayHaveRun || group.effect == Effect::idempotent) continue;
+            if (group.effect == Effect::nonIdempotent || now >= earlier.sentAt + group.dedupWindow)
                 return false;
-            if (hit.group->reach == Reach::zone && pod.zone != earlier.zone) return false;
-            if (hit.group->reach == Reach::cell && pod.cell != earlier.cell) return false;
+            if (group.dedupScope == DedupScope::zone && pod.zone != earlier.zone) return false;
+            if (group.dedupScope == DedupScope::cell && pod.cell != earlier.cell) return false;
         }
         return true;
     }
 
-    static bool drainKept(const Pod& pod) { return pod.availability == Availability::up; }
-    bool cold(const Pod& pod) const { return now - pod.started < coldTime; }
+    static bool acceptsTraffic(const Pod& pod) { return pod.availability == Availability::up; }
+    bool warmingUp(const Pod& pod) const { return now - pod.startedAt < settings.slowStartTime; }
 
-    // A bounce promises that trying again is harmless.
-    bool mayBounce(const Hit& hit) const {
-        if (hit.group->effect == Effect::repeatable) return true;
-        if (hit.group->effect == Effect::tagged && hit.group->reach == Reach::all) return true;
-        return std::none_of(hit.forwards.begin(), hit.forwards.end(),
-                            [](auto& sent) { return sent.mayHaveRun; });
+    // A rejection promises that a retry is harmless.
+    bool mayReject(const Request& request) const {
+        const auto& group = *request.group;
+        if (group.effect == Effect::idempotent) return true;
+        if (group.effect == Effect::deduplicated && group.dedupScope == DedupScope::all) return true;
+        return std::none_of(request.attempts.begin(), request.attempts.end(),
+                            [](auto& attempt) { return attempt.mayHaveRun; });
     }
 
-    // The least that a pod of this age can do, as a share of a warm one.
-    double warmth(const Pod& pod) const {
-        if (!cold(pod)) return 1;
-        return coldFrom + (1 - coldFrom) * std::max<Nanos>(now - pod.started, 0) / coldTime;
+    // Slow start: the least capacity of a pod of this age, as a share of a warm one's.
+    double warmUpShare(const Pod& pod) const {
+        if (!warmingUp(pod)) return 1;
+        const auto age = std::max<Nanos>(now - pod.startedAt, 0);
+        return settings.slowStartFloor + (1 - settings.slowStartFloor) * age / settings.slowStartTime;
     }
 
-    double weight(const Hit& hit) const {
-        return hit.work > 0 ? static_cast<double>(hit.work) : typicalWork > 0 ? typicalWork : 1.0;
+    double costOf(const Request& request) const {
+        return request.cost > 0 ? static_cast<double>(request.cost) : typicalCost > 0 ? typicalCost : 1.0;
     }
 
-    // A cold pod may get its part of what this sidecar has lately had delivered by a warm pod, times less
-    // than the multiple that the rule allows, and no burst: what each keeps to of its own, all keep to of the
-    // whole. Work sent would grow with the jam. A quiet sidecar's part is less than a hit: each starts up to
-    // one in debt, by chance, so that hundreds of them add up to their part.
-    double coldRoom(Pod& pod) {
-        const auto since = std::max(pod.coldMark, pod.started);
-        pod.coldSpent += doneRate * warmth(pod) * coldExcess * std::max<Nanos>(now - since, 0) / second;
-        pod.coldMark = now;
-        return pod.coldSpent = std::min(pod.coldSpent, 0.0);
+    // A warming pod gets its share of the cost that warm pods delivered (cost sent grows with a backlog),
+    // below the multiple that overloads it. Random debts at the start let hundreds of small shares add up to
+    // it.
+    double slowStartRoom(Pod& pod) {
+        const auto elapsed = std::max<Nanos>(now - std::max(pod.slowStartFilledAt, pod.startedAt), 0);
+        pod.slowStartCredit += deliveredRate * warmUpShare(pod) * slowStartExcess * elapsed / kSecond;
+        pod.slowStartFilledAt = now;
+        return pod.slowStartCredit = std::min(pod.slowStartCredit, 0.0);
     }
 
-    // Exposure: each hit taken adds the cap to an allowance no deeper than the free number, each forward
-    // takes one, so that over any span forwards stay under the free number plus the cap's share of the hits
-    // taken.
-    bool exposureKept(const Hit& hit, const Pod& pod) const {
+    // Each request adds the cap to an allowance of at most the free attempts, and each attempt takes 1.
+    bool withinExposure(const Request& request, const Pod& pod) const {
         if (!onTrial(*pod.build)) return true;
-        const auto share = cap(*pod.build);
-        const auto stage = pod.build->number == told.build ? told.stage : 0;
-        if (share <= 0 || (stage < closedStages && hit.group->effect != Effect::repeatable)) return false;
-        return allowance(*pod.build, *hit.group) >= 1;
+        const auto stage = pod.build->number == rollout.build ? rollout.stage : 0;
+        if (stage < settings.restrictedStages && request.group->effect != Effect::idempotent) return false;
+        return cap(*pod.build) > 0 && allowance(*pod.build, *request.group) >= 1;
     }
 
-    bool lawful(const Hit& hit, Pod& pod) {
-        if (hit.ended || now >= hit.deadline) return false;  // every hit one answer, and nothing after it
-        if (!drainKept(pod) || !effectOnce(hit, pod) || !exposureKept(hit, pod)) return false;
-        if (oneWay && !hit.key.empty() && told.standing != Standing::goingBack &&
-            told.standing != Standing::withdrawn)
-            if (const auto found = answeredBy.find(hit.key); found != answeredBy.end())
+    bool permitted(const Request& request, Pod& pod) {
+        if (request.ended || now >= request.deadline || !acceptsTraffic(pod)) return false;
+        if (!executesOnce(request, pod) || !withinExposure(request, pod)) return false;
+        if (settings.monotonicKeys && !request.key.empty() && !rollingBack())
+            if (const auto found = buildOfKey.find(request.key); found != buildOfKey.end())
                 if (pod.build->number < found->second) return false;
-        return !cold(pod) || coldRoom(pod) >= 0;
+        return !warmingUp(pod) || slowStartRoom(pod) >= 0;
     }
 };
 
--- a/src/policy/votes.hpp
+++ b/src/policy/votes.hpp
@@ -5,85 +5,100 @@
 
 namespace lichenlanding::policy {
 
-struct Votes : Rules {
+struct Voting : Rules {
     using Rules::Rules;
 
-    bool isVoter() const {  // where there are no messages, each judges what it counts itself
-        return !mayTell || std::find(trial.voters.begin(), trial.voters.end(), me) != trial.voters.end();
+    bool isVoter() const {  // without peer messages each sidecar judges its own counts
+        const auto& voters = trial.voters;
+        return !settings.peerMessages || std::find(voters.begin(), voters.end(), self) != voters.end();
     }
 
-    Message head(Message::Kind kind) {
+    Message messageHeader(Message::Kind kind) {
         return {kind, epoch, ++seq, static_cast<std::uint32_t>(trial.build), 0, 0, {}, {}};
     }
 
-    void tell(const std::vector<std::string>& messages, const std::vector<int>& to) {
-        for (int peer : to)
+    void sendToPeers(const std::vector<std::string>& messages, const std::vector<int>& peers) {
+        for (int peer : peers)
             for (const auto& bytes : messages)
-                if (mayTell && peer != me) door.tell(peer, bytes);
+                if (settings.peerMessages && peer != self) host.sendToPeer(peer, bytes);
     }
 
-    void tellVerdict() {
-        auto message = head(Message::Kind::verdict);
+    void sendVerdict() {
+        auto message = messageHeader(Message::Kind::verdict);
         message.verdict = static_cast<std::uint32_t>(trial.verdict);
-        tell({encode(message)}, everyone);
+        sendToPeers({encode(message)}, allPeers);
     }
 
-    // What most voters say; of a tie, the later one to be undecided.
-    Verdict echo() const {
+    // The verdict of most voters; none while there is no majority.
+    Verdict voterMajority() const {
         std::array<int, 4> count{};
         for (int voter : trial.voters) ++count[static_cast<std::size_t>(trial.verdicts[voter].verdict)];
         const auto needed = static_cast<int>(trial.voters.size()) / 2 + 1;
         if (count[3] >= needed) return Verdict::back;
-        if (!clocked && count[1] >= needed) return Verdict::on;
-        if (clocked && count[2] >= needed) return Verdict::hold;
+        if (!timed() && count[1] >= needed) return Verdict::on;
+        if (timed() && count[2] >= needed) return Verdict::hold;
         return Verdict::none;
     }
 
-    void castVote() {
-        if (told.build != trial.build || told.build < 0) return;  // no stage to vote for yet
-        auto verdict = isVoter() ? trial.verdict : echo();
-        // Exception: signed metadata that are required and missing hold a build where it is, whatever its
-        // outcomes; withdrawn ones send it back. Harm: metadata that cannot be had in time cost a stage's
-        // wait.
-        if (attestationNeeded && !vouchedFor(*buildOf(told.build))) {
-            const bool withdrawn = buildOf(told.build)->attestation == Attestation::withdrawn;
-            if (withdrawn) verdict = Verdict::back;
-            if (verdict != Verdict::back) verdict = clocked ? Verdict::hold : Verdict::none;
+    // False: the vote may not count and is cast again, after a backoff if the rate limit rejected it.
+    bool voteAnswered(Outcome answered) {
+        ownVote.notBefore = now;
+        if (answered == Outcome::succeeded) {
+            ownVote.rejections = 0;
+            return true;
+        }
+        ownVote.cast.verdict = Verdict::none;
+        ownVote.cast.build = -1;
+        const bool limited = answered == Outcome::rejected;
+        const auto gap = limited ? std::min(kSecond << ownVote.rejections, voteInterval) : kTickInterval;
+        if (limited) ownVote.rejections = std::min(ownVote.rejections + 1, 8);
+        ownVote.notBefore += gap / 2 + static_cast<Nanos>(random() % 1000) * gap / 1000;
+        return false;
+    }
+
+    Verdict verdictToCast() {
+        auto verdict = isVoter() ? trial.verdict : voterMajority();
+        // Exception: without a required attestation a build stays in its stage. Harm: late metadata delay it.
+        const auto* build = settings.attestationRequired ? buildFor(rollout.build) : nullptr;
+        if (build && !attested(*build)) {
+            if (build->attestation == Attestation::withdrawn) verdict = Verdict::back;
+            if (verdict != Verdict::back) verdict = timed() ? Verdict::hold : Verdict::none;
         }
-        const bool late = told.standing == Standing::released && verdict == Verdict::back;
-        if (told.standing != Standing::trial && !late) verdict = Verdict::none;
-        // Exception: no 'on' in the last stage before its own pods have had time to warm and be counted: what
-        // shows only with all traffic would be released unseen. Each waits by itself: hundreds could not take
-        // back a vote.
-        // The vote that decides is the one that must not come before: in a large tier the queue to it is
-        // begun so much earlier.
-        if (verdict == Verdict::on && told.stage >= lastStage && now - told.since < settleFor - queueFor)
-            verdict = Verdict::none;
-        const bool anyStage = verdict == Verdict::back || verdict == Verdict::none;
-        const bool same = cast.verdict == verdict && (verdict == Verdict::none || cast.build == told.build) &&
-                          (anyStage || cast.stage == told.stage);
-        if (same && (verdict == Verdict::none || now < cast.when + renewAfter)) return;
-        // A vote for what is over needs no taking back.
-        if (verdict == Verdict::none &&
-            (told.standing != Standing::trial || cast.build != told.build || cast.stage != told.stage)) {
-            cast.verdict = verdict;
+        const bool late = rollout.state == RolloutState::released && verdict == Verdict::back;
+        if (rollout.state != RolloutState::testing && !late) verdict = Verdict::none;
+        // Exception: no 'on' in the last stage before its pods are warm and counted: faults that need all
+        // traffic would be released unseen. In a large fleet the queue of votes starts that much earlier.
+        const bool settled = rollout.stage < lastStage || now - rollout.since >= settleTime - queueTime;
+        return verdict == Verdict::on && !settled ? Verdict::none : verdict;
+    }
+
+    void castVote() {
+        if (rollout.build != trial.build || rollout.build < 0) return;  // no stage to vote for yet
+        const Ballot ballot{verdictToCast(), rollout.build, rollout.stage};
+        const auto& last = ownVote.cast;
+        const bool none = ballot.verdict == Verdict::none, anyStage = none || ballot.verdict == Verdict::back;
+        const bool sameBuild = last.build == ballot.build, sameStage = last.stage == ballot.stage;
+        const bool same = last.verdict == ballot.verdict && (none || sameBuild) && (anyStage || sameStage);
+        if (same && (none || now < ownVote.castAt + renewAfter)) return;
+        // A vote on a stage that is over needs no withdrawal.
+        if (none && (rollout.state != RolloutState::testing || !sameBuild || !sameStage)) {
+            ownVote.cast.verdict = ballot.verdict;
             return;
         }
-        // Each waits for its place in the fleet's queue: all echo in the same instant, and what the platform
-        // turns away then comes back among the renewals of what it took. Guards against stages that wait for
-        // votes long decided; it ought to spread any call that all make at one word. Harm: where few vote
-        // alike, the last of them wait for places that nobody takes.
-        if (const std::tuple wish(verdict, told.build, told.stage);
-            std::exchange(cast.queued, wish) != wish) {
-            const auto about =
-                static_cast<std::uint64_t>(told.build) << 32 | static_cast<unsigned>(told.stage);
-            cast.turn = now + limits::turn(about, static_cast<std::uint32_t>(me), balancers, votesPerSecond);
-            cast.refused = 0;
+        // All learn of a majority at once, and votes over the rate limit would delay the stage: so each waits
+        // for its turn in a queue. Harm: where few vote alike, the last wait for turns nobody takes.
+        if (std::exchange(ownVote.queued, ballot) != ballot) {
+            const auto stage = static_cast<unsigned>(ballot.stage);
+            const auto topic = static_cast<std::uint64_t>(ballot.build) << 32 | stage;
+            const auto index = static_cast<std::uint32_t>(self);
+            ownVote.queueTurn = now + limits::turn(topic, index, sidecars, settings.votesPerSecond);
+            ownVote.rejections = 0;
         }
-        if (now < std::max(cast.next, cast.turn)) return;
-        cast.verdict = verdict, cast.build = told.build, cast.stage = told.stage;
-        cast.when = now, cast.next = now + answerWait;
-        door.vote(verdict, told.build, told.stage);
+        if (now < std::max(ownVote.notBefore, ownVote.queueTurn)) return;
+        ownVote.cast = ballot;
+        ownVote.castAt = now;
+        ownVote.notBefore = now + settings.voteTimeout;
+        host.vote(ballot.verdict, ballot.build, ballot.stage);
     }
 };
 
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -8,11 +8,13 @@
 namespace lichenlanding {
 namespace {
 
-constexpr double leastCalls = 0.1;  // a second: a party that is told to take none is still asked
+// A rate limit of 0 would divide by zero and keep every vote for ever.
+constexpr double kMinVotesPerSecond = 0.1;
 
-class Pairs {
+// Typed access to named values. Without a default a missing value throws.
+class ValueReader {
   public:
-    explicit Pairs(const NamedValues& values) : values_(values) {}
+    explicit ValueReader(const NamedValues& values) : values_(values) {}
 
     std::string text(const std::string& key) const {
         const auto found = values_.find(key);
@@ -31,10 +33,17 @@
     double number(const std::string& key, double otherwise) const {
         return values_.count(key) ? number(key) : otherwise;
     }
+    int integer(const std::string& key) const { return static_cast<int>(number(key)); }
+    int integer(const std::string& key, int otherwise) const {
+        return static_cast<int>(number(key, otherwise));
+    }
     Nanos time(const std::string& key) const { return nanosOfMillis(number(key)); }
-    bool truth(const std::string& key) const { return text(key) == "true"; }
-    bool truth(const std::string& key, bool otherwise) const {
-        return values_.count(key) ? truth(key) : otherwise;
+    Nanos time(const std::string& key, double otherwise) const {
+        return nanosOfMillis(number(key, otherwise));
+    }
+    bool boolean(const std::string& key) const { return text(key) == "true"; }
+    bool boolean(const std::string& key, bool otherwise) const {
+        return values_.count(key) ? boolean(key) : otherwise;
     }
     std::vector<std::string> list(const std::string& key) const {
         std::vector<std::string> items;
@@ -48,77 +57,105 @@
     const NamedValues& values_;
 };
 
-PathGroup readGroup(const Pairs& pairs, int index) {
+Effect effectOf(const std::string& word) {
+    if (word == "pure") return Effect::idempotent;
+    return word == "token" ? Effect::deduplicated : Effect::nonIdempotent;
+}
+
+DedupScope dedupScopeOf(const std::string& word) {
+    if (word == "all") return DedupScope::all;
+    return word == "zone" ? DedupScope::zone : DedupScope::cell;
+}
+
+VoteMode voteModeOf(const std::string& word) {
+    if (word == "single") return VoteMode::single;
+    return word == "clocked" ? VoteMode::timed : VoteMode::majority;
+}
+
+PathGroup readGroup(const ValueReader& values, int index) {
     const auto path = "classes." + std::to_string(index) + ".";
     PathGroup group;
     group.index = index;
-    group.name = pairs.text(path + "name");
-    group.target = pairs.time(path + "goalTimeMs");
-    group.timeout = pairs.time(path + "deadlineMs");
-    group.benefit = pairs.number(path + "worth", 1);
-    group.streaming = pairs.truth(path + "streaming", false);
-    const auto effect = pairs.text(path + "effect");
-    group.effect = effect == "pure"    ? Effect::repeatable
-                   : effect == "token" ? Effect::tagged
-                                       : Effect::mutating;
-    if (group.effect == Effect::tagged) {
-        const auto reach = pairs.text(path + "group");
-        group.reach = reach == "all" ? Reach::all : reach == "zone" ? Reach::zone : Reach::cell;
-        group.window = pairs.time(path + "windowMs");
+    group.name = values.text(path + "name");
+    group.target = values.time(path + "goalTimeMs");
+    group.timeout = values.time(path + "deadlineMs");
+    group.priorityWeight = values.number(path + "worth", 1);
+    group.streaming = values.boolean(path + "streaming", false);
+    group.effect = effectOf(values.text(path + "effect"));
+    if (group.effect == Effect::deduplicated) {
+        group.dedupScope = dedupScopeOf(values.text(path + "group"));
+        group.dedupWindow = values.time(path + "windowMs");
     }
     return group;
 }
 
-}  // namespace
+void readIdentity(const ValueReader& values, Settings& settings) {
+    settings.index = values.integer("index");
+    settings.balancers = values.integer("balancers");
+    settings.zones = values.list("zones");
+    for (std::size_t zone = 0; zone < settings.zones.size(); ++zone)
+        if (settings.zones[zone] == values.text("zone", "")) settings.zone = static_cast<int>(zone);
+    const int groups = values.integer("classes.count");
+    for (int group = 0; group < groups; ++group) settings.groups.push_back(readGroup(values, group));
+}
 
-Settings readSettings(const NamedValues& values) {
-    const Pairs pairs(values);
-    Settings told;
-    told.index = static_cast<int>(pairs.number("index"));
-    told.balancers = static_cast<int>(pairs.number("balancers"));
-    told.zones = pairs.list("zones");
-    for (std::size_t zone = 0; zone < told.zones.size(); ++zone)
-        if (told.zones[zone] == pairs.text("zone", "")) told.zone = static_cast<int>(zone);
-    const int groups = static_cast<int>(pairs.number("classes.count"));
-    for (int group = 0; group < groups; ++group) told.groups.push_back(readGroup(pairs, group));
-    told.mayTell = pairs.truth("limits.mayTell", false);
-    told.mayCancel = pairs.truth("limits.cancelling", false);
-    told.mayProbe = pairs.truth("limits.probes", false);
-    told.probesTell = told.mayProbe && pairs.text("report.how", "off") == "on_probe";
-    told.mayDuplicate = pairs.truth("limits.mayDuplicate", false);
-    told.adviseRetry = pairs.truth("limits.retryAfter", false);
-    told.maxRetryAfter = told.adviseRetry ? pairs.time("limits.maxRetryAfterMs") : 0;
-    told.maxForwards = static_cast<int>(pairs.number("limits.maxAttempts"));
-    told.askForList = pairs.text("discovery", "push") == "ask";
-    told.drainGrace = pairs.time("rules.drainGraceMs");
-    told.coldFrom = pairs.number("rules.coldFrom");
-    told.coldTime = pairs.time("rules.coldMs");
-    told.fallMultiple = pairs.number("rules.fallMultiple");
-    told.fallTime = pairs.time("rules.overloadForMs");
-    const auto control = pairs.text("extra.voteMode");
-    told.control = control == "single"    ? Control::single
-                   : control == "clocked" ? Control::clocked
-                                          : Control::majority;
-    for (const auto& cap : pairs.list("extra.caps")) {
+void readLimits(const ValueReader& values, Settings& settings) {
+    settings.peerMessages = values.boolean("limits.mayTell", false);
+    settings.cancellationAllowed = values.boolean("limits.cancelling", false);
+    settings.probesAllowed = values.boolean("limits.probes", false);
+    settings.reportsOnProbes = settings.probesAllowed && values.text("report.how", "off") == "on_probe";
+    settings.hedgingAllowed = values.boolean("limits.mayDuplicate", false);
+    settings.sendRetryAfter = values.boolean("limits.retryAfter", false);
+    settings.maxRetryAfter = settings.sendRetryAfter ? values.time("limits.maxRetryAfterMs") : 0;
+    settings.maxAttempts = values.integer("limits.maxAttempts");
+    settings.pullEndpoints = values.text("discovery", "push") == "ask";
+}
+
+void readRules(const ValueReader& values, Settings& settings) {
+    settings.drainGrace = values.time("rules.drainGraceMs");
+    settings.slowStartFloor = values.number("rules.coldFrom");
+    settings.slowStartTime = values.time("rules.coldMs");
+    settings.overloadMultiple = values.number("rules.fallMultiple");
+    settings.overloadTime = values.time("rules.overloadForMs");
+}
+
+void readRollout(const ValueReader& values, Settings& settings) {
+    settings.voteMode = voteModeOf(values.text("extra.voteMode"));
+    for (const auto& cap : values.list("extra.caps")) {
         double value = 0;
         if (!parse(std::string_view(cap), value)) throw MissingSetting("unreadable setting extra.caps");
-        told.caps.push_back(value);
+        settings.caps.push_back(value);
     }
-    told.freeForwards = pairs.number("extra.free");
-    told.exposureWindow = pairs.time("extra.exposureWindowMs");
-    told.voteLife = pairs.time("extra.ballotTtlMs");
-    told.answerWait = pairs.time("extra.answerWaitMs");
-    told.votesPerSecond = std::max(pairs.number("extra.callsPerS"), leastCalls);
-    told.closedStages = static_cast<int>(pairs.number("extra.closedStages", 0));
-    told.backVotes = static_cast<int>(pairs.number("extra.noesNeeded", 1));
-    told.onVotes = static_cast<int>(pairs.number("extra.votesToGo", 0));
-    told.perGroup = pairs.text("extra.counts", "all") == "per_lane";
-    told.oneWay = pairs.truth("extra.oneWay", false);
-    told.connectWithin = nanosOfMillis(pairs.number("limits.connectTimeoutMs", 0));
-    told.keepIdle = nanosOfMillis(pairs.number("limits.keepaliveMs", 0));
-    told.grain = nanosOfMillis(pairs.number("tickMs", 0));
-    told.maxOpen = static_cast<int>(pairs.number("limits.maxOpen", 0));
-    return told;
+    settings.freeAttempts = values.number("extra.free");
+    settings.exposureWindow = values.time("extra.exposureWindowMs");
+    settings.voteTtl = values.time("extra.ballotTtlMs");
+    settings.voteTimeout = values.time("extra.answerWaitMs");
+    settings.votesPerSecond = std::max(values.number("extra.callsPerS"), kMinVotesPerSecond);
+    settings.restrictedStages = values.integer("extra.closedStages", 0);
+    settings.backVotesNeeded = values.integer("extra.noesNeeded", 1);
+    settings.onVotesNeeded = values.integer("extra.votesToGo", 0);
+    settings.perGroup = values.text("extra.counts", "all") == "per_lane";
+    settings.monotonicKeys = values.boolean("extra.oneWay", false);
+}
+
+void readConnections(const ValueReader& values, Settings& settings) {
+    settings.connectTimeout = values.time("limits.connectTimeoutMs", 0);
+    settings.idleTimeout = values.time("limits.keepaliveMs", 0);
+    settings.clockGranularity = values.time("tickMs", 0);
+    settings.maxInFlight = values.integer("limits.maxOpen", 0);
+}
+
+}  // namespace
+
+Settings readSettings(const NamedValues& values) {
+    const ValueReader reader(values);
+    Settings settings;
+    readIdentity(reader, settings);
+    readLimits(reader, settings);
+    readRules(reader, settings);
+    readRollout(reader, settings);
+    readConnections(reader, settings);
+    return settings;
 }
 
 }  // namespace lichenlanding
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -11,15 +11,16 @@
 
 namespace lichenlanding {
 
-// A setting that the decisions need and that was not told, or not readably; what() names the key.
+/// A setting that the policy needs and that is missing or cannot be parsed; what() names the key.
 struct MissingSetting : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Lists of plain values are joined by commas; a list of objects has its length under .count and its items
-// under .0, .1 and so on.
+/// By path. Lists of plain values are joined by commas; a list of objects has its length under ".count" and
+/// its items under ".0", ".1" and so on.
 using NamedValues = std::map<std::string, std::string, std::less<>>;
 
+/// Throws MissingSetting. Values with unknown paths are skipped.
 Settings readSettings(const NamedValues& values);
 
 }  // namespace lichenlanding
--- a/src/sidecar/call_result.cpp
+++ b/src/sidecar/call_result.cpp
@@ -2,58 +2,61 @@
 
 #include <iterator>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-const char* nameOf(Ending ending) {
-    static constexpr const char* names[] = {"answered", "failed",    "turned away", "no room",
-                                            "refused",  "never up",  "cut before",  "cut after",
-                                            "garbled",  "timed out", "called off"};
-    static_assert(std::size(names) == static_cast<std::size_t>(Ending::count));
-    return names[static_cast<std::size_t>(ending)];
+const char* nameOf(CallResult result) {
+    static constexpr const char* names[] = {"succeeded",         "error response",     "rejected",
+                                            "no descriptor",     "connection refused", "connect time-out",
+                                            "reset before sent", "reset after sent",   "malformed response",
+                                            "timed out",         "cancelled"};
+    static_assert(std::size(names) == static_cast<std::size_t>(CallResult::count));
+    return names[static_cast<std::size_t>(result)];
 }
 
-Ending endingOfAnswer(int code, bool notRun) {
-    if (code == 200) return Ending::answered;
-    return notRun && (code == 503 || code == 504) ? Ending::turnedAway : Ending::failed;
+CallResult resultOfResponse(int statusCode, bool rejected) {
+    if (statusCode == 200) return CallResult::succeeded;
+    const bool unavailable = statusCode == 503 || statusCode == 504;
+    return rejected && unavailable ? CallResult::rejected : CallResult::errorResponse;
 }
 
-Outcome outcomeOf(Ending ending) {
-    switch (ending) {
-        case Ending::answered:
-            return Outcome::delivered;
-        case Ending::failed:
-            return Outcome::errored;
-        case Ending::turnedAway:
-            return Outcome::saturated;
-        case Ending::noRoom:
-        case Ending::refused:
-        case Ending::neverUp:
-        case Ending::cutBefore:
-            return Outcome::unreached;
-        case Ending::cutAfter:
-        case Ending::garbled:
-            return Outcome::severed;
-        case Ending::timedOut:
-            return Outcome::overdue;
-        case Ending::calledOff:
-        case Ending::count:
+Outcome outcomeOf(CallResult result) {
+    switch (result) {
+        case CallResult::succeeded:
+            return Outcome::succeeded;
+        case CallResult::errorResponse:
+            return Outcome::failed;
+        case CallResult::rejected:
+            return Outcome::rejected;
+        case CallResult::noDescriptor:
+        case CallResult::connectionRefused:
+        case CallResult::connectTimeout:
+        case CallResult::resetBeforeSent:
+            return Outcome::unreachable;
+        case CallResult::resetAfterSent:
+        case CallResult::malformedResponse:
+            return Outcome::connectionLost;
+        case CallResult::timedOut:
+            return Outcome::timedOut;
+        case CallResult::cancelled:
+        case CallResult::count:
             break;
     }
-    return Outcome::recalled;
+    return Outcome::cancelled;
 }
 
-Outcome outcomeOfVote(Ending ending, int code) {
-    switch (outcomeOf(ending)) {
-        case Outcome::delivered:
-            return Outcome::delivered;
-        case Outcome::errored:
-        case Outcome::saturated:
-            return code == 429 ? Outcome::saturated : code == 409 ? Outcome::superseded : Outcome::errored;
-        case Outcome::unreached:
-            return Outcome::errored;  // not carried out
+Outcome outcomeOfVote(CallResult result, int statusCode) {
+    switch (outcomeOf(result)) {
+        case Outcome::succeeded:
+            return Outcome::succeeded;
+        case Outcome::failed:
+        case Outcome::rejected:
+            if (statusCode == 429) return Outcome::rejected;
+            return statusCode == 409 ? Outcome::superseded : Outcome::failed;
+        case Outcome::unreachable:
+            return Outcome::failed;  // not executed
         default:
-            return Outcome::overdue;  // it may have been
+            return Outcome::timedOut;  // it may have been executed
     }
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/call_result.hpp
+++ b/src/sidecar/call_result.hpp
@@ -1,35 +1,36 @@
-// Every way in which a call on a connection can end, as one value of one type, and the one place where it
-// becomes the decisions' Outcome.
+// How a call on a connection ends, and what that means to the policy.
 #pragma once
 
 #include "state.hpp"
 
-namespace lichenlanding::net {
-
-enum class Ending {
-    answered,    // 200 and a whole body
-    failed,      // any other whole answer: it may have run
-    turnedAway,  // 503 or 504 that says it never ran
-    noRoom,      // no descriptor left for a connection
-    refused,     // the connection was refused
-    neverUp,     // it did not come up in time
-    cutBefore,   // it broke before the call's last byte was written
-    cutAfter,    // it broke or ended after that, without a whole answer
-    garbled,     // what came back cannot be read as an answer
-    timedOut,    // nothing came in time
-    calledOff,   // this side gave it up
+namespace lichenlanding::sidecar {
+
+/// Every way in which a call can end.
+enum class CallResult {
+    succeeded,          ///< 200 and a complete body
+    errorResponse,      ///< any other complete response: it may have been executed
+    rejected,           ///< 503 or 504 that says that it was not executed
+    noDescriptor,       ///< no file descriptor was left for a connection
+    connectionRefused,  ///< by the other side
+    connectTimeout,     ///< the connection was not established in time
+    resetBeforeSent,    ///< the connection broke before the call's last byte was written
+    resetAfterSent,     ///< it broke or ended after that, without a complete response
+    malformedResponse,  ///< what came back cannot be parsed
+    timedOut,           ///< no complete response came in time
+    cancelled,          ///< by this side
     count
 };
 
-const char* nameOf(Ending ending);
+/// For logs; one of the words in docs/operate/sidecar-log-events.md.
+const char* nameOf(CallResult result);
 
-// Of a whole answer, by its code and whether it carries the mark of a call that was not begun.
-Ending endingOfAnswer(int code, bool notRun);
+/// Of a complete response; `rejected`: it carries the header that says so.
+CallResult resultOfResponse(int statusCode, bool rejected);
 
-// What the decisions are told of a forward.
-Outcome outcomeOf(Ending ending);
+/// Of a forwarded attempt.
+Outcome outcomeOf(CallResult result);
 
-// What the decisions are told of a vote; the platform's answers are told apart by their code alone.
-Outcome outcomeOfVote(Ending ending, int code);
+/// Of a vote; the platform's responses are told apart by their status codes alone.
+Outcome outcomeOfVote(CallResult result, int statusCode);
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -5,74 +5,76 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 namespace {
 
-Told readFile(const std::string& path) {
+RawConfig readRawConfig(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::stringstream text;
     if (!file || !(text << file.rdbuf()))
         throw std::invalid_argument("cannot read the configuration " + path);
-    return readTold(text.str());
+    return parseConfig(text.str());
 }
 
-Address address(const char* field, const std::string& text) {
+Address addressOf(const char* field, const std::string& text) {
     try {
-        return readAddress(text);
-    } catch (const std::invalid_argument& wrong) {
-        throw std::invalid_argument(std::string("configuration: field ") + field + ": " + wrong.what());
+        return parseAddress(text);
+    } catch (const std::invalid_argument& failure) {
+        throw std::invalid_argument(std::string("configuration: field ") + field + ": " + failure.what());
     }
 }
 
+void require(bool present, const char* name) {
+    if (!present) throw MissingSetting(std::string("missing setting ") + name);
+}
+
+void overrideFrom(const char* variable, std::string& field) {
+    if (const auto* value = std::getenv(variable); value && *value) field = value;
+}
+
 }  // namespace
 
-Config configOf(const Told& told) {
+Config configOf(const RawConfig& raw) {
     Config config;
-    config.name = told.name;
-    config.listen = address("listen", told.listen);
-    config.discovery = address("discovery", told.discovery);
-    config.platform = address("deployer.address", told.platform);
-    if (!told.peerListen.empty()) config.peerListen = address("peer_listen", told.peerListen);
-    if (!told.peersAll.empty()) config.peersAll = address("peers_all", told.peersAll);
-    for (const auto& peer : told.peers) config.peers.push_back(address("peers", peer));
-    config.seed = told.seed;
-    config.sockets = told.sockets;
-    config.news = told.news;
-    config.known = told.known;
-    config.settings = readSettings(told.settings);
-    const auto need = [](bool there, const char* name) {
-        if (!there) throw MissingSetting(std::string("missing setting ") + name);
-    };
-    need(config.settings.connectWithin > 0, "limits.connectTimeoutMs");
-    need(config.settings.keepIdle > 0, "limits.keepaliveMs");
-    need(config.settings.maxOpen > 0, "limits.maxOpen");
-    need(!config.settings.groups.empty(), "classes");
+    config.name = raw.name;
+    config.listen = addressOf("listen", raw.listen);
+    config.discovery = addressOf("discovery", raw.discovery);
+    config.platform = addressOf("deployer.address", raw.platform);
+    if (!raw.peerListen.empty()) config.peerListen = addressOf("peer_listen", raw.peerListen);
+    if (!raw.peersAll.empty()) config.peersAll = addressOf("peers_all", raw.peersAll);
+    for (const auto& peer : raw.peers) config.peers.push_back(addressOf("peers", peer));
+    config.seed = raw.seed;
+    config.sockets = raw.sockets;
+    config.rollout = raw.rollout;
+    config.endpoints = raw.endpoints;
+    config.settings = readSettings(raw.settings);
+    require(config.settings.connectTimeout > 0, "limits.connectTimeoutMs");
+    require(config.settings.idleTimeout > 0, "limits.keepaliveMs");
+    require(config.settings.maxInFlight > 0, "limits.maxOpen");
+    require(!config.settings.groups.empty(), "classes");
     return config;
 }
 
-Config readConfig(const std::string& path) { return configOf(readFile(path)); }
+Config readConfig(const std::string& path) { return configOf(readRawConfig(path)); }
 
 Config configFromEnvironment() {
     const auto* path = std::getenv("RELAY_CONFIG");
     if (!path || !*path) throw std::invalid_argument("environment: RELAY_CONFIG is missing");
-    auto told = readFile(path);
-    const auto before = [](const char* variable, std::string& field) {
-        if (const auto* value = std::getenv(variable); value && *value) field = value;
-    };
-    before("RELAY_NAME", told.name);
-    before("RELAY_LISTEN", told.listen);
-    before("RELAY_DISCOVERY", told.discovery);
-    return configOf(told);
+    auto raw = readRawConfig(path);
+    overrideFrom("RELAY_NAME", raw.name);
+    overrideFrom("RELAY_LISTEN", raw.listen);
+    overrideFrom("RELAY_DISCOVERY", raw.discovery);
+    return configOf(raw);
 }
 
-std::optional<Config> configAgain() {
+std::optional<Config> reloadConfig() {
     try {
         const auto* path = std::getenv("RELAY_CONFIG");
         return readConfig(path ? path : "");
     } catch (const std::exception& failure) {
-        log(Kind::start, std::string("the configuration in force stays: ") + failure.what());
+        log(LogEvent::start, std::string("reload failed, configuration unchanged: ") + failure.what());
         return {};
     }
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/connection.cpp
+++ b/src/sidecar/connection.cpp
@@ -10,9 +10,17 @@
 #include "sidecar/messages.hpp"
 #include "text.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
+namespace {
 
-Address readAddress(std::string_view text) {
+const char* methodName(evhttp_cmd_type method) {
+    if (method == EVHTTP_REQ_GET) return "GET";
+    return method == EVHTTP_REQ_POST ? "POST" : "DELETE";
+}
+
+}  // namespace
+
+Address parseAddress(std::string_view text) {
     const auto colon = text.rfind(':');
     Address address{std::string(text.substr(0, colon)), 0};
     in_addr parsed{};
@@ -22,131 +30,152 @@
     return address;
 }
 
-Connection::Connection(Loop& loop, const Address& address, std::size_t longestBody)
+Connection::Connection(EventLoop& loop, const Address& address, std::size_t maxBodyBytes)
     : loop_(loop),
       address_(address),
-      longestBody_(longestBody),
+      maxBodyBytes_(maxBodyBytes),
       connectTimer_(loop,
                     [this] {
-                        if (!connected_) end(Ending::neverUp);
+                        if (!connected_) closeWith(CallResult::connectTimeout);
                     }),
-      timer_(loop, [this] { end(Ending::timedOut); }) {}
+      responseTimer_(loop, [this] { closeWith(CallResult::timedOut); }) {}
 
 // The socket is made here, since libevent does not tell a full table of descriptors from a refusal.
 bool Connection::connect() {
     const int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor < 0) return false;
     stream_.reset(bufferevent_socket_new(loop_.base(), descriptor, BEV_OPT_CLOSE_ON_FREE));
-    if (!stream_) return close(descriptor), false;
+    if (!stream_) {
+        close(descriptor);
+        return false;
+    }
+    openStream(descriptor);
+    return true;
+}
+
+void Connection::openStream(int descriptor) {
     const int on = 1;
     setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     bufferevent_setcb(
         stream_.get(),
-        [](bufferevent*, void* self) { guarded([&] { static_cast<Connection*>(self)->came(); }); }, nullptr,
+        [](bufferevent*, void* self) { guarded([&] { static_cast<Connection*>(self)->onReadable(); }); },
+        nullptr,
         [](bufferevent*, short what, void* self) {
-            guarded([&] { static_cast<Connection*>(self)->happened(what); });
+            guarded([&] { static_cast<Connection*>(self)->onEvent(what); });
         },
         this);
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_port = htons(address_.port);
-    inet_pton(AF_INET, address_.host.c_str(), &where.sin_addr);
-    if (::connect(descriptor, reinterpret_cast<sockaddr*>(&where), sizeof where) != 0 && errno != EINPROGRESS)
-        loop_.later([this, here = std::weak_ptr<char>(here_)] {
-            if (!here.expired() && !connected_) happened(BEV_EVENT_ERROR);
+    sockaddr_in remote{};
+    remote.sin_family = AF_INET;
+    remote.sin_port = htons(address_.port);
+    inet_pton(AF_INET, address_.host.c_str(), &remote.sin_addr);
+    if (::connect(descriptor, reinterpret_cast<sockaddr*>(&remote), sizeof remote) != 0 &&
+        errno != EINPROGRESS)
+        loop_.post([this, alive = std::weak_ptr<char>(lifetime_)] {
+            if (!alive.expired() && !connected_) onEvent(BEV_EVENT_ERROR);
         });
     else bufferevent_socket_connect(stream_.get(), nullptr, 0);
-    return true;
 }
 
-void Connection::call(const Call& call, Nanos connectWithin, Nanos within, Done done, Piece piece,
-                      Answer::Framing framing) {
-    done_ = std::move(done);
-    answer_ = Answer(longestBody_, std::move(piece), framing);
+void Connection::call(const HttpRequest& request, Nanos connectTimeout, Nanos timeout, ResponseHandler onDone,
+                      BodyHandler onBody, ResponseParser::Framing framing) {
+    onDone_ = std::move(onDone);
+    parser_ = ResponseParser(maxBodyBytes_, std::move(onBody), framing);
     if (!stream_ && !connect())
-        return loop_.later([this, here = std::weak_ptr<char>(here_)] {
-            if (!here.expired()) end(Ending::noRoom);
+        return loop_.post([this, alive = std::weak_ptr<char>(lifetime_)] {
+            if (!alive.expired()) closeWith(CallResult::noDescriptor);
         });
-    std::string bytes = call.method == EVHTTP_REQ_GET    ? "GET "
-                        : call.method == EVHTTP_REQ_POST ? "POST "
-                                                         : "DELETE ";
-    bytes += call.path + " HTTP/1.1\r\n";
-    for (const auto& [name, value] : call.headers) bytes += name + ": " + value + "\r\n";
-    if (call.method != EVHTTP_REQ_GET || !call.body.empty())
-        bytes += "Content-Length: " + std::to_string(call.body.size()) + "\r\n";
-    bytes += "\r\n" + call.body;
+    write(request);
+    if (!connected_) connectTimer_.start(connectTimeout);
+    if (timeout > 0) responseTimer_.start(timeout);
+}
+
+void Connection::write(const HttpRequest& request) {
+    std::string bytes = std::string(methodName(request.method)) + " " + request.path + " HTTP/1.1\r\n";
+    for (const auto& [name, value] : request.headers) bytes += name + ": " + value + "\r\n";
+    if (request.method != EVHTTP_REQ_GET || !request.body.empty())
+        bytes += "Content-Length: " + std::to_string(request.body.size()) + "\r\n";
+    bytes += "\r\n" + request.body;
     evbuffer_add(bufferevent_get_output(stream_.get()), bytes.data(), bytes.size());
-    if (!connected_) connectTimer_.in(connectWithin);
-    if (within > 0) timer_.in(within);
 }
 
-bool Connection::quiet() const {
+bool Connection::reusable() const {
+    if (!usable_ || !stream_) return false;
     char first;
-    return alive_ && stream_ &&
-           recv(bufferevent_getfd(stream_.get()), &first, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
+    return recv(bufferevent_getfd(stream_.get()), &first, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
            (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void Connection::end(Ending why) {
-    alive_ = false;
-    letGo();
-    if (done_) finish({why});
+void Connection::closeWith(CallResult result) {
+    usable_ = false;
+    releaseStream();
+    if (onDone_) finish({result});
 }
 
-void Connection::abandon() {
-    loop_.bury(std::make_shared<Done>(std::exchange(done_, nullptr)));
-    end(Ending::calledOff);
+void Connection::discard() {
+    loop_.releaseLater(std::make_shared<ResponseHandler>(std::exchange(onDone_, nullptr)));
+    closeWith(CallResult::cancelled);
     connectTimer_.stop();
-    timer_.stop();
+    responseTimer_.stop();
 }
 
-// libevent keeps what its callbacks are still in.
-void Connection::letGo() {
+// libevent keeps the stream alive while one of its callbacks runs.
+void Connection::releaseStream() {
     if (stream_) bufferevent_setcb(stream_.get(), nullptr, nullptr, nullptr, nullptr);
     stream_.reset();
 }
 
-void Connection::came() {
-    auto* input = bufferevent_get_input(stream_.get());
-    if (!done_) {  // nobody has asked: whatever it is, it is no answer to the next call
-        alive_ = false;
-        if (closed_) closed_();
+// Whether a call's last byte was written decides between 'not executed' and 'may have been executed'.
+bool Connection::allWritten() const {
+    return evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
+}
+
+void Connection::onReadable() {
+    if (!onDone_) {  // unasked bytes cannot belong to the next call's response
+        usable_ = false;
+        if (onClose_) onClose_();
         return;
     }
-    const auto state = answer_.read(input);
-    if (!done_ || state == Answer::State::more) return;  // a piece of it may have ended the call
-    if (state == Answer::State::spoilt) return end(Ending::garbled);
-    // What comes behind an answer, or an answer before the call was written whole, leaves the connection in
-    // no state for another.
-    const bool written = evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
-    if (answer_.closes || !written || evbuffer_get_length(input) > 0 || !quiet()) alive_ = false;
-    finish({endingOfAnswer(answer_.code, answer_.notRun), answer_.code, std::move(answer_.body),
-            std::move(answer_.type), std::move(answer_.load), answer_.retryAfter});
+    auto* input = bufferevent_get_input(stream_.get());
+    const auto state = parser_.consume(input);
+    if (!onDone_ || state == ResponseParser::State::incomplete) return;  // onBody may have ended the call
+    if (state == ResponseParser::State::malformed) return closeWith(CallResult::malformedResponse);
+    // Bytes behind a response, or a response before the call was written, leave no connection for another.
+    const bool clean = allWritten() && evbuffer_get_length(input) == 0;
+    if (parser_.closesConnection || !clean || !reusable()) usable_ = false;
+    finish(takeResponse());
 }
 
-// Whether a call's last byte was written decides between 'never ran' and 'may have run'.
-void Connection::happened(short what) {
+void Connection::onEvent(short what) {
     if (what & BEV_EVENT_CONNECTED) {
         connected_ = true;
         return connectTimer_.stop();
     }
-    alive_ = false;
-    if (done_ && connected_ && (what & BEV_EVENT_EOF) && answer_.ended() == Answer::State::whole)
-        return finish({endingOfAnswer(answer_.code, answer_.notRun), answer_.code, std::move(answer_.body),
-                       std::move(answer_.type), std::move(answer_.load), answer_.retryAfter});
-    if (done_) {
-        const bool written = evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
-        return end(!connected_ ? Ending::refused : written ? Ending::cutAfter : Ending::cutBefore);
+    usable_ = false;
+    const bool ended = connected_ && (what & BEV_EVENT_EOF);
+    if (onDone_ && ended && parser_.stateAtClose() == ResponseParser::State::complete)
+        return finish(takeResponse());
+    if (onDone_) {
+        if (!connected_) return closeWith(CallResult::connectionRefused);
+        return closeWith(allWritten() ? CallResult::resetAfterSent : CallResult::resetBeforeSent);
     }
-    if (closed_) closed_();
+    if (onClose_) onClose_();
+}
+
+CallResponse Connection::takeResponse() {
+    return {resultOfResponse(parser_.statusCode, parser_.rejected),
+            parser_.statusCode,
+            std::move(parser_.body),
+            std::move(parser_.contentType),
+            std::move(parser_.loadReport),
+            parser_.retryAfter};
 }
 
-void Connection::finish(Return result) {
+void Connection::finish(CallResponse response) {
     connectTimer_.stop();
-    timer_.stop();
-    const auto done = std::exchange(done_, nullptr);
-    done(std::move(result));
+    responseTimer_.stop();
+    const auto onDone = std::exchange(onDone_, nullptr);
+    onDone(std::move(response));
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/connection.hpp
+++ b/src/sidecar/connection.hpp
@@ -1,5 +1,5 @@
-// One HTTP/1.1 connection of this sidecar to another party, carrying one call at a time. Nothing is ever sent
-// a second time by itself.
+// One HTTP/1.1 connection of this sidecar to another party, carrying one call at a time. Nothing is ever
+// retried by it.
 #pragma once
 
 #include <string>
@@ -10,8 +10,9 @@
 #include "sidecar/event_loop.hpp"
 #include "sidecar/response_parser.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
+/// An IPv4 address and port.
 struct Address {
     std::string host;
     std::uint16_t port = 0;
@@ -20,64 +21,77 @@
     std::string text() const { return host + ":" + std::to_string(port); }
 };
 
-struct Call {
+/// Parses "127.0.0.1:7070"; throws std::invalid_argument.
+Address parseAddress(std::string_view text);
+
+struct HttpHeader {
+    std::string name, value;
+};
+
+struct HttpRequest {
     evhttp_cmd_type method = EVHTTP_REQ_GET;
     std::string path;
-    std::vector<std::pair<std::string, std::string>> headers;
+    std::vector<HttpHeader> headers;
     std::string body;
 };
 
-// How a call ended and what came back.
-struct Return {
-    Ending ending = Ending::calledOff;
-    int code = 0;
-    std::string body = {}, type = {};  // type: of the body, as its maker told
-    std::string load = {};             // the pod's report, where the answer carries one
-    Nanos retryAfter = 0;              // what a refusal advises; 0 if it does not
+/// How a call ended and what came back.
+struct CallResponse {
+    CallResult result = CallResult::cancelled;
+    int statusCode = 0;  ///< 0: no complete response
+    std::string body = {}, contentType = {};
+    std::string loadReport = {};  ///< the pod's, where the response carries one
+    Nanos retryAfter = 0;         ///< 0: no advice
 };
 
 class Connection {
   public:
-    using Done = std::function<void(Return)>;
-    using Piece = Answer::Piece;
+    using ResponseHandler = std::function<void(CallResponse)>;
 
-    Connection(Loop& loop, const Address& address, std::size_t longestBody);
-    ~Connection() { letGo(); }
+    /// Connects at the first call. `maxBodyBytes` limits collected bodies.
+    Connection(EventLoop& loop, const Address& address, std::size_t maxBodyBytes);
+    ~Connection() { releaseStream(); }
 
-    // done is called once, from the loop, unless the connection is destroyed first. within 0: no limit. With
-    // piece, the answer's body is given as it comes.
-    void call(const Call& call, Nanos connectWithin, Nanos within, Done done, Piece piece = nullptr,
-              Answer::Framing framing = Answer::Framing::told);
-    void end(Ending why);  // closes it; a call that is out ends so
-    void abandon();        // closes it; a call that is out is not told
-    bool free() const { return alive_ && !done_; }
+    /// `onDone` is called once, from the loop, unless the connection is destroyed or discarded first. A
+    /// `timeout` of 0 is no limit. With `onBody` the response's body is passed on as it comes.
+    void call(const HttpRequest& request, Nanos connectTimeout, Nanos timeout, ResponseHandler onDone,
+              BodyHandler onBody = nullptr,
+              ResponseParser::Framing framing = ResponseParser::Framing::declared);
+    /// Closes it; a call in flight ends with `result`.
+    void closeWith(CallResult result);
+    /// Closes it; a call in flight is not told.
+    void discard();
+    /// No call is in flight, and it is open or not yet connected.
+    bool available() const { return usable_ && !onDone_; }
+    /// It can carry another call: no bytes have come unasked, not even unread ones, and it has not ended.
+    bool reusable() const;
     const Address& address() const { return address_; }
-    int code() const { return answer_.code; }  // of the answer that is coming in
-    void onClose(std::function<void()> closed) { closed_ = std::move(closed); }  // the other side, when idle
-
-    // Whether it can carry another call: nothing unasked has come, not even unread, and it has not ended.
-    bool quiet() const;
+    /// Of the response that is coming in.
+    int statusCode() const { return parser_.statusCode; }
+    /// Called when the other side closes it while no call is in flight.
+    void onClose(std::function<void()> callback) { onClose_ = std::move(callback); }
 
   private:
     bool connect();
-    void came();
-    void happened(short what);
-    void finish(Return result);
-    void letGo();
+    void openStream(int descriptor);
+    void write(const HttpRequest& request);
+    void onReadable();
+    void onEvent(short what);
+    void finish(CallResponse response);
+    CallResponse takeResponse();
+    bool allWritten() const;
+    void releaseStream();
 
-    Loop& loop_;
+    EventLoop& loop_;
     Address address_;
-    std::size_t longestBody_;
-    Owned<bufferevent> stream_;
-    Timer connectTimer_, timer_;
-    Answer answer_;
-    Done done_;
-    std::function<void()> closed_;
-    std::shared_ptr<char> here_ = std::make_shared<char>();  // for what is called later
-    bool alive_ = true, connected_ = false;
+    std::size_t maxBodyBytes_;
+    LibeventPtr<bufferevent> stream_;
+    Timer connectTimer_, responseTimer_;
+    ResponseParser parser_;
+    ResponseHandler onDone_;
+    std::function<void()> onClose_;
+    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with it, for posted calls
+    bool usable_ = true, connected_ = false;
 };
 
-// The address in "127.0.0.1:7070"; throws std::invalid_argument if it is none.
-Address readAddress(std::string_view text);
-
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/discovery_client.cpp
+++ b/src/sidecar/discovery_client.cpp
@@ -1,70 +1,73 @@
 #include "sidecar/discovery_client.hpp"
 
 #include <algorithm>
+#include <stdexcept>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-Discovery::Discovery(Loop& loop, const Address& address, Nanos connectWithin, limits::Reopening reopening,
-                     const std::vector<std::string>& zones, Upstream& upstream, Listed listed)
+DiscoveryClient::DiscoveryClient(EventLoop& loop, const Address& address, Nanos connectTimeout,
+                                 limits::Reopening reopening, const std::vector<std::string>& zones,
+                                 UpstreamPool& upstreams, EndpointHandler onEndpoints)
     : loop_(loop),
       zones_(zones),
-      upstream_(upstream),
-      listed_(std::move(listed)),
-      stream_(
-          loop, address, Kind::discovery, connectWithin, silence, reopening,
-          [this] {
-              const auto watch = "?stream=1&index=" + std::to_string(revision_);
-              return std::string(paths::list) + (revision_ < 0 ? "" : watch);
-          },
-          [this](std::string_view json) { return line(json); }) {}
+      upstreams_(upstreams),
+      onEndpoints_(std::move(onEndpoints)),
+      watch_(
+          loop, address, LogEvent::discovery, connectTimeout, kIdleTimeout, reopening,
+          [this] { return watchPath(); }, [this](std::string_view json) { return onLine(json); }) {}
 
-void Discovery::start(const std::optional<PodList>& known) {
-    if (known) take(*known);
-    stream_.start(!any_);  // with a list to go by it can wait for its part of the round
+void DiscoveryClient::start(const std::optional<EndpointList>& known) {
+    if (known) apply(*known);
+    watch_.start(!hasEndpoints_);  // with a list to route by it can wait for its turn in the fleet
 }
 
-void Discovery::move(const Address& address) {
+void DiscoveryClient::setAddress(const Address& address) {
     revision_ = -1;
-    stream_.move(address);
+    watch_.setAddress(address);
 }
 
-// After a line that cannot be read, what it held is missing: the whole list is asked for, then the watch
-// again.
-bool Discovery::line(std::string_view json) {
-    const auto list = readPodList(json);
+std::string DiscoveryClient::watchPath() const {
+    if (revision_ < 0) return paths::kEndpoints;
+    return std::string(paths::kEndpoints) + "?stream=1&index=" + std::to_string(revision_);
+}
+
+// The changes of a malformed line are missing: the complete list is requested, then the watch again.
+bool DiscoveryClient::onLine(std::string_view json) {
+    const auto list = parseEndpointList(json);
     if (!list) {
-        log(Kind::discovery, "cannot read " + std::string(json.substr(0, 120)));
         revision_ = -1;
         return false;
     }
-    take(*list);
+    apply(*list);
     return true;
 }
 
-void Discovery::take(const PodList& list) {
-    std::vector<Listing> listings;
-    listings.reserve(list.lines.size());
-    for (const auto& line : list.lines) {
-        auto& place = upstream_.place(line.name);
-        Listing listing{&place, line.build, -1, line.cell, line.availability};
-        if (line.startedMs > 0) listing.started = loop_.fromUnixMillis(line.startedMs);
-        // Another process: what is open leads to the one before, which may have vanished without a word.
-        const bool another = listing.started != place.started || line.availability == Availability::gone ||
-                             (place.build && place.build->number != line.build);
-        if (another) upstream_.forget(place);
-        const auto zone = std::find(zones_.begin(), zones_.end(), line.zone);
-        if (zone != zones_.end()) listing.zone = static_cast<int>(zone - zones_.begin());
-        try {
-            upstream_.moved(place, readAddress(line.address));
-        } catch (const std::invalid_argument& wrong) {
-            log(Kind::discovery, line.name + ": " + wrong.what());
-            listing.availability = Availability::gone;
-        }
-        listings.push_back(listing);
-    }
+void DiscoveryClient::apply(const EndpointList& list) {
+    std::vector<EndpointUpdate> updates;
+    updates.reserve(list.entries.size());
+    for (const auto& entry : list.entries) updates.push_back(applyEntry(entry));
     revision_ = list.revision;
-    any_ = any_ || list.whole;
-    listed_(list.whole, std::move(listings));
+    hasEndpoints_ = hasEndpoints_ || list.complete;
+    onEndpoints_(list.complete, std::move(updates));
+}
+
+EndpointUpdate DiscoveryClient::applyEntry(const EndpointEntry& entry) {
+    auto& host = upstreams_.host(entry.name);
+    EndpointUpdate update{&host, entry.build, -1, entry.cell, entry.availability};
+    if (entry.startedMs > 0) update.startedAt = loop_.fromUnixMillis(entry.startedMs);
+    // Another process: open connections lead to the one before, which may have vanished silently.
+    const bool replaced = update.startedAt != host.startedAt || entry.availability == Availability::removed ||
+                          (host.build && host.build->number != entry.build);
+    if (replaced) upstreams_.closeIdle(host);
+    const auto zone = std::find(zones_.begin(), zones_.end(), entry.zone);
+    if (zone != zones_.end()) update.zone = static_cast<int>(zone - zones_.begin());
+    try {
+        upstreams_.setAddress(host, parseAddress(entry.address));
+    } catch (const std::invalid_argument& failure) {
+        log(LogEvent::discovery, entry.name + ": " + failure.what());
+        update.availability = Availability::removed;
+    }
+    return update;
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/discovery_client.hpp
+++ b/src/sidecar/discovery_client.hpp
@@ -1,38 +1,43 @@
-// The list of pods: what was known at start, then a watch from its revision on. A list that cannot be read is
-// asked for whole.
+// The client of discovery: the endpoint list that was known at start, then a watch from its revision on.
 #pragma once
 
 #include "sidecar/messages.hpp"
 #include "sidecar/upstream_pool.hpp"
 #include "sidecar/watch_stream.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-class Discovery {
+class DiscoveryClient {
   public:
-    static constexpr Nanos silence =
-        6'000'000'000;  // three of the empty lines that come while nothing changes
+    /// Of the watch: three of the empty lines that come while nothing changes.
+    static constexpr Nanos kIdleTimeout = 6'000'000'000;
 
-    using Listed = std::function<void(bool whole, std::vector<Listing> lines)>;
+    using EndpointHandler = std::function<void(bool complete, std::vector<EndpointUpdate> updates)>;
 
-    Discovery(Loop& loop, const Address& address, Nanos connectWithin, limits::Reopening reopening,
-              const std::vector<std::string>& zones, Upstream& upstream, Listed listed);
+    /// `zones`: names, by the index that updates carry. Must outlive this, as must `upstreams`.
+    DiscoveryClient(EventLoop& loop, const Address& address, Nanos connectTimeout,
+                    limits::Reopening reopening, const std::vector<std::string>& zones,
+                    UpstreamPool& upstreams, EndpointHandler onEndpoints);
 
-    void start(const std::optional<PodList>& known);
-    void move(const Address& address);  // the whole list is asked for there
-    bool any() const { return any_; }   // a list has been told
+    void start(const std::optional<EndpointList>& known);
+    /// The complete list is requested there.
+    void setAddress(const Address& address);
+    /// Whether a complete list has ever come.
+    bool hasEndpoints() const { return hasEndpoints_; }
 
   private:
-    void take(const PodList& list);
-    bool line(std::string_view json);
+    void apply(const EndpointList& list);
+    EndpointUpdate applyEntry(const EndpointEntry& entry);
+    std::string watchPath() const;
+    bool onLine(std::string_view json);
 
-    Loop& loop_;
+    EventLoop& loop_;
     const std::vector<std::string>& zones_;
-    Upstream& upstream_;
-    Listed listed_;
-    Stream stream_;
-    std::int64_t revision_ = -1;  // below 0: no list is held that a watch could go on from
-    bool any_ = false;
+    UpstreamPool& upstreams_;
+    EndpointHandler onEndpoints_;
+    WatchStream watch_;
+    std::int64_t revision_ = -1;  // below 0: none to resume the watch from
+    bool hasEndpoints_ = false;
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/event_loop.hpp
+++ b/src/sidecar/event_loop.hpp
@@ -1,4 +1,4 @@
-// The event loop, and libevent's objects owned as C++ objects are.
+// The event loop, and owners of libevent's objects. All callbacks run on the thread that runs the loop.
 #pragma once
 
 #include <event2/buffer.h>
@@ -14,90 +14,99 @@
 #include "sidecar/log.hpp"
 #include "state.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-struct Release {
-    void operator()(event_base* held) const { event_base_free(held); }
-    void operator()(event* held) const { event_free(held); }
-    void operator()(evhttp* held) const { evhttp_free(held); }
-    void operator()(evhttp_connection* held) const { evhttp_connection_free(held); }
-    void operator()(evhttp_request* held) const { evhttp_request_free(held); }
-    void operator()(evbuffer* held) const { evbuffer_free(held); }
-    void operator()(bufferevent* held) const { bufferevent_free(held); }
+struct LibeventDeleter {
+    void operator()(event_base* object) const { event_base_free(object); }
+    void operator()(event* object) const { event_free(object); }
+    void operator()(evhttp* object) const { evhttp_free(object); }
+    void operator()(evhttp_connection* object) const { evhttp_connection_free(object); }
+    void operator()(evhttp_request* object) const { evhttp_request_free(object); }
+    void operator()(evbuffer* object) const { evbuffer_free(object); }
+    void operator()(bufferevent* object) const { bufferevent_free(object); }
 };
 template <typename T>
-using Owned = std::unique_ptr<T, Release>;
+using LibeventPtr = std::unique_ptr<T, LibeventDeleter>;
 
-// No exception leaves a callback that C code has called.
+/// Logs what `call` throws: no exception may leave a callback that C code has called.
 template <typename Call>
 void guarded(Call&& call) noexcept {
     try {
         call();
     } catch (const std::exception& failure) {
-        log(Kind::failure, failure.what());
+        log(LogEvent::failure, failure.what());
     }
 }
 
-class Loop {
+class EventLoop {
   public:
-    Loop();
-    ~Loop();
-    Loop(const Loop&) = delete;
+    /// Ignores SIGPIPE for the process. Throws std::runtime_error.
+    EventLoop();
+    ~EventLoop();
+    EventLoop(const EventLoop&) = delete;
 
     event_base* base() const { return base_.get(); }
-    Nanos now() const;                                    // monotonic
-    Nanos fromUnixMillis(std::int64_t unixMillis) const;  // by the offset taken at the start
-    void later(std::function<void()> call);               // on the next turn, in order
-    void bury(std::shared_ptr<void> dead) {               // frees it once nobody is inside it any more
-        later([dead = std::move(dead)] {});
+    /// Monotonic.
+    Nanos now() const;
+    /// The monotonic time of a Unix time in milliseconds, by the offset of both clocks at construction.
+    Nanos fromUnixMillis(std::int64_t unixMillis) const;
+    /// Runs `call` on the next turn of the loop, in the order of the posts.
+    void post(std::function<void()> call);
+    /// Frees `object` on the next turn, when no callback is inside it any more.
+    void releaseLater(std::shared_ptr<void> object) {
+        post([object = std::move(object)] {});
     }
+    /// Until stop().
     void run();
-    void turn();  // one pass over what is due now, without waiting
+    /// One pass over what is due now, without waiting.
+    void runOnce();
     void stop();
     bool stopped() const { return stopped_; }
 
   private:
-    void runLater();
+    void runPosted();
 
-    Owned<event_base> base_;
-    Owned<event> turn_;
-    std::vector<std::function<void()>> queue_;
+    LibeventPtr<event_base> base_;
+    LibeventPtr<event> postEvent_;
+    std::vector<std::function<void()>> posted_;
     Nanos unixOffset_ = 0;
     bool stopped_ = false;
 };
 
-// Never fires before its time. The loop counts from the start of its turn, which may lie behind by what the
-// turn has taken, and the decisions ask for no second wake when they are woken early: their tick would end
-// for good.
+/// Calls once after a span. It never fires early: the loop counts from the start of its turn, and a policy
+/// that is woken early would not ask for another timer.
 class Timer {
   public:
-    Timer(Loop& loop, std::function<void()> call);
+    Timer(EventLoop& loop, std::function<void()> callback);
     Timer(const Timer&) = delete;
 
-    void calls(std::function<void()> call) { call_ = std::move(call); }
-    void in(Nanos span);
+    void setCallback(std::function<void()> callback) { callback_ = std::move(callback); }
+    /// Starts it, or starts it anew; a span below 0 counts as 0.
+    void start(Nanos span);
     void stop();
     bool running() const;
 
   private:
-    void due();
+    void onEvent();
 
-    Loop& loop_;
-    std::function<void()> call_;
-    Owned<event> event_;
-    Nanos at_ = 0;
+    EventLoop& loop_;
+    std::function<void()> callback_;
+    LibeventPtr<event> event_;
+    Nanos dueAt_ = 0;
 };
 
-// Calls when a descriptor can be read, or when a signal comes.
-class Watch {
+/// Calls whenever a descriptor is readable, or a signal has come.
+class EventWatch {
   public:
-    static constexpr short readable = EV_READ | EV_PERSIST, signal = EV_SIGNAL | EV_PERSIST;
-    Watch(Loop& loop, int descriptorOrSignal, short what, std::function<void()> call);
-    Watch(const Watch&) = delete;
+    static constexpr short kReadable = EV_READ | EV_PERSIST, kSignal = EV_SIGNAL | EV_PERSIST;
+
+    /// `what` is one of the constants above.
+    EventWatch(EventLoop& loop, int descriptorOrSignal, short what, std::function<void()> callback);
+    EventWatch(const EventWatch&) = delete;
 
   private:
-    std::function<void()> call_;
-    Owned<event> event_;
+    std::function<void()> callback_;
+    LibeventPtr<event> event_;
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/http_fetch.cpp
+++ b/src/sidecar/http_fetch.cpp
@@ -2,57 +2,63 @@
 
 #include <stdexcept>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
 Url Url::below(const std::string& name) const {
-    Url made = *this;
-    if (made.path.empty() || made.path.back() != '/') made.path += '/';
-    made.path += name;
-    return made;
+    Url url = *this;
+    if (url.path.empty() || url.path.back() != '/') url.path += '/';
+    url.path += name;
+    return url;
 }
 
-Url readUrl(std::string_view text) {
+Url parseUrl(std::string_view text) {
     constexpr std::string_view scheme = "http://", local = "localhost:";
     if (text.substr(0, scheme.size()) != scheme)
         throw std::invalid_argument("not an http URL: " + std::string(text.substr(0, 100)));
     text.remove_prefix(scheme.size());
     const auto slash = std::min(text.find('/'), text.size());
-    std::string where(text.substr(0, slash));
-    if (where.compare(0, local.size(), local) == 0) where = "127.0.0.1:" + where.substr(local.size());
-    Url url{readAddress(where), slash == text.size() ? "/" : std::string(text.substr(slash))};
+    std::string address(text.substr(0, slash));
+    if (address.compare(0, local.size(), local) == 0) address = "127.0.0.1:" + address.substr(local.size());
+    Url url{parseAddress(address), slash == text.size() ? "/" : std::string(text.substr(slash))};
     for (const char letter : url.path)
         if (letter <= ' ' || letter == 127)
             throw std::invalid_argument("not a URL's path: " + url.path.substr(0, 100));
     return url;
 }
 
-Fetch::Fetch(Loop& loop, const Url& url, std::size_t atMost, Nanos connectWithin, Nanos within, Done done)
+HttpFetch::HttpFetch(EventLoop& loop, const Url& url, std::size_t maxBytes, Nanos connectTimeout,
+                     Nanos timeout, ResponseHandler onDone)
     : loop_(loop),
       connection_(std::make_shared<Connection>(loop, url.address, SIZE_MAX >> 1)),
-      done_(std::move(done)) {
-    const Call call{EVHTTP_REQ_GET, url.path, {{"Host", url.address.text()}, {"Connection", "close"}}, {}};
+      maxBytes_(maxBytes),
+      onDone_(std::move(onDone)) {
+    const HttpRequest request{
+        EVHTTP_REQ_GET, url.path, {{"Host", url.address.text()}, {"Connection", "close"}}, {}};
     connection_->call(
-        call, connectWithin, within,
-        [this](Return back) {
-            const auto done = std::exchange(done_, nullptr);  // which may destroy this
-            done({back.ending, back.code, std::move(body_), tooLong_, back.retryAfter});
-        },
-        [this, atMost](std::string_view piece) {
-            // Nothing is done with what is over the bound, not even to read it.
-            if (tooLong_) return;
-            tooLong_ = body_.size() + piece.size() > atMost;
-            if (tooLong_)
-                loop_.later([alive = std::weak_ptr<Connection>(connection_)] {
-                    if (const auto held = alive.lock()) held->end(Ending::calledOff);
-                });
-            else body_ += piece;
+        request, connectTimeout, timeout,
+        [this](CallResponse response) {
+            const auto onDone = std::exchange(onDone_, nullptr);  // which may destroy this
+            onDone({response.result, response.statusCode, std::move(body_), tooLarge_, response.retryAfter});
         },
-        Answer::Framing::byClose);
+        [this](std::string_view part) { onBody(part); }, ResponseParser::Framing::untilClose);
+}
+
+// Nothing is done with what is over the limit, not even to read it.
+void HttpFetch::onBody(std::string_view part) {
+    if (tooLarge_) return;
+    tooLarge_ = body_.size() + part.size() > maxBytes_;
+    if (!tooLarge_) {
+        body_ += part;
+        return;
+    }
+    loop_.post([connection = std::weak_ptr<Connection>(connection_)] {
+        if (const auto alive = connection.lock()) alive->closeWith(CallResult::cancelled);
+    });
 }
 
-Fetch::~Fetch() {
-    connection_->abandon();
-    loop_.bury(std::move(connection_));
+HttpFetch::~HttpFetch() {
+    connection_->discard();
+    loop_.releaseLater(std::move(connection_));
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/http_server.hpp
+++ b/src/sidecar/http_server.hpp
@@ -1,5 +1,5 @@
-// The side that clients see: an evhttp server, and one Caller for each request that has come in whole. Each
-// connection is followed from its first byte or silence on, so that no client can hold more than its part.
+// The server that clients see: an evhttp server, and one ClientRequest for each complete request. Connections
+// are followed from their first byte or silence on, so that no client can hold more than its share.
 #pragma once
 
 #include <list>
@@ -8,94 +8,70 @@
 #include <string>
 #include <unordered_map>
 
+#include "sidecar/client_request.hpp"
 #include "sidecar/connection.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-class Front;
-
-// One client's request and the one answer to it. Destroyed unanswered, it answers 500.
-class Caller {
-  public:
-    Caller(Front& front, evhttp_request* request);
-    ~Caller();
-    Caller(const Caller&) = delete;
-
-    std::optional<std::string> header(const char* name) const;
-    evhttp_cmd_type method() const { return evhttp_request_get_command(request_); }
-    std::string path() const { return evhttp_request_get_uri(request_); }  // with its query
-    const std::string& body() const { return body_; }
-    void onGone(std::function<void()> gone) { gone_ = std::move(gone); }  // the client left before its answer
-
-    // Sent at once; what comes after the first answer is dropped. retryAfter 0: no advice.
-    void answer(int code, const std::string& body = {}, const std::string& type = {}, Nanos retryAfter = 0);
-    // A large body, which is not copied but held until it has been written.
-    void answer(int code, std::shared_ptr<const std::string> body, const std::string& type);
-    void refuse(int code);  // the same, and the connection ends: what follows on it cannot be trusted
-
-  private:
-    friend class Front;
-    bool begin(const std::string& type, Nanos retryAfter);  // false: it is answered already
-    void left();
-
-    Front& front_;
-    evhttp_request* request_;  // evhttp's until it is answered
-    evhttp_connection* connection_;
-    std::string body_;
-    std::function<void()> gone_;
-    bool answered_ = false, last_ = false;
+/// From the soft limit on a new connection evicts an idle one if there is one; at the hard limit it is closed
+/// if there is none.
+struct ConnectionLimits {
+    std::size_t soft, hard;
 };
 
-class Front {
+class HttpServer {
   public:
-    using Took = std::function<void(std::unique_ptr<Caller>)>;
-
-    // Throws if it cannot listen. Requests for readiness are answered here.
-    // Beyond the first number of connections a new one makes room if it can, beyond the second it must.
-    Front(Loop& loop, const Address& listen, std::size_t connectionsAtEase, std::size_t connectionsAtMost,
-          Took took, std::function<bool()> ready);
-    ~Front();
-
-    void closeAfterAnswers();  // each connection gets one answer more, and idle ones are closed
-    bool anyWaiting() const;   // a connection that nobody has accepted yet
+    using RequestCallback = std::function<void(std::unique_ptr<ClientRequest>)>;
+
+    /// Requests for readiness are answered here, by `isReady`; all others go to `onRequest`. Throws
+    /// std::runtime_error if it cannot listen.
+    HttpServer(EventLoop& loop, const Address& listen, ConnectionLimits limits, RequestCallback onRequest,
+               std::function<bool()> isReady);
+    ~HttpServer();
+
+    /// Graceful shutdown: each connection gets one more response, and idle ones are closed.
+    void drain() { draining_ = true; }
+    bool draining() const { return draining_; }
+    /// Whether a client has connected that is not accepted yet.
+    bool hasPendingConnection() const;
     Address address() const;
-    std::size_t open() const { return clients_.size(); }
+    std::size_t connections() const { return clients_.size(); }
 
   private:
-    friend class Caller;
+    friend class ClientRequest;
     struct Client {
-        Front& front;
+        HttpServer& server;
         evhttp_connection* connection;
-        Nanos since;               // when it began what it does now: to be silent, to send, to idle
-        Caller* caller = nullptr;  // whose request is on it now
-        bool reading = false;      // part of a next request may have come
-        bool silent = true;        // nothing has ever come
+        Nanos since;                       // when its present phase began: silent, sending, responded
+        ClientRequest* request = nullptr;  // the one in flight
+        bool receiving = false;            // part of a next request may have come
+        bool silent = true;                // no byte has ever come
     };
     using Clients = std::list<Client>;
 
-    void joined(bufferevent* stream);
-    void answered(Client& client);  // and awaited again
-    void request(evhttp_request* request);
-    static bool readable(evhttp_request* request);
-    Clients::iterator held(evhttp_connection* connection);
-    void marks(Client& client);  // that it does another thing from now on
-    void watchForLeaving(Client& client);
-    void gone(Client& client);
-    static void came(evbuffer* input, const evbuffer_cb_info* info, void* client);
-    bool idle(const Client& client) const;
-    bool makeRoom();
-    void look();
-
-    Loop& loop_;
-    Took took_;
-    std::function<bool()> ready_;
-    std::size_t ease_, most_;
-    bool closing_ = false;
-    Owned<evhttp> server_;
+    void listen(const Address& address);
+    void onAccepted(bufferevent* stream);
+    void onRequest(evhttp_request* request);
+    void onResponse(evhttp_connection* connection);  // is about to be sent
+    void onDisconnect(Client& client);
+    static void onBytes(evbuffer* input, const evbuffer_cb_info* info, void* client);
+    Clients::iterator find(evhttp_connection* connection);
+    void beginPhase(Client& client);
+    void watchForDisconnect(Client& client);
+    bool isIdle(const Client& client) const;
+    bool evictIdle();
+    void sweep();
+
+    EventLoop& loop_;
+    RequestCallback onRequest_;
+    std::function<bool()> isReady_;
+    ConnectionLimits limits_;
+    bool draining_ = false;
+    LibeventPtr<evhttp> server_;
     evconnlistener* listener_ = nullptr;  // the server's
-    Timer look_;
-    Clients clients_;  // the one that has done the same for longest first
-    std::unordered_map<evhttp_connection*, Clients::iterator> found_;  // looked up, never walked
+    Timer sweepTimer_;
+    Clients clients_;  // the one longest in its phase first
+    std::unordered_map<evhttp_connection*, Clients::iterator> byConnection_;  // never iterated
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/log.cpp
+++ b/src/sidecar/log.cpp
@@ -1,42 +1,55 @@
 #include "sidecar/log.hpp"
 
+#include <algorithm>
 #include <array>
 #include <chrono>
 #include <cstdio>
+#include <iterator>
+#include <utility>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 namespace {
 
-constexpr const char* names[] = {"start", "stop", "ready",    "discovery", "platform", "vote",  "client",
-                                 "pod",   "peer", "overload", "failure",   "metadata", "memory"};
-static_assert(std::size(names) == static_cast<std::size_t>(Kind::count));
+constexpr const char* kEventNames[] = {"start",   "stop",     "ready", "discovery", "platform",
+                                       "vote",    "client",   "pod",   "peer",      "overload",
+                                       "failure", "metadata", "memory"};
+static_assert(std::size(kEventNames) == static_cast<std::size_t>(LogEvent::count));
 
-// Ten lines at once and one more a second; what was held back is told with the next line of the kind.
-struct Allowance {
-    double left = 10;
-    std::chrono::steady_clock::time_point filled = std::chrono::steady_clock::now();
-    int held = 0;
+constexpr double kBurst = 10;  // lines at once; then one a second
+
+class RateLimit {
+  public:
+    bool take() {
+        const auto now = std::chrono::steady_clock::now();
+        const std::chrono::duration<double> since = now - filledAt_;
+        tokens_ = std::min(kBurst, tokens_ + since.count());
+        filledAt_ = now;
+        if (tokens_ < 1) {
+            ++suppressed_;
+            return false;
+        }
+        --tokens_;
+        return true;
+    }
+    int takeSuppressed() { return std::exchange(suppressed_, 0); }
+
+  private:
+    double tokens_ = kBurst;
+    std::chrono::steady_clock::time_point filledAt_ = std::chrono::steady_clock::now();
+    int suppressed_ = 0;
 };
 
 }  // namespace
 
-void log(Kind kind, const std::string& text) {
-    static std::array<Allowance, std::size(names)> allowances;
-    auto& allowance = allowances[static_cast<std::size_t>(kind)];
-    const auto now = std::chrono::steady_clock::now();
-    const std::chrono::duration<double> since = now - allowance.filled;
-    allowance.left = std::min(10.0, allowance.left + since.count());
-    allowance.filled = now;
-    if (allowance.left < 1) {
-        ++allowance.held;
-        return;
-    }
-    --allowance.left;
-    const std::chrono::duration<double> clock = std::chrono::system_clock::now().time_since_epoch();
-    const auto held = allowance.held > 0 ? " (" + std::to_string(allowance.held) + " more held back)" : "";
-    std::fprintf(stderr, "%.3f %s: %s%s\n", clock.count(), names[static_cast<std::size_t>(kind)],
-                 text.c_str(), held.c_str());
-    allowance.held = 0;
+void log(LogEvent event, const std::string& text) {
+    static std::array<RateLimit, std::size(kEventNames)> rateLimits;
+    const auto index = static_cast<std::size_t>(event);
+    auto& rateLimit = rateLimits[index];
+    if (!rateLimit.take()) return;
+    const std::chrono::duration<double> unixTime = std::chrono::system_clock::now().time_since_epoch();
+    const int suppressed = rateLimit.takeSuppressed();
+    const auto note = suppressed > 0 ? " (" + std::to_string(suppressed) + " more suppressed)" : "";
+    std::fprintf(stderr, "%.3f %s: %s%s\n", unixTime.count(), kEventNames[index], text.c_str(), note.c_str());
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/log.hpp
+++ b/src/sidecar/log.hpp
@@ -1,12 +1,13 @@
-// The sidecar's log: one function, one line each on standard error, rate-limited for each kind of line.
+// The sidecar's log: one line for each event on standard error, "UNIXTIME EVENT: TEXT".
+// docs/operate/sidecar-log-events.md lists all lines.
 #pragma once
 
 #include <string>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-// Kinds of line. Each has its own allowance, so that a flood of one hides no other.
-enum class Kind {
+/// The event that a line begins with. Each has its own rate limit, so that a flood of one hides no other.
+enum class LogEvent {
     start,
     stop,
     ready,
@@ -23,6 +24,8 @@
     count
 };
 
-void log(Kind kind, const std::string& text);
+/// Writes one line, unless the event's rate limit suppresses it: ten lines at once and one a second. The next
+/// line of the event says how many were suppressed. For the event loop's thread.
+void log(LogEvent event, const std::string& text);
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/metadata_refresh.cpp
+++ b/src/sidecar/metadata_refresh.cpp
@@ -1,103 +1,115 @@
 #include "sidecar/metadata_refresh.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
 using namespace metadata;
 
-// Waits until a document is settled.
-struct Refresh::Asking {
-    Refresh& of;
+// Waits until the document that the update wants next is accepted, missing or refused.
+struct MetadataRefresh::DocumentAwaiter {
+    MetadataRefresh& refresh;
     MirrorFetch::Result result = MirrorFetch::Result::refused;
-    Refusal why = {};
+    Refusal failure = {};
+
+    explicit DocumentAwaiter(MetadataRefresh& refresh_) : refresh(refresh_) {}
+    DocumentAwaiter(const DocumentAwaiter&) = delete;
 
-    explicit Asking(Refresh& of_) : of(of_) {}
-    Asking(const Asking&) = delete;
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> life) {
-        const auto& want = of.update_.wants();
-        of.fetch_.start(
-            {want.path, want.atMost, want.role == "root"},
-            [this](std::string bytes, std::function<void(Check)> judged) {
-                auto& refresh = of;
-                if (!refresh.worker_) return refresh.offered(bytes), judged(refresh.refusal());
-                refresh.worker_->run([&refresh, held = std::move(bytes)] { refresh.offered(held); },
-                                     [&refresh, judged] { judged(refresh.refusal()); });
+    void await_suspend(std::coroutine_handle<> waiting) {
+        const auto& wanted = refresh.update_.wants();
+        refresh.fetch_.start(
+            {wanted.path, wanted.atMost, wanted.role == "root"},
+            [this](std::string bytes, MirrorFetch::OnVerified onVerified) {
+                verify(std::move(bytes), std::move(onVerified));
             },
-            [this, life](MirrorFetch::Result came, const Refusal& refusal) {
-                result = came, why = refusal;
-                life.resume();
+            [this, waiting](MirrorFetch::Result fetched, const Refusal& why) {
+                result = fetched;
+                failure = why;
+                waiting.resume();
             });
     }
     void await_resume() const {}
+
+  private:
+    void verify(std::string bytes, MirrorFetch::OnVerified onVerified) {
+        auto& of = refresh;
+        if (!of.worker_) {
+            of.verify(bytes);
+            return onVerified(of.refusal());
+        }
+        of.worker_->run([&of, held = std::move(bytes)] { of.verify(held); },
+                        [&of, onVerified] { onVerified(of.refusal()); });
+    }
 };
 
-Refresh::Refresh(Loop& loop, Mirrors& mirrors, const std::vector<Url>& bases, TrustStore& store,
-                 Update update, const Patience& patience, FetchCounts& counts, Worker* worker, Done done)
+MetadataRefresh::MetadataRefresh(EventLoop& loop, Mirrors& mirrors, const std::vector<Url>& bases,
+                                 TrustStore& store, Update update, const Patience& timeouts,
+                                 FetchCounts& counts, WorkerThread* worker, ResultHandler onDone)
     : loop_(loop),
       worker_(worker),
       budget_(mirrors.size()),
       store_(store),
       update_(std::move(update)),
-      fetch_(loop, mirrors, bases, budget_, patience, counts),
-      done_(std::move(done)) {}
+      fetch_(loop, mirrors, bases, budget_, timeouts, counts),
+      onDone_(std::move(onDone)) {}
 
-void Refresh::start() { life_ = life(); }
+void MetadataRefresh::start() { task_ = run(); }
 
-// Kept before the next thing is asked for: what is trusted in memory is never ahead of what a restart finds.
-void Refresh::keep() {
+// Before the next document is requested: what is trusted in memory is never ahead of what a restart finds.
+void MetadataRefresh::store() {
     for (const auto& step : update_.keep())
         if (auto refusal = store_.commit(step)) return update_.abort(*refusal);
 }
 
-void Refresh::offered(const std::string& bytes) {
+void MetadataRefresh::verify(const std::string& bytes) {
     update_.again();  // after another mirror's bytes were refused
     update_.came(bytes);
-    if (!refusal()) keep();
+    if (!refusal()) store();
 }
 
-Task Refresh::life() {
+Task MetadataRefresh::run() {
     while (update_.wants().kind == Update::Want::fetch) {
-        Asking asking(*this);
-        co_await asking;
-        if (asking.result == MirrorFetch::Result::missing) update_.missing();
-        if (asking.result == MirrorFetch::Result::refused) {
+        DocumentAwaiter awaiter(*this);
+        co_await awaiter;
+        if (awaiter.result == MirrorFetch::Result::missing) update_.missing();
+        if (awaiter.result == MirrorFetch::Result::refused) {
             update_.again();
-            update_.failed(asking.why);
+            update_.failed(awaiter.failure);
         }
-        keep();  // of what ended without bytes: nothing, or the end of the root chain
+        store();  // also of what ended without bytes: the end of the root chain
     }
-    loop_.later([this, here = std::weak_ptr<char>(here_), done = std::exchange(done_, nullptr)] {
-        if (!here.expired()) done(*this);
+    loop_.post([this, alive = std::weak_ptr<char>(lifetime_), onDone = std::exchange(onDone_, nullptr)] {
+        if (!alive.expired()) onDone(*this);
     });
 }
 
-Check Refresh::refusal() const {
+Check MetadataRefresh::refusal() const {
     if (update_.wants().kind == Update::Want::refused) return update_.refusal();
     return {};
 }
 
-Download::Download(Loop& loop, Mirrors& mirrors, const std::vector<Url>& bases, const Patience& patience,
-                   FetchCounts& counts)
-    : budget_(mirrors.size()), fetch_(loop, mirrors, bases, budget_, patience, counts) {}
+TargetDownload::TargetDownload(EventLoop& loop, Mirrors& mirrors, const std::vector<Url>& bases,
+                               const Patience& timeouts, FetchCounts& counts)
+    : budget_(mirrors.size()), fetch_(loop, mirrors, bases, budget_, timeouts, counts) {}
 
-void Download::start(const Found& found, bool consistent, std::size_t atMost, Done done) {
+void TargetDownload::start(const Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone) {
     const auto& target = found.target;
-    if (target.length > static_cast<std::int64_t>(atMost))
-        return done(Refusal{Reason::tooLong, found.path, 0, std::to_string(target.length) + " bytes listed"});
+    if (target.length > static_cast<std::int64_t>(maxBytes))
+        return onDone(
+            Refusal{Reason::tooLong, found.path, 0, std::to_string(target.length) + " bytes listed"});
     const auto name = percentEncoded(consistent ? found.location() : found.path, true);
     fetch_.start(
         {name, static_cast<std::size_t>(target.length)},
-        [this, found](std::string bytes, std::function<void(Check)> judged) {
+        [this, found](std::string bytes, const MirrorFetch::OnVerified& onVerified) {
             auto refusal = fits(bytes, found.target.length, found.target.hashes, found.path);
             if (!refusal) body_ = std::move(bytes);
-            judged(std::move(refusal));
+            onVerified(std::move(refusal));
         },
-        [this, done, path = found.path](MirrorFetch::Result result, const Refusal& why) {
-            if (result == MirrorFetch::Result::accepted) return done(std::move(body_));
-            auto refusal = why;
+        [this, onDone, path = found.path](MirrorFetch::Result result, const Refusal& failure) {
+            if (result == MirrorFetch::Result::accepted) return onDone(std::move(body_));
+            auto refusal = failure;
             refusal.role = path;
-            done(refusal);
+            onDone(refusal);
         });
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/metadata_refresh.hpp
+++ b/src/sidecar/metadata_refresh.hpp
@@ -1,51 +1,57 @@
-// One update of what is trusted, and the targets looked up in it: the fetching round metadata::Update.
+// Fetching for metadata::Update, and for the targets that it finds.
 #pragma once
 
 #include "sidecar/mirror_fetch.hpp"
 #include "sidecar/trust_store.hpp"
 #include "sidecar/worker_thread.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-class Refresh {
+/// One update of the trusted metadata: fetches, verifies and stores document after document.
+class MetadataRefresh {
   public:
-    using Done = std::function<void(Refresh&)>;
+    using ResultHandler = std::function<void(MetadataRefresh&)>;
 
-    // done is called once, from the loop, unless this is destroyed first; it may destroy this. With a worker,
-    // verifying and keeping happen there, and the worker must be destroyed first.
-    Refresh(Loop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases, TrustStore& store,
-            metadata::Update update, const metadata::Patience& patience, FetchCounts& counts, Worker* worker,
-            Done done);
+    /// All references must outlive it, and it the jobs of `worker`, on which documents are verified and
+    /// stored; without one that happens on the loop. `onDone` is called once, from the loop, unless this is
+    /// destroyed first; it may destroy this.
+    MetadataRefresh(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
+                    TrustStore& store, metadata::Update update, const metadata::Patience& timeouts,
+                    FetchCounts& counts, WorkerThread* worker, ResultHandler onDone);
 
     void start();
     metadata::Update& update() { return update_; }
+    /// Why the update was refused; nothing if it was not.
     metadata::Check refusal() const;
 
   private:
-    struct Asking;
-    Task life();
-    void keep();
-    void offered(const std::string& bytes);  // by a mirror; verified and kept
+    struct DocumentAwaiter;
+    Task run();
+    void store();
+    void verify(const std::string& bytes);
 
-    Loop& loop_;
-    Worker* worker_;
+    EventLoop& loop_;
+    WorkerThread* worker_;
     metadata::Budget budget_;
     TrustStore& store_;
     metadata::Update update_;
     MirrorFetch fetch_;
-    Done done_;
-    std::shared_ptr<char> here_ = std::make_shared<char>();  // for what is called later
-    Task life_;
+    ResultHandler onDone_;
+    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with it, for posted calls
+    Task task_;
 };
 
-// A listed target's bytes, verified by length and hash, from mirrors' target bases.
-class Download {
+/// The bytes of a listed target, verified by length and hash, from the mirrors' target URLs.
+class TargetDownload {
   public:
-    using Done = std::function<void(metadata::Result<std::string>)>;
+    using ResultHandler = std::function<void(metadata::Result<std::string>)>;
 
-    Download(Loop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-             const metadata::Patience& patience, FetchCounts& counts);
-    void start(const metadata::Found& found, bool consistent, std::size_t atMost, Done done);
+    /// All references must outlive it.
+    TargetDownload(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
+                   const metadata::Patience& timeouts, FetchCounts& counts);
+    /// `onDone` is called once: from within this call if the target is larger than `maxBytes`, else from the
+    /// loop, unless this is destroyed first.
+    void start(const metadata::Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone);
 
   private:
     metadata::Budget budget_;
@@ -53,4 +59,4 @@
     std::string body_;
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/mirror_fetch.cpp
+++ b/src/sidecar/mirror_fetch.cpp
@@ -1,120 +1,144 @@
 #include "sidecar/mirror_fetch.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
+namespace {
 
 using metadata::Reason;
 using metadata::Refusal;
 
-struct MirrorFetch::Sending {
-    Sending(MirrorFetch& of_, const Url& url_) : of(of_), url(url_) {}
-    Sending(const Sending&) = delete;
+// The failure to report for a document: the last one, but the first that is about a mirror's bytes stays,
+// since it says more than that a mirror did not respond.
+class FailureRecord {
+  public:
+    void add(Refusal failure, bool ofBytes) {
+        if (ofBytes_) return;
+        failure_ = std::move(failure);
+        ofBytes_ = ofBytes;
+    }
+    const Refusal& failure() const { return failure_; }
+
+  private:
+    Refusal failure_{Reason::unavailable, {}, 0, "no mirror may be asked: all drain or rest"};
+    bool ofBytes_ = false;
+};
+
+Refusal unavailable(std::string text) { return {Reason::unavailable, {}, 0, std::move(text)}; }
+
+Refusal noResponse(const std::string& mirror, const FetchResponse& response) {
+    const auto code = response.statusCode ? " " + std::to_string(response.statusCode) : std::string();
+    return unavailable(mirror + ": " + nameOf(response.result) + code);
+}
 
-    MirrorFetch& of;
+Refusal tooLarge(const std::string& mirror, std::size_t maxBytes) {
+    return {Reason::tooLong, {}, 0, mirror + " sent more than " + std::to_string(maxBytes) + " bytes"};
+}
+
+}  // namespace
+
+struct MirrorFetch::ResponseAwaiter {
+    ResponseAwaiter(MirrorFetch& fetch_, const Url& url_) : fetch(fetch_), url(url_) {}
+    ResponseAwaiter(const ResponseAwaiter&) = delete;
+
+    MirrorFetch& fetch;
     Url url;
-    Fetched back;
+    FetchResponse response;
 
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> life) {
-        of.fetch_ = std::make_unique<Fetch>(of.loop_, url, of.document_.atMost, of.patience_.connectWithin,
-                                            of.patience_.within, [this, life](Fetched came) {
-                                                back = std::move(came);
-                                                life.resume();
-                                            });
+    void await_suspend(std::coroutine_handle<> waiting) {
+        fetch.fetch_ = std::make_unique<HttpFetch>(fetch.loop_, url, fetch.document_.maxBytes,
+                                                   fetch.timeouts_.connectWithin, fetch.timeouts_.within,
+                                                   [this, waiting](FetchResponse received) {
+                                                       response = std::move(received);
+                                                       waiting.resume();
+                                                   });
     }
-    Fetched await_resume() {
-        of.fetch_.reset();
-        return std::move(back);
+    FetchResponse await_resume() {
+        fetch.fetch_.reset();
+        return std::move(response);
     }
 };
 
-struct MirrorFetch::Judging {
-    Judging(MirrorFetch& of_, std::string bytes_) : of(of_), bytes(std::move(bytes_)) {}
-    Judging(const Judging&) = delete;
+struct MirrorFetch::VerificationAwaiter {
+    VerificationAwaiter(MirrorFetch& fetch_, std::string bytes_) : fetch(fetch_), bytes(std::move(bytes_)) {}
+    VerificationAwaiter(const VerificationAwaiter&) = delete;
 
-    MirrorFetch& of;
+    MirrorFetch& fetch;
     std::string bytes;
-    metadata::Check refusal;
-    bool judged = false, waits = false;
+    metadata::Check failure;
+    bool verified = false, suspended = false;
 
     bool await_ready() const { return false; }
-    bool await_suspend(std::coroutine_handle<> life) {
-        of.accept_(std::move(bytes), [this, life](metadata::Check came) {
-            refusal = std::move(came);
-            judged = true;
-            if (waits) life.resume();
+    bool await_suspend(std::coroutine_handle<> waiting) {
+        fetch.verifier_(std::move(bytes), [this, waiting](metadata::Check result) {
+            failure = std::move(result);
+            verified = true;
+            if (suspended) waiting.resume();
         });
-        return waits = !judged;  // judged within the call: goes on without having waited
+        suspended = !verified;  // if verified within the call it goes on without suspending
+        return suspended;
     }
-    metadata::Check await_resume() { return std::move(refusal); }
+    metadata::Check await_resume() { return std::move(failure); }
 };
 
-MirrorFetch::MirrorFetch(Loop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-                         metadata::Budget& budget, const metadata::Patience& patience, FetchCounts& counts)
-    : loop_(loop), mirrors_(mirrors), bases_(bases), budget_(budget), patience_(patience), counts_(counts) {}
+MirrorFetch::MirrorFetch(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
+                         metadata::Budget& budget, const metadata::Patience& timeouts, FetchCounts& counts)
+    : loop_(loop), mirrors_(mirrors), bases_(bases), budget_(budget), timeouts_(timeouts), counts_(counts) {}
 
-void MirrorFetch::start(Document document, Accept accept, Done done) {
-    document_ = std::move(document), accept_ = std::move(accept), done_ = std::move(done);
-    ++counts_.asked;
-    life_ = life();
+void MirrorFetch::start(Document document, Verifier verifier, ResultHandler onDone) {
+    document_ = std::move(document);
+    verifier_ = std::move(verifier);
+    onDone_ = std::move(onDone);
+    ++counts_.requested;
+    task_ = run();
 }
 
-Task MirrorFetch::life() {
+Task MirrorFetch::run() {
     std::vector<bool> tried(mirrors_.size());
     auto result = Result::refused;
-    // A typed refusal of bytes says more than that a mirror was silent: the first one stays.
-    Refusal why{Reason::unavailable, {}, 0, "no mirror may be asked: all drain or rest"};
-    bool typed = false;
-    const auto refused = [&](Refusal one, bool ofBytes) {
-        if (typed && !ofBytes) return;
-        if (!typed) why = std::move(one);
-        typed = typed || ofBytes;
-    };
+    FailureRecord record;
     for (bool first = true; result == Result::refused; first = false) {
         const auto mirror = mirrors_.choose(loop_.now(), tried);
         if (!mirror || (!first && !budget_.take())) break;
         tried[*mirror] = true;
-        ++counts_.forwards;
-        counts_.resent += !first;
-        Sending sending(*this, bases_[*mirror].below(document_.name));
-        auto back = co_await sending;
-        const auto outcome = outcomeOf(back.ending);
+        ++counts_.attempts;
+        counts_.retries += !first;
+        ResponseAwaiter awaiter(*this, bases_[*mirror].below(document_.name));
+        auto response = co_await awaiter;
         const auto& name = mirrors_.name(*mirror);
-        if (back.tooLong) {
-            refused({Reason::tooLong,
-                     {},
-                     0,
-                     name + " sent more than " + std::to_string(document_.atMost) + " bytes"},
-                    true);
-        } else if (outcome == Outcome::delivered) {
-            Judging judging(*this, std::move(back.body));
-            if (auto refusal = co_await judging) {
-                refused(std::move(*refusal), true);
+        if (response.tooLarge) {
+            record.add(tooLarge(name, document_.maxBytes), true);
+        } else if (outcomeOf(response.result) == Outcome::succeeded) {
+            VerificationAwaiter verification(*this, std::move(response.body));
+            if (auto failure = co_await verification) {
+                record.add(std::move(*failure), true);
             } else {
                 mirrors_.answered(*mirror);
                 result = Result::accepted;
                 continue;
             }
-        } else if (back.code == 404 || back.code == 403) {
-            refused({Reason::unavailable, {}, 0, name + " has no " + metadata::escaped(document_.name, 100)},
-                    false);
-            if (document_.firstWordOnMissing) {
+        } else if (response.statusCode == 404 || response.statusCode == 403) {
+            record.add(unavailable(name + " has no " + metadata::escaped(document_.name, 100)), false);
+            if (document_.oneMissingSuffices) {
                 mirrors_.answered(*mirror);
                 result = Result::missing;
             }
-            continue;  // a mirror that lags has not failed
+            continue;  // a mirror that lags behind has not failed
         } else {
-            const auto code = back.code ? " " + std::to_string(back.code) : std::string();
-            refused({Reason::unavailable, {}, 0, name + ": " + nameOf(back.ending) + code}, false);
+            record.add(noResponse(name, response), false);
         }
         mirrors_.failed(*mirror, loop_.now());
-        if (back.retryAfter > 0) mirrors_.rests(*mirror, loop_.now() + back.retryAfter);
+        if (response.retryAfter > 0) mirrors_.rests(*mirror, loop_.now() + response.retryAfter);
     }
-    ++counts_.closed;
-    const auto done = std::exchange(done_, nullptr);
-    // On a turn of its own: whoever is told may destroy this.
-    loop_.later([here = std::weak_ptr<char>(here_), done, result, why] {
-        if (!here.expired()) done(result, why);
+    finish(result, record.failure());
+}
+
+// On a turn of its own, since the handler may destroy this.
+void MirrorFetch::finish(Result result, const Refusal& failure) {
+    ++counts_.completed;
+    const auto onDone = std::exchange(onDone_, nullptr);
+    loop_.post([alive = std::weak_ptr<char>(lifetime_), onDone, result, failure] {
+        if (!alive.expired()) onDone(result, failure);
     });
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/mirror_fetch.hpp
+++ b/src/sidecar/mirror_fetch.hpp
@@ -1,5 +1,5 @@
-// One document from any of several mirrors: asked for at one at a time, at each once, until one gives what is
-// accepted. Ends with exactly one result.
+// One document from any of several mirrors: requested from one at a time, from each once, until one gives
+// what is accepted.
 #pragma once
 
 #include "metadata/mirrors.hpp"
@@ -7,47 +7,51 @@
 #include "sidecar/http_fetch.hpp"
 #include "sidecar/task.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-// What a client of mirrors has done, for logs and tests: every document asked for is closed once.
+/// Counts of a client of mirrors, for logs and tests: every document requested is completed once.
 struct FetchCounts {
-    std::size_t asked = 0, closed = 0, forwards = 0, resent = 0;
+    std::size_t requested = 0, completed = 0, attempts = 0, retries = 0;
 };
 
 class MirrorFetch {
   public:
     struct Document {
         std::string name;
-        std::size_t atMost = 0;
-        bool firstWordOnMissing = false;  // one mirror's 404 is enough (the end of the root chain)
+        std::size_t maxBytes = 0;
+        bool oneMissingSuffices = false;  ///< one mirror's 404 settles it: the end of the root chain
     };
     enum class Result { accepted, missing, refused };
-    // Judges the bytes of an answer, now or later, once; the bytes are its own.
-    using Accept = std::function<void(std::string bytes, std::function<void(metadata::Check)> judged)>;
-    using Done = std::function<void(Result, const metadata::Refusal&)>;
-
-    // done is called once, from the loop or from within start(), unless this is destroyed first.
-    MirrorFetch(Loop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-                metadata::Budget& budget, const metadata::Patience& patience, FetchCounts& counts);
-    void start(Document document, Accept accept, Done done);
+    /// Verifies the bytes of a response, which are its own, and calls `onVerified` once, now or later.
+    using OnVerified = std::function<void(metadata::Check)>;
+    using Verifier = std::function<void(std::string bytes, OnVerified onVerified)>;
+    /// The error explains a `refused`.
+    using ResultHandler = std::function<void(Result, const metadata::Refusal&)>;
+
+    /// All references must outlive it. `bases` are the mirrors' URLs, by their index in `mirrors`.
+    MirrorFetch(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
+                metadata::Budget& budget, const metadata::Patience& timeouts, FetchCounts& counts);
+    /// `onDone` is called once, from the loop, unless this is destroyed first; it may destroy this.
+    void start(Document document, Verifier verifier, ResultHandler onDone);
 
   private:
-    struct Sending;
-    struct Judging;
-    Task life();
+    struct ResponseAwaiter;
+    struct VerificationAwaiter;
+    Task run();
+    void finish(Result result, const metadata::Refusal& failure);
 
-    Loop& loop_;
+    EventLoop& loop_;
     metadata::Mirrors& mirrors_;
     const std::vector<Url>& bases_;
     metadata::Budget& budget_;
-    metadata::Patience patience_;
+    metadata::Patience timeouts_;
     FetchCounts& counts_;
     Document document_;
-    Accept accept_;
-    Done done_;
-    std::unique_ptr<Fetch> fetch_;
-    std::shared_ptr<char> here_ = std::make_shared<char>();  // for what is called later
-    Task life_;
+    Verifier verifier_;
+    ResultHandler onDone_;
+    std::unique_ptr<HttpFetch> fetch_;
+    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with it, for posted calls
+    Task task_;
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/mirror_server.cpp
+++ b/src/sidecar/mirror_server.cpp
@@ -2,86 +2,102 @@
 
 #include <algorithm>
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
+namespace {
 
-Mirror::Mirror(Loop& loop, const Address& listen, const Figures& figures)
-    : figures_(figures),
-      front_(
-          loop, listen, std::max<std::size_t>(figures.connections * 3 / 4, 1), figures.connections,
-          [this](std::unique_ptr<Caller> caller) { took(std::move(caller)); },
-          [this] { return !draining_ && !now_.empty(); }) {}
+constexpr Nanos kDrainRetryAfter = 1'000'000'000;
 
-void Mirror::publish(Set documents) {
+ConnectionLimits limitsOf(std::size_t connections) {
+    return {std::max<std::size_t>(connections * 3 / 4, 1), connections};
+}
+
+std::size_t sizeOf(const MirrorServer::DocumentSet& documents) {
     std::size_t bytes = 0;
-    for (const auto& [name, held] : documents) bytes += held->size();
-    while (bytes > figures_.mostBytes && !documents.empty()) {
+    for (const auto& [name, document] : documents) bytes += document->size();
+    return bytes;
+}
+
+}  // namespace
+
+MirrorServer::MirrorServer(EventLoop& loop, const Address& listen, const Limits& limits)
+    : limits_(limits),
+      server_(
+          loop, listen, limitsOf(limits.connections),
+          [this](std::unique_ptr<ClientRequest> request) { onRequest(std::move(request)); },
+          [this] { return !draining_ && !current_.empty(); }) {}
+
+void MirrorServer::publish(DocumentSet documents) {
+    auto bytes = sizeOf(documents);
+    while (bytes > limits_.cachedBytes && !documents.empty()) {
         const auto largest = std::max_element(documents.begin(), documents.end(), [](auto& one, auto& other) {
             return one.second->size() < other.second->size();
         });
-        log(Kind::overload, "the mirror leaves out " + largest->first + ", " +
-                                std::to_string(largest->second->size()) + " bytes");
-        bytes -= largest->second->size();
+        const auto size = largest->second->size();
+        log(LogEvent::overload,
+            "mirror cache full, not served: " + largest->first + ", " + std::to_string(size) + " bytes");
+        bytes -= size;
         documents.erase(largest);
     }
-    before_ = std::exchange(now_, std::move(documents));
+    previous_ = std::exchange(current_, std::move(documents));
     documentBytes_ = bytes;
-    for (const auto& [name, held] : before_) {
-        const auto still = now_.find(name);
-        if (still == now_.end() || still->second != held) documentBytes_ += held->size();
+    for (const auto& [name, document] : previous_) {
+        const auto same = current_.find(name);
+        if (same == current_.end() || same->second != document) documentBytes_ += document->size();
     }
-    if (documentBytes_ > figures_.mostBytes) {
-        before_.clear();
+    if (documentBytes_ > limits_.cachedBytes) {
+        previous_.clear();
         documentBytes_ = bytes;
     }
-    makeRoom(0);
+    evictTargets(0);
 }
 
-void Mirror::makeRoom(std::size_t bytes) {
-    while (!used_.empty() && documentBytes_ + targetBytes_ + bytes > figures_.mostBytes) {
-        const auto oldest = targets_.find(used_.front());
+void MirrorServer::evictTargets(std::size_t bytesNeeded) {
+    while (!targetUses_.empty() && cachedBytes() + bytesNeeded > limits_.cachedBytes) {
+        const auto oldest = targets_.find(targetUses_.front());
         targetBytes_ -= oldest->second.bytes->size();
         targets_.erase(oldest);
-        used_.pop_front();
+        targetUses_.pop_front();
     }
 }
 
-void Mirror::hold(const std::string& name, std::string bytes) {
-    if (holds(name)) return;
-    makeRoom(bytes.size());
-    if (documentBytes_ + targetBytes_ + bytes.size() > figures_.mostBytes) return;
+void MirrorServer::cacheTarget(const std::string& name, std::string bytes) {
+    if (hasTarget(name)) return;
+    evictTargets(bytes.size());
+    if (cachedBytes() + bytes.size() > limits_.cachedBytes) return;
     targetBytes_ += bytes.size();
-    used_.push_back(name);
-    targets_.emplace(name,
-                     Held{std::make_shared<const std::string>(std::move(bytes)), std::prev(used_.end())});
+    targetUses_.push_back(name);
+    const auto shared = std::make_shared<const std::string>(std::move(bytes));
+    targets_.emplace(name, CachedTarget{shared, std::prev(targetUses_.end())});
 }
 
-Mirror::Bytes Mirror::find(const std::string& path) {
-    const std::string_view metadata = metadataPath, targets = targetsPath;
+MirrorServer::Bytes MirrorServer::find(const std::string& path) {
+    const std::string_view metadata = kMetadataPath, targets = kTargetsPath;
     if (path.compare(0, metadata.size(), metadata) == 0) {
         const auto name = path.substr(metadata.size());
-        for (const auto* set : {&now_, &before_})
-            if (const auto found = set->find(name); found != set->end()) return found->second;
+        for (const auto* documents : {&current_, &previous_})
+            if (const auto found = documents->find(name); found != documents->end()) return found->second;
+    }
+    if (path.compare(0, targets.size(), targets) == 0) {
+        const auto found = targets_.find(path.substr(targets.size()));
+        if (found == targets_.end()) return nullptr;
+        targetUses_.splice(targetUses_.end(), targetUses_, found->second.use);
+        return found->second.bytes;
     }
-    if (path.compare(0, targets.size(), targets) == 0)
-        if (const auto found = targets_.find(path.substr(targets.size())); found != targets_.end()) {
-            used_.splice(used_.end(), used_, found->second.used);
-            return found->second.bytes;
-        }
     return nullptr;
 }
 
-void Mirror::took(std::unique_ptr<Caller> caller) {
-    if (caller->method() != EVHTTP_REQ_GET) return caller->refuse(405);
-    if (draining_) return caller->answer(503, {}, {}, 1'000'000'000);
-    const auto bytes = find(caller->path());
-    if (!bytes) return caller->answer(404);
+void MirrorServer::onRequest(std::unique_ptr<ClientRequest> request) {
+    if (request->method() != EVHTTP_REQ_GET) return request->refuse(405);
+    if (draining_) return request->respond(503, {}, {}, kDrainRetryAfter);
+    const auto bytes = find(request->path());
+    if (!bytes) return request->respond(404);
     ++served_;
-    caller->answer(200, bytes, "application/json");
+    request->respond(200, bytes, "application/json");
 }
 
-void Mirror::drain() {
+void MirrorServer::drain() {
     draining_ = true;
-    front_.closeAfterAnswers();
+    server_.drain();
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/mirror_server.hpp
+++ b/src/sidecar/mirror_server.hpp
@@ -1,6 +1,4 @@
-// This sidecar as a mirror for others: it serves what it has verified itself, and nothing else. A set goes
-// into service whole, once an update is over, so that nobody is given half of one; the set before stays for
-// those who are in the middle of theirs.
+// This sidecar as a metadata mirror for others: it serves what it has verified itself, and nothing else.
 #pragma once
 
 #include <list>
@@ -8,50 +6,54 @@
 
 #include "sidecar/http_server.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-class Mirror {
+/// A set of documents is published as a whole, once a refresh is complete, so that no client gets half of
+/// one. The set before stays available to clients that are in the middle of it.
+class MirrorServer {
   public:
     using Bytes = std::shared_ptr<const std::string>;
-    using Set = std::map<std::string, Bytes>;  // by file name
+    using DocumentSet = std::map<std::string, Bytes>;  ///< by file name
 
-    struct Figures {
+    struct Limits {
         std::size_t connections = 64;
-        std::size_t mostBytes = 32u << 20;  // of all that is held, connections' copies apart: there are none
+        std::size_t cachedBytes = 32u << 20;  ///< of all documents and targets
     };
 
-    Mirror(Loop& loop, const Address& listen, const Figures& figures);
+    /// Throws std::runtime_error if it cannot listen.
+    MirrorServer(EventLoop& loop, const Address& listen, const Limits& limits);
 
-    // A document that would go beyond the bound is left out, the largest first, and the log says so.
-    void publish(Set documents);
-    // A target's bytes, under the name they have in a consistent repository; the longest unused make room.
-    void hold(const std::string& name, std::string bytes);
-    bool holds(const std::string& name) const { return targets_.count(name) > 0; }
+    /// Documents beyond the limit are left out, the largest first, and logged.
+    void publish(DocumentSet documents);
+    /// Caches a target under the name that it has in a consistent repository; evicts the longest unused.
+    void cacheTarget(const std::string& name, std::string bytes);
+    bool hasTarget(const std::string& name) const { return targets_.count(name) > 0; }
 
-    void drain();  // readiness ends and each connection gets one answer more
-    Address address() const { return front_.address(); }
+    /// Graceful shutdown: it is no longer ready, and each connection gets one more response.
+    void drain();
+    Address address() const { return server_.address(); }
     std::size_t served() const { return served_; }
-    std::size_t bytesHeld() const { return documentBytes_ + targetBytes_; }
+    std::size_t cachedBytes() const { return documentBytes_ + targetBytes_; }
 
-    static constexpr const char* metadataPath = "/metadata/";
-    static constexpr const char* targetsPath = "/targets/";
+    static constexpr const char* kMetadataPath = "/metadata/";
+    static constexpr const char* kTargetsPath = "/targets/";
 
   private:
-    struct Held {
+    struct CachedTarget {
         Bytes bytes;
-        std::list<std::string>::iterator used;
+        std::list<std::string>::iterator use;  // in targetUses_
     };
-    void took(std::unique_ptr<Caller> caller);
+    void onRequest(std::unique_ptr<ClientRequest> request);
     Bytes find(const std::string& path);
-    void makeRoom(std::size_t bytes);
+    void evictTargets(std::size_t bytesNeeded);
 
-    Figures figures_;
-    Set now_, before_;
-    std::map<std::string, Held> targets_;
-    std::list<std::string> used_;  // the longest unused first
+    Limits limits_;
+    DocumentSet current_, previous_;
+    std::map<std::string, CachedTarget> targets_;
+    std::list<std::string> targetUses_;  // the longest unused first
     std::size_t documentBytes_ = 0, targetBytes_ = 0, served_ = 0;
     bool draining_ = false;
-    Front front_;
+    HttpServer server_;
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/peer_transport.cpp
+++ b/src/sidecar/peer_transport.cpp
@@ -10,52 +10,53 @@
 
 #include "policy/gossip.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 namespace {
 
+constexpr int kDatagramsAtOnce = 64;  // then other events get their turn
+
 sockaddr_in socketAddress(const Address& address) {
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_port = htons(address.port);
-    inet_pton(AF_INET, address.host.c_str(), &where.sin_addr);
-    return where;
+    sockaddr_in result{};
+    result.sin_family = AF_INET;
+    result.sin_port = htons(address.port);
+    inet_pton(AF_INET, address.host.c_str(), &result.sin_addr);
+    return result;
 }
 
 }  // namespace
 
-Peers::Peers(Loop& loop, const std::optional<Address>& listen, const std::vector<Address>& peers,
-             const std::optional<Address>& all, Heard heard)
-    : peers_(peers), all_(all), heard_(std::move(heard)) {
+PeerTransport::PeerTransport(EventLoop& loop, const std::optional<Address>& listen,
+                             const std::vector<Address>& peers, const std::optional<Address>& broadcast,
+                             MessageHandler onMessage)
+    : peers_(peers), broadcast_(broadcast), onMessage_(std::move(onMessage)) {
     if (!listen) return;
     socket_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    const auto where = socketAddress(*listen);
-    if (socket_ < 0 || bind(socket_, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) {
-        const std::string why = std::strerror(errno);
+    const auto local = socketAddress(*listen);
+    if (socket_ < 0 || bind(socket_, reinterpret_cast<const sockaddr*>(&local), sizeof local) != 0) {
+        const std::string failure = std::strerror(errno);
         if (socket_ >= 0) close(socket_);
-        throw std::runtime_error("cannot take datagrams on " + listen->text() + ": " + why);
+        throw std::runtime_error("cannot take datagrams on " + listen->text() + ": " + failure);
     }
-    watch_.emplace(loop, socket_, Watch::readable, [this] { read(); });
+    watch_.emplace(loop, socket_, EventWatch::kReadable, [this] { receive(); });
 }
 
-Peers::~Peers() {
+PeerTransport::~PeerTransport() {
     watch_.reset();
     if (socket_ >= 0) close(socket_);
 }
 
-void Peers::tell(int peer, const std::string& bytes) {
-    if (socket_ < 0 || bytes.size() > maxMessage || peer >= static_cast<int>(peers_.size())) return;
-    if (peer < 0 && !all_) return;
-    const auto where = socketAddress(peer < 0 ? *all_ : peers_[static_cast<std::size_t>(peer)]);
-    // A datagram that cannot go out is lost, as any may be.
-    if (sendto(socket_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&where),
-               sizeof where) < 0)
-        log(Kind::peer, std::string("cannot send a datagram: ") + std::strerror(errno));
+void PeerTransport::send(int peer, const std::string& bytes) {
+    if (socket_ < 0 || bytes.size() > kMaxMessageBytes || peer >= static_cast<int>(peers_.size())) return;
+    if (peer < 0 && !broadcast_) return;
+    const auto remote = socketAddress(peer < 0 ? *broadcast_ : peers_[static_cast<std::size_t>(peer)]);
+    if (sendto(socket_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&remote),
+               sizeof remote) < 0)
+        log(LogEvent::peer, std::string("cannot send a datagram: ") + std::strerror(errno));
 }
 
-void Peers::read() {
-    constexpr int atOnce = 64;  // then others get their turn
-    char bytes[maxMessage + 1];
-    for (int turn = 0; turn < atOnce; ++turn) {
+void PeerTransport::receive() {
+    char bytes[kMaxMessageBytes + 1];
+    for (int turn = 0; turn < kDatagramsAtOnce; ++turn) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
         const auto length =
@@ -64,14 +65,14 @@
         char host[INET_ADDRSTRLEN];
         const Address sender{inet_ntop(AF_INET, &from.sin_addr, host, sizeof host), ntohs(from.sin_port)};
         const auto known = std::find(peers_.begin(), peers_.end(), sender);
-        if (known == peers_.end() || length > static_cast<ssize_t>(maxMessage)) {
-            log(Kind::peer,
+        if (known == peers_.end() || length > static_cast<ssize_t>(kMaxMessageBytes)) {
+            log(LogEvent::peer,
                 "dropped a datagram of " + std::to_string(length) + " bytes from " + sender.text());
             continue;
         }
-        heard_(static_cast<int>(known - peers_.begin()),
-               std::string(bytes, static_cast<std::size_t>(length)));
+        onMessage_(static_cast<int>(known - peers_.begin()),
+                   std::string(bytes, static_cast<std::size_t>(length)));
     }
 }
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
--- a/src/sidecar/peer_transport.hpp
+++ b/src/sidecar/peer_transport.hpp
@@ -1,31 +1,34 @@
-// Messages between sidecars: one UDP datagram each.
+// Messages between sidecars: one UDP datagram each, which may be lost.
 #pragma once
 
 #include <optional>
 
 #include "sidecar/connection.hpp"
 
-namespace lichenlanding::net {
+namespace lichenlanding::sidecar {
 
-class Peers {
+class PeerTransport {
   public:
-    using Heard = std::function<void(int peer, const std::string& bytes)>;
+    using MessageHandler = std::function<void(int peer, const std::string& bytes)>;
 
-    Peers(Loop& loop, const std::optional<Address>& listen, const std::vector<Address>& peers,
-          const std::optional<Address>& all, Heard heard);
-    ~Peers();
-    Peers(const Peers&) = delete;
+    /// Without `listen` nothing is sent or received. `broadcast`: where datagrams to all peers go. Datagrams
+    /// from addresses that are not among `peers` are dropped. Throws std::runtime_error if it cannot listen.
+    PeerTransport(EventLoop& loop, const std::optional<Address>& listen, const std::vector<Address>& peers,
+                  const std::optional<Address>& broadcast, MessageHandler onMessage);
+    ~PeerTransport();
+    PeerTransport(const PeerTransport&) = delete;
 
-    void tell(int peer, const std::string& bytes);  // below 0: all of them
+    /// To one peer, or to all of them if `peer` is below 0. What cannot be sent is lost.
+    void send(int peer, const std::string& bytes);
 
   private:
-    void read();
+    void receive();
 
     std::vector<Address> peers_;
-    std::optional<Address> all_;
-    Heard heard_;
+    std::optional<Address> broadcast_;
+    MessageHandler onMessage_;
     int socket_ = -1;
-    std::optional<Watch> watch_;
+    std::optional<EventWatch> watch_;
 };
 
-}  // namespace lichenlanding::net
+}  // namespace lichenlanding::sidecar
