--- a/tests/sidecar/trust_manager.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -26,11 +26,11 @@
 }
 
 // A town whose sidecar asks stand-in mirrors. Each mirror serves `files` unless a script says otherwise.
-struct TrustTown : Town {
+struct TrustFixture : SidecarFixture {
     using Script =
-        std::function<bool(StandIn&, evhttp_request*, const std::string& name)>;  // true: it has answered
+        std::function<bool(HttpStandIn&, evhttp_request*, const std::string& name)>;  // true: it has answered
 
-    explicit TrustTown(int count = 1) : repository(true, wall()) {
+    explicit TrustFixture(int count = 1) : repository(true, wall()) {
         repository.target("targets", "releases/5", "five");
         repository.publish();
         files = repository.files;
@@ -40,9 +40,9 @@
         trust.emplace();
         trust->root = folder + ".root";
         trust->builds = "releases/{build}";
-        trust->rhythm = {100 * ms, 50 * ms, 200 * ms};
+        trust->rhythm = {100 * kMs, 50 * kMs, 200 * kMs};
         for (int one = 0; one < count; ++one) {
-            mirrors.push_back(std::make_unique<StandIn>(loop, [this, one](auto& at, auto* call) {
+            mirrors.push_back(std::make_unique<HttpStandIn>(loop, [this, one](auto& at, auto* call) {
                 const std::string uri = evhttp_request_get_uri(call);
                 const auto name = uri.substr(uri.rfind('/') + 1);
                 const auto& script = scripts[static_cast<std::size_t>(one)];
@@ -51,78 +51,80 @@
                     for (const auto& [path, bytes] : repository.contents)
                         if (uri == "/targets/releases/" + digest("sha256", bytes) +
                                        path.substr(8).replace(0, 1, "."))
-                            return at.answer(call, 200, bytes);
-                    return at.answer(call, 404, "");
+                            return at.respond(call, 200, bytes);
+                    return at.respond(call, 404, "");
                 }
                 const auto file = files.find(name);
-                if (file == files.end()) at.answer(call, 404, "");
-                else at.answer(call, 200, file->second);
+                if (file == files.end()) at.respond(call, 404, "");
+                else at.respond(call, 200, file->second);
             }));
             const auto address = mirrors.back()->address;
             trust->metadata.push_back({{address, "/metadata"}, false});
             trust->targets.push_back({{address, "/targets"}, false});
         }
     }
-    ~TrustTown() {
+    ~TrustFixture() {
         sidecar.reset();
         std::filesystem::remove_all(folder);
         std::filesystem::remove(folder + ".root");
     }
-    Attestation word(int build) { return sidecar->trust()->builds().told(build); }
-    const net::Trust::Counts& counts() { return sidecar->trust()->counts(); }
+    Attestation attestationOf(int build) { return sidecar->trust()->builds().told(build); }
+    const sidecar::TrustManager::Counts& counts() { return sidecar->trust()->counts(); }
     // Until another refresh is over; its refusal, or nothing.
     std::string nextRefresh() {
         const auto asked = counts().refreshes;
-        until([&] { return counts().refreshes >= asked + 2; });  // the second one saw what was set before it
+        runUntil(
+            [&] { return counts().refreshes >= asked + 2; });  // the second one saw what was set before it
         return sidecar->trust()->lastRefusal();
     }
     // Hits go on meanwhile, few at once, so that none is bounced: each is answered once, with a pod's answer.
-    void hits(int count) {
+    void sendRequests(int count) {
         for (int one = 0; one < count; ++one) {
-            answers.push_back(ask("read"));
-            until([&] { return answers.size() < 2 || answers[answers.size() - 2]->has_value(); });
+            responses.push_back(sendRequest("read"));
+            runUntil([&] { return responses.size() < 2 || responses[responses.size() - 2]->has_value(); });
         }
     }
-    void allAnswered() {
-        until([&] {
-            return std::all_of(answers.begin(), answers.end(), [](auto& one) { return one->has_value(); });
+    void finishRequests() {
+        runUntil([&] {
+            return std::all_of(responses.begin(), responses.end(),
+                               [](auto& one) { return one->has_value(); });
         });
-        for (const auto& one : answers) CHECK((*one)->code == 200);
-        until([&] { return sidecar->open() == 0; });
-        CHECK(counts().fetches.asked - counts().fetches.closed <= 1);
+        for (const auto& one : responses) CHECK((*one)->statusCode == 200);
+        runUntil([&] { return sidecar->requestsInFlight() == 0; });
+        CHECK(counts().fetches.requested - counts().fetches.completed <= 1);
     }
 
     Repository repository;
     std::map<std::string, std::string> files;  // what mirrors serve
     std::string folder;
     std::vector<Script> scripts;
-    std::vector<std::unique_ptr<StandIn>> mirrors;
-    std::vector<Asked> answers;
+    std::vector<std::unique_ptr<HttpStandIn>> mirrors;
+    std::vector<PendingResponse> responses;
 };
 
 }  // namespace
 
 TEST_CASE("rolled-back, expired and mixed sets are refused in service, and every hit is closed once") {
-    TrustTown town;
-    town.trust->folder = town.folder;
-    town.start(2);
-    std::stringstream tape;
+    TrustFixture fixture;
+    fixture.trust->directory = fixture.folder;
+    fixture.start(2);
+    std::stringstream trace;
     const auto serve = [&](const char* what, const std::map<std::string, std::string>& files) {
-        town.files = files;
-        town.hits(20);
-        const auto said = town.nextRefresh();
-        tape << what << ": " << (said.empty() ? "accepted" : masked(said.substr(0, said.find(": at "))))
-             << '\n';
+        fixture.files = files;
+        fixture.sendRequests(20);
+        const auto said = fixture.nextRefresh();
+        trace << what << ": " << (said.empty() ? "accepted" : masked(said.substr(0, said.find(": at "))))
+              << '\n';
     };
-    const auto old = town.repository.files;
+    const auto old = fixture.repository.files;
     serve("first", old);
-    town.repository.target("targets", "releases/6", "six");
-    town.repository.publish();
-    const auto now = town.repository.files;
+    fixture.repository.target("targets", "releases/6", "six");
+    fixture.repository.publish();
+    const auto now = fixture.repository.files;
     serve("second", now);
     serve("rolled back", old);
     auto files = now;
-    Repository later = town.repository;
+    Repository later = fixture.repository;
     later.target("targets", "releases/7", "seven");
     later.publish();
     files = later.files;
@@ -136,90 +138,90 @@
     serve("another's", stranger.files);
     serve("nothing at all", {});
     serve("the good one again", later.files);
-    town.allAnswered();
-    CHECK(town.forwards == static_cast<int>(town.answers.size()));
-    CHECK(town.counts().fetches.resent == 0);  // one mirror: nowhere to ask again
-    matchesTrace("metadata-in-service", tape.str());
+    fixture.finishRequests();
+    CHECK(fixture.attempts == static_cast<int>(fixture.responses.size()));
+    CHECK(fixture.counts().fetches.retries == 0);  // one mirror: nowhere to ask again
+    matchesTrace("metadata-in-service", trace.str());
 }
 
 TEST_CASE("a timestamp runs out in a busy hour: builds lose their word, hits do not notice") {
-    TrustTown town;
-    town.repository.timestampUntil = wall() + 3;
-    town.repository.publish();
-    town.files = town.repository.files;
-    town.change = [](net::Config& config) {
-        config.known->lines[0].build = 4;
-        config.news = net::StageNews{5, 0, Standing::trial, 0.5, 0};
+    TrustFixture fixture;
+    fixture.repository.timestampUntil = wall() + 3;
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    fixture.changeConfig = [](sidecar::Config& config) {
+        config.endpoints->entries[0].build = 4;
+        config.rollout = sidecar::RolloutUpdate{5, 0, RolloutState::testing, 0.5, 0};
     };
-    town.start(2);
-    town.until([&] { return town.word(5) == Attestation::valid; });
-    town.scripts[0] = [](auto& at, auto* call, auto&) { return at.answer(call, 500, ""), true; };
-    while (wall() <= town.repository.timestampUntil + 1) {
-        town.hits(1);
-        town.until([&] { return town.answers.back()->has_value(); });
+    fixture.start(2);
+    fixture.runUntil([&] { return fixture.attestationOf(5) == Attestation::valid; });
+    fixture.scripts[0] = [](auto& at, auto* call, auto&) { return at.respond(call, 500, ""), true; };
+    while (wall() <= fixture.repository.timestampUntil + 1) {
+        fixture.sendRequests(1);
+        fixture.runUntil([&] { return fixture.responses.back()->has_value(); });
     }
-    town.allAnswered();
-    CHECK(town.word(5) == Attestation::none);
-    CHECK(town.sidecar->trust()->lastRefusal() ==
-          "root: unavailable: " + town.mirrors[0]->address.text() + ": failed 500");
-    town.scripts[0] = nullptr;
-    town.repository.timestampUntil = wall() + 3600;
-    town.repository.publish();
-    town.files = town.repository.files;
-    CHECK(town.nextRefresh().empty());
+    fixture.finishRequests();
+    CHECK(fixture.attestationOf(5) == Attestation::none);
+    CHECK(fixture.sidecar->trust()->lastRefusal() ==
+          "root: unavailable: " + fixture.mirrors[0]->address.text() + ": error response 500");
+    fixture.scripts[0] = nullptr;
+    fixture.repository.timestampUntil = wall() + 3600;
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    CHECK(fixture.nextRefresh().empty());
 }
 
 TEST_CASE("a build whose metadata are withdrawn is voted back") {
-    TrustTown town;
+    TrustFixture fixture;
     std::vector<std::string> votes;
-    town.change = [](net::Config& config) {
-        config.settings.control = Control::single;
-        config.news = net::StageNews{5, 0, Standing::trial, 0.5, 0};
+    fixture.changeConfig = [](sidecar::Config& config) {
+        config.settings.voteMode = VoteMode::single;
+        config.rollout = sidecar::RolloutUpdate{5, 0, RolloutState::testing, 0.5, 0};
     };
-    town.start(1);
-    town.platform.reset();
-    CHECK(town.nextRefresh().empty());
-    StandIn desk(town.loop, [&](auto& at, auto* call) {
+    fixture.start(1);
+    fixture.platform.reset();
+    CHECK(fixture.nextRefresh().empty());
+    HttpStandIn desk(fixture.loop, [&](auto& at, auto* call) {
         if (evhttp_request_get_command(call) != EVHTTP_REQ_POST) return at.hold(call);
-        votes.push_back(StandIn::bodyOf(call));
-        at.answer(call, 409, "{\"error\":\"STALE\"}");
+        votes.push_back(HttpStandIn::bodyOf(call));
+        at.respond(call, 409, "{\"error\":\"STALE\"}");
     });
-    net::Config moved;
-    moved.discovery = town.registry->address, moved.platform = desk.address;
-    town.sidecar->reload(moved);
-    CHECK(town.nextRefresh().empty());
+    sidecar::Config moved;
+    moved.discovery = fixture.discovery->address, moved.platform = desk.address;
+    fixture.sidecar->reload(moved);
+    CHECK(fixture.nextRefresh().empty());
     const auto before = votes.size();
     for (const auto& vote : votes) CHECK(vote.find("ROLLBACK") == std::string::npos);
-    town.repository.target("targets", "releases/5", "five", {{"withdrawn", true}});
-    town.repository.publish();
-    town.files = town.repository.files;
-    town.until([&] { return votes.size() > before; });
+    fixture.repository.target("targets", "releases/5", "five", {{"withdrawn", true}});
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    fixture.runUntil([&] { return votes.size() > before; });
     CHECK(votes.back().find("\"image\":5") != std::string::npos);
     CHECK(votes.back().find("ROLLBACK") != std::string::npos);
 }
 
 TEST_CASE("mirrors that babble, hang, cut or lie: another one gives the document, each is closed once") {
-    std::stringstream tape;
-    const auto play = [&](const char* what, const TrustTown::Script& script) {
-        TrustTown town(2);
-        town.trust->patience.within = 300 * ms;
+    std::stringstream trace;
+    const auto play = [&](const char* what, const TrustFixture::Script& script) {
+        TrustFixture fixture(2);
+        fixture.trust->timeouts.within = 300 * kMs;
         int spoilt = -1;  // whichever is asked first
         for (int one = 0; one < 2; ++one)
-            town.scripts[static_cast<std::size_t>(one)] = [&, one](auto& at, auto* call, auto& name) {
+            fixture.scripts[static_cast<std::size_t>(one)] = [&, one](auto& at, auto* call, auto& name) {
                 if (spoilt < 0) spoilt = one;
                 return one == spoilt && script(at, call, name);
             };
-        town.start(1);
-        town.hits(5);
+        fixture.start(1);
+        fixture.sendRequests(5);
         // Until the spoilt mirror has been asked, in some refresh, and the good one has answered it.
-        town.until([&] { return town.counts().fetches.resent > 0; });
-        town.until([&] { return town.counts().refreshes > 1; });
-        CHECK(town.sidecar->trust()->lastRefusal().empty());
-        town.allAnswered();
-        tape << what << ": accepted from the other\n";
+        fixture.runUntil([&] { return fixture.counts().fetches.retries > 0; });
+        fixture.runUntil([&] { return fixture.counts().refreshes > 1; });
+        CHECK(fixture.sidecar->trust()->lastRefusal().empty());
+        fixture.finishRequests();
+        trace << what << ": accepted from the other\n";
     };
     const auto raw = [](auto& at, auto* call, const std::string& bytes) {
-        at.raw(call, bytes);
+        at.sendRaw(call, bytes);
         return true;
     };
     const std::string ok = "HTTP/1.1 200 OK\r\n";
@@ -242,12 +244,12 @@
     play("two lengths", [&](auto& at, auto* call, auto&) {
         return raw(at, call, ok + "Content-Length: 2\r\nContent-Length: 3\r\n\r\n{} ");
     });
-    play("a redirection", [](auto& at, auto* call, auto&) { return at.answer(call, 302, ""), true; });
+    play("a redirection", [](auto& at, auto* call, auto&) { return at.respond(call, 302, ""), true; });
     play("a document of no one", [](auto& at, auto* call, auto& name) {
         if (name != "timestamp.json") return false;
-        return at.answer(call, 200, "{\"signed\": {}, \"signatures\": []}"), true;
+        return at.respond(call, 200, "{\"signed\": {}, \"signatures\": []}"), true;
     });
-    matchesTrace("metadata-mirrors", tape.str());
+    matchesTrace("metadata-mirrors", trace.str());
 }
 
 TEST_CASE("an answer cut at every byte is never taken, and never taken for whole") {
@@ -259,25 +261,26 @@
     for (const bool byClose : {false, true}) {
         int accepted = 0, refused = 0;
         for (const auto cut : cuts) {
-            Town town;
-            net::Loop loop;
-            StandIn mirror(loop, [&](auto& at, auto* call) {
+            SidecarFixture fixture;
+            sidecar::EventLoop loop;
+            HttpStandIn mirror(loop, [&](auto& at, auto* call) {
                 const auto head =
                     byClose
                         ? std::string("HTTP/1.0 200 OK\r\n\r\n")
                         : "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(whole.size()) + "\r\n\r\n";
-                at.raw(call, head + whole.substr(0, cut));
-                at.cut(call);
+                at.sendRaw(call, head + whole.substr(0, cut));
+                at.disconnect(call);
             });
-            std::optional<net::Fetched> back;
-            net::Fetch fetch(loop, {mirror.address, "/timestamp.json"}, 16'384, 5000 * ms, 20'000 * ms,
-                             [&](net::Fetched came) { back = std::move(came); });
-            town.until([&] {
-                loop.turn();
+            std::optional<sidecar::FetchResponse> back;
+            sidecar::HttpFetch fetch(loop, {mirror.address, "/timestamp.json"}, 16'384, 5000 * kMs,
+                                     20'000 * kMs,
+                                     [&](sidecar::FetchResponse came) { back = std::move(came); });
+            fixture.runUntil([&] {
+                loop.runOnce();
                 return back.has_value();
             });
             auto set = TrustedSet::start(repository.firstRoot(), wall());
-            const bool good = back->ending == net::Ending::answered && !set->timestamp(back->body);
+            const bool good = back->result == sidecar::CallResult::succeeded && !set->timestamp(back->body);
             (good ? accepted : refused) += 1;
             // Without its last byte, a newline, the document is whole all the same.
             CHECK(good == (cut == whole.size() || (byClose && cut == whole.size() - 1)));
@@ -288,88 +291,88 @@
 }
 
 TEST_CASE("nothing new goes to a mirror that drains, or asks to be left alone") {
-    TrustTown town(3);
-    town.trust->metadata[1].draining = true;
+    TrustFixture fixture(3);
+    fixture.trust->metadata[1].draining = true;
     int alone = -1;  // whichever is asked first wants to be left alone
     for (const int one : {0, 2})
-        town.scripts[static_cast<std::size_t>(one)] = [&alone, one](auto& at, auto* call, auto&) {
+        fixture.scripts[static_cast<std::size_t>(one)] = [&alone, one](auto& at, auto* call, auto&) {
             if (alone < 0) alone = one;
             if (alone != one) return false;
-            return at.answer(call, 503, "", {{"Retry-After", "600"}}), true;
+            return at.respond(call, 503, "", {{"Retry-After", "600"}}), true;
         };
-    town.start(1);
-    while (town.counts().refreshes < 12) CHECK(town.nextRefresh().empty());
-    CHECK(town.mirrors[1]->seen.empty());
+    fixture.start(1);
+    while (fixture.counts().refreshes < 12) CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.mirrors[1]->requestPaths.empty());
     REQUIRE(alone >= 0);
-    CHECK(town.mirrors[static_cast<std::size_t>(alone)]->seen.size() == 1);
+    CHECK(fixture.mirrors[static_cast<std::size_t>(alone)]->requestPaths.size() == 1);
     const auto used = static_cast<std::size_t>(2 - alone);
     // The operator turns it round: the one in use drains.
-    auto config = *town.trust;
+    auto config = *fixture.trust;
     config.metadata[1].draining = false, config.metadata[used].draining = true;
-    town.sidecar->reload(config);
-    town.nextRefresh();
-    const auto before = town.mirrors[used]->seen.size();
-    town.nextRefresh();
-    town.nextRefresh();
-    CHECK(town.mirrors[used]->seen.size() == before);
-    CHECK(!town.mirrors[1]->seen.empty());
-    town.hits(3);
-    town.allAnswered();
+    fixture.sidecar->reload(config);
+    fixture.nextRefresh();
+    const auto before = fixture.mirrors[used]->requestPaths.size();
+    fixture.nextRefresh();
+    fixture.nextRefresh();
+    CHECK(fixture.mirrors[used]->requestPaths.size() == before);
+    CHECK(!fixture.mirrors[1]->requestPaths.empty());
+    fixture.sendRequests(3);
+    fixture.finishRequests();
 }
 
 TEST_CASE("a new file while a document is out: it ends first, and then fewer mirrors are asked") {
-    TrustTown town(3);
-    for (auto& script : town.scripts)
+    TrustFixture fixture(3);
+    for (auto& script : fixture.scripts)
         script = [](auto& at, auto* call, auto&) { return at.hold(call), true; };
-    town.trust->patience.within = 5000 * ms;
-    town.start(1);
+    fixture.trust->timeouts.within = 5000 * kMs;
+    fixture.start(1);
     const auto held = [&] {
         for (std::size_t one = 0; one < 3; ++one)
-            if (!town.mirrors[one]->held.empty()) return static_cast<int>(one);
+            if (!fixture.mirrors[one]->pending.empty()) return static_cast<int>(one);
         return -1;
     };
-    town.until([&] { return held() >= 0; });
+    fixture.runUntil([&] { return held() >= 0; });
     const auto asked = static_cast<std::size_t>(held()), kept = (asked + 1) % 3, dropped = (asked + 2) % 3;
-    auto config = *town.trust;
-    config.metadata = {town.trust->metadata[kept]}, config.targets = {town.trust->targets[kept]};
-    town.sidecar->reload(config);
-    for (auto& script : town.scripts) script = nullptr;
-    town.mirrors[asked]->answerHeld(500, "");
-    CHECK(town.nextRefresh().empty());
-    CHECK(town.mirrors[asked]->seen.size() == 1);
-    CHECK(town.mirrors[dropped]->seen.empty());
-    CHECK(!town.mirrors[kept]->seen.empty());
-    town.hits(3);
-    town.allAnswered();
+    auto config = *fixture.trust;
+    config.metadata = {fixture.trust->metadata[kept]}, config.targets = {fixture.trust->targets[kept]};
+    fixture.sidecar->reload(config);
+    for (auto& script : fixture.scripts) script = nullptr;
+    fixture.mirrors[asked]->respondToPending(500, "");
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.mirrors[asked]->requestPaths.size() == 1);
+    CHECK(fixture.mirrors[dropped]->requestPaths.empty());
+    CHECK(!fixture.mirrors[kept]->requestPaths.empty());
+    fixture.sendRequests(3);
+    fixture.finishRequests();
 }
 
 TEST_CASE("a sidecar serves on what it has verified, whole sets, bounded, while it takes hits") {
-    TrustTown town;
-    town.trust->serve = net::Address{"127.0.0.1", 0};
-    town.trust->serveConnections = 8, town.trust->serveBytes = 100'000;
+    TrustFixture fixture;
+    fixture.trust->serve = sidecar::Address{"127.0.0.1", 0};
+    fixture.trust->serveConnections = 8, fixture.trust->serveBytes = 100'000;
     for (int build = 6; build < 12; ++build)
-        town.repository.target("targets", "releases/" + std::to_string(build),
-                               std::string(20'000, static_cast<char>('a' + build)));
-    town.repository.publish();
-    town.files = town.repository.files;
-    town.change = [](net::Config& config) {
-        config.known->lines.push_back({"s-x", "127.0.0.1:1", "a", 7});
-        config.known->lines.push_back({"s-y", "127.0.0.1:1", "a", 8});
+        fixture.repository.target("targets", "releases/" + std::to_string(build),
+                                  std::string(20'000, static_cast<char>('a' + build)));
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    fixture.changeConfig = [](sidecar::Config& config) {
+        config.endpoints->entries.push_back({"s-x", "127.0.0.1:1", "a", 7});
+        config.endpoints->entries.push_back({"s-y", "127.0.0.1:1", "a", 8});
     };
-    town.start(2);
-    const auto* mirror = town.sidecar->trust()->mirror();
-    town.until([&] { return mirror->bytesHeld() > 40'000; });
-    CHECK(mirror->bytesHeld() <= 100'000);
+    fixture.start(2);
+    const auto* mirror = fixture.sidecar->trust()->mirror();
+    fixture.runUntil([&] { return mirror->cachedBytes() > 40'000; });
+    CHECK(mirror->cachedBytes() <= 100'000);
     // Many clients at once, more than it has room for, each with a whole update; hits beside them.
-    const auto base = net::Url{mirror->address(), "/metadata"};
+    const auto base = sidecar::Url{mirror->address(), "/metadata"};
     int done = 0, refused = 0;
     struct Other {
-        explicit Other(const net::Url& base) : bases{base} {}
+        explicit Other(const sidecar::Url& base) : bases{base} {}
         metadata::Mirrors mirrors{{"sidecar"}, 1};
-        std::vector<net::Url> bases;
-        std::unique_ptr<net::TrustStore> store = net::TrustStore::inMemory();
-        net::FetchCounts counts;
-        std::unique_ptr<net::Refresh> refresh;
+        std::vector<sidecar::Url> bases;
+        std::unique_ptr<sidecar::TrustStore> store = sidecar::TrustStore::inMemory();
+        sidecar::FetchCounts counts;
+        std::unique_ptr<sidecar::MetadataRefresh> refresh;
     };
     std::vector<std::unique_ptr<Other>> others;
     std::vector<std::unique_ptr<RawClient>> silent;
@@ -377,29 +380,28 @@
     for (int one = 0; one < 30; ++one) {
         auto& other = *others.emplace_back(std::make_unique<Other>(base));
         std::string said;
-        auto set = other.store->start(town.repository.firstRoot(), wall(), said);
+        auto set = other.store->start(fixture.repository.firstRoot(), wall(), said);
         REQUIRE(set);
         Update update(std::move(*set), *other.store);
         update.lookFor("releases/7");
-        other.refresh = std::make_unique<net::Refresh>(town.loop, other.mirrors, other.bases, *other.store,
-                                                       std::move(update), metadata::Patience{}, other.counts,
-                                                       nullptr, [&](net::Refresh& over) {
-                                                           if (over.refusal()) ++refused;
-                                                           else if (over.update().found().at("releases/7"))
-                                                               ++done;
-                                                       });
+        other.refresh = std::make_unique<sidecar::MetadataRefresh>(
+            fixture.loop, other.mirrors, other.bases, *other.store, std::move(update), metadata::Patience{},
+            other.counts, nullptr, [&](sidecar::MetadataRefresh& over) {
+                if (over.refusal()) ++refused;
+                else if (over.update().found().at("releases/7")) ++done;
+            });
         other.refresh->start();
-        town.hits(2);
+        fixture.sendRequests(2);
     }
-    town.until([&] { return done + refused == 30; });
+    fixture.runUntil([&] { return done + refused == 30; });
     // Those who found no room were told so or cut, and were given nothing half: the first try of each.
     CHECK(done >= 8);
-    for (const auto& other : others) CHECK(other->counts.asked == other->counts.closed);
-    town.allAnswered();
+    for (const auto& other : others) CHECK(other->counts.requested == other->counts.completed);
+    fixture.finishRequests();
     const auto seen = [&](const std::string& path, const char* method = "GET") {
         RawClient client(mirror->address());
-        client.say(std::string(method) + " " + path + " HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n");
-        town.until([&] { return client.read().size() > 12; });
+        client.write(std::string(method) + " " + path + " HTTP/1.1\r\nHost: m\r\nContent-Length: 0\r\n\r\n");
+        fixture.runUntil([&] { return client.read().size() > 12; });
         return client.read().substr(9, 3);
     };
     CHECK(seen("/metadata/1.root.json") == "200");
@@ -407,106 +409,106 @@
     CHECK(seen("/metadata/../root.json") == "404");
     CHECK(seen("/metadata/rel.json") == "404");
     CHECK(seen("/metadata/timestamp.json", "POST") == "405");
-    CHECK(seen("/targets/releases/" + digest("sha256", town.repository.contents.at("releases/7")) + ".7") ==
-          "200");
+    CHECK(seen("/targets/releases/" + digest("sha256", fixture.repository.contents.at("releases/7")) +
+               ".7") == "200");
     CHECK(seen("/health/ready") == "200");
     // It stops: new requests are turned away, with advice, and then it ends.
-    town.sidecar->stop();
+    fixture.sidecar->stop();
     RawClient late(mirror->address());
-    late.say("GET /metadata/timestamp.json HTTP/1.1\r\nHost: m\r\n\r\n");
-    town.until([&] { return late.read().find("Retry-After") != std::string::npos; });
+    late.write("GET /metadata/timestamp.json HTTP/1.1\r\nHost: m\r\n\r\n");
+    fixture.runUntil([&] { return late.read().find("Retry-After") != std::string::npos; });
     CHECK(late.read().substr(9, 3) == "503");
 }
 
 TEST_CASE(
     "without a folder that lasts trust starts from the shipped root, and from the kept one where it does") {
-    TrustTown town;
-    town.trust->folder = "/dev/null/nowhere";
-    town.start(1);
-    CHECK(town.nextRefresh().empty());
-    town.sidecar.reset();
+    TrustFixture fixture;
+    fixture.trust->directory = "/dev/null/nowhere";
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().empty());
+    fixture.sidecar.reset();
     // In a folder: a restart takes up where it was, and an old mirror is found out.
-    const auto old = town.files;
-    town.trust->folder = town.folder;
-    town.repository.target("targets", "releases/6", "six");
-    town.repository.publish();
-    town.files = town.repository.files;
-    town.pods.clear();
-    town.start(1);
-    CHECK(town.nextRefresh().empty());
-    CHECK(!net::TrustStore::open(town.folder));  // another process
-    CHECK(net::TrustStore::open(town.folder).refusal().reason == Reason::busy);
-    town.sidecar.reset();
-    town.files = old;
-    town.pods.clear();
-    town.start(1);
-    CHECK(town.nextRefresh().substr(0, 19) == "timestamp: rollback");
-    town.sidecar.reset();
+    const auto old = fixture.files;
+    fixture.trust->directory = fixture.folder;
+    fixture.repository.target("targets", "releases/6", "six");
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    fixture.pods.clear();
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(!sidecar::TrustStore::open(fixture.folder));  // another process
+    CHECK(sidecar::TrustStore::open(fixture.folder).refusal().reason == Reason::busy);
+    fixture.sidecar.reset();
+    fixture.files = old;
+    fixture.pods.clear();
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().substr(0, 19) == "timestamp: rollback");
+    fixture.sidecar.reset();
     // A spoilt root is replaced by the shipped one; the versions reached stay a floor.
-    std::ofstream(town.folder + "/root.json") << "{";
-    town.pods.clear();
-    town.start(1);
-    CHECK(town.nextRefresh().substr(0, 19) == "timestamp: rollback");
+    std::ofstream(fixture.folder + "/root.json") << "{";
+    fixture.pods.clear();
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().substr(0, 19) == "timestamp: rollback");
 }
 
 TEST_CASE("a clock that was set back does not bring an expired set to life again") {
-    TrustTown town;
-    town.trust->folder = town.folder;
-    town.start(1);
-    CHECK(town.nextRefresh().empty());
-    town.sidecar.reset();
+    TrustFixture fixture;
+    fixture.trust->directory = fixture.folder;
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().empty());
+    fixture.sidecar.reset();
     // As if the last update had been accepted a day and a second later: the clock has been set back since.
-    std::ofstream(town.folder + "/state/clock") << timeText(wall() + day + 1);
-    town.pods.clear();
-    town.start(1);
-    CHECK(town.nextRefresh().substr(0, 18) == "timestamp: expired");
-    town.sidecar.reset();
-    std::ofstream(town.folder + "/state/clock") << "no time";
-    town.pods.clear();
-    town.start(1);
-    CHECK(town.nextRefresh().empty());
+    std::ofstream(fixture.folder + "/state/clock") << timeText(wall() + day + 1);
+    fixture.pods.clear();
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().substr(0, 18) == "timestamp: expired");
+    fixture.sidecar.reset();
+    std::ofstream(fixture.folder + "/state/clock") << "no time";
+    fixture.pods.clear();
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().empty());
 }
 
 TEST_CASE("a folder that fills up while it serves: refused, and the old trust in force") {
-    TrustTown town;
-    town.trust->folder = town.folder;
-    town.start(1);
-    CHECK(town.nextRefresh().empty());
+    TrustFixture fixture;
+    fixture.trust->directory = fixture.folder;
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().empty());
     // Something in the way of each new file, as a full disk would be; root may write anywhere else.
-    std::filesystem::create_directory(town.folder + "/timestamp.json.new");
-    std::filesystem::create_directory(town.folder + "/targets.json.new");
-    town.repository.target("targets", "releases/6", "six");
-    town.repository.publish();
-    town.files = town.repository.files;
-    const auto said = town.nextRefresh();
+    std::filesystem::create_directory(fixture.folder + "/timestamp.json.new");
+    std::filesystem::create_directory(fixture.folder + "/targets.json.new");
+    fixture.repository.target("targets", "releases/6", "six");
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    const auto said = fixture.nextRefresh();
     CHECK(said.find("folder") != std::string::npos);
-    std::ifstream kept(town.folder + "/timestamp.json");
+    std::ifstream kept(fixture.folder + "/timestamp.json");
     std::stringstream bytes;
     bytes << kept.rdbuf();
     CHECK((*readJson(bytes.str(), 65'536))["signed"]["version"] == 2);
-    std::filesystem::remove(town.folder + "/timestamp.json.new");
-    std::filesystem::remove(town.folder + "/targets.json.new");
-    CHECK(town.nextRefresh().empty());
-    town.hits(3);
-    town.allAnswered();
+    std::filesystem::remove(fixture.folder + "/timestamp.json.new");
+    std::filesystem::remove(fixture.folder + "/targets.json.new");
+    CHECK(fixture.nextRefresh().empty());
+    fixture.sendRequests(3);
+    fixture.finishRequests();
 }
 
 TEST_CASE("with a director a build needs both repositories' word") {
-    TrustTown town;
+    TrustFixture fixture;
     Repository director(true, wall());
     std::map<std::string, std::string> directorFiles = director.files;
-    StandIn directorMirror(town.loop, [&](auto& at, auto* call) {
+    HttpStandIn directorMirror(fixture.loop, [&](auto& at, auto* call) {
         const std::string uri = evhttp_request_get_uri(call);
         const auto file = directorFiles.find(uri.substr(uri.rfind('/') + 1));
-        if (file == directorFiles.end()) at.answer(call, 404, "");
-        else at.answer(call, 200, file->second);
+        if (file == directorFiles.end()) at.respond(call, 404, "");
+        else at.respond(call, 200, file->second);
     });
-    std::ofstream(town.folder + ".director") << director.firstRoot();
-    town.trust->director =
-        net::TrustConfig::Director{town.folder + ".director", {{{directorMirror.address, "/"}, false}}};
-    town.start(1);
-    CHECK(town.nextRefresh().empty());
-    CHECK(town.word(5) == Attestation::none);  // the image repository alone
+    std::ofstream(fixture.folder + ".director") << director.firstRoot();
+    fixture.trust->director = sidecar::TrustConfig::Director{fixture.folder + ".director",
+                                                             {{{directorMirror.address, "/"}, false}}};
+    fixture.start(1);
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.attestationOf(5) == Attestation::none);  // the image repository alone
     const auto direct = [&](const std::string& image) {
         director.target("targets", "releases/5", image,
                         {{"ecuIdentifier", "pods"}, {"hardwareId", "m2"}, {"releaseCounter", 5}});
@@ -514,25 +516,25 @@
         directorFiles = director.files;
     };
     direct("five");
-    CHECK(town.nextRefresh().empty());
-    CHECK(town.word(5) == Attestation::valid);
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.attestationOf(5) == Attestation::valid);
     // The director names another image under that path: neither is believed.
     direct("fife");
-    CHECK(town.nextRefresh().empty());
-    CHECK(town.word(5) == Attestation::none);
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.attestationOf(5) == Attestation::none);
     direct("five");
-    CHECK(town.nextRefresh().empty());
-    CHECK(town.word(5) == Attestation::valid);
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.attestationOf(5) == Attestation::valid);
     // The image repository lists it no more, whatever the director says.
-    removeTarget(town.repository.role("targets"), "releases/5");
-    town.repository.redo("targets");
-    town.repository.publish();
-    town.files = town.repository.files;
-    CHECK(town.nextRefresh().empty());
-    CHECK(town.word(5) == Attestation::withdrawn);
+    removeTarget(fixture.repository.role("targets"), "releases/5");
+    fixture.repository.redo("targets");
+    fixture.repository.publish();
+    fixture.files = fixture.repository.files;
+    CHECK(fixture.nextRefresh().empty());
+    CHECK(fixture.attestationOf(5) == Attestation::withdrawn);
     director.delegateTo("targets", "other", {"*"});
     director.publish();
     directorFiles = director.files;
-    CHECK(town.nextRefresh() == "director director: wrong-shape: it delegates");
-    std::filesystem::remove(town.folder + ".director");
+    CHECK(fixture.nextRefresh() == "director director: wrong-shape: it delegates");
+    std::filesystem::remove(fixture.folder + ".director");
 }
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -8,9 +8,10 @@
 #include <filesystem>
 #include <map>
 #include <random>
+#include <set>
 
 #include "store/folder.hpp"
-#include "support/sidecar_fixture.hpp"
+#include "support/trace.hpp"
 
 using namespace lichenlanding::store;
 
