--- /dev/null
+++ b/src/routing/attempt.cpp
@@ -0,0 +1,105 @@
+#include "routing/attempt.hpp"
+
+#include <algorithm>
+#include <stdexcept>
+#include <string>
+
+namespace lichenlanding::routing {
+
+const char* name(AttemptState state) {
+    switch (state) {
+        case AttemptState::unsent:
+            return "unsent";
+        case AttemptState::surelyNotRun:
+            return "surely not run";
+        case AttemptState::maybeRun:
+            return "maybe run";
+        case AttemptState::answered:
+            return "answered";
+    }
+    return "";
+}
+
+const char* name(AttemptEvent event) {
+    switch (event) {
+        case AttemptEvent::written:
+            return "written";
+        case AttemptEvent::unreached:
+            return "unreached";
+        case AttemptEvent::turned:
+            return "turned";
+        case AttemptEvent::elsewhere:
+            return "elsewhere";
+        case AttemptEvent::answered:
+            return "answered";
+        case AttemptEvent::cut:
+            return "cut";
+        case AttemptEvent::spoilt:
+            return "spoilt";
+        case AttemptEvent::overdue:
+            return "overdue";
+    }
+    return "";
+}
+
+std::optional<AttemptState> after(std::span<const Transition> table, AttemptState from, AttemptEvent event) {
+    for (const auto& transition : table)
+        if (transition.from == from && transition.event == event) return transition.to;
+    return std::nullopt;
+}
+
+void Attempt::on(AttemptEvent event) {
+    const auto to = end_ ? std::nullopt : after(kTransitions, state_, event);
+    if (!to)
+        throw std::logic_error(std::string("attempt: ") + name(event) + " after " +
+                               (end_ ? name(*end_) : name(state_)));
+    state_ = *to;
+    if (ends(event)) end_ = event;
+}
+
+AttemptState requestState(const Attempts& attempts) {
+    const auto any = [&](AttemptState state) {
+        return std::any_of(attempts.begin(), attempts.end(),
+                           [&](const auto& attempt) { return attempt->state() == state; });
+    };
+    for (const auto state : {AttemptState::answered, AttemptState::maybeRun, AttemptState::surelyNotRun})
+        if (any(state)) return state;
+    return AttemptState::unsent;
+}
+
+std::size_t inFlight(const Attempts& attempts) {
+    return static_cast<std::size_t>(std::count_if(attempts.begin(), attempts.end(),
+                                                  [](const auto& attempt) { return attempt->inFlight(); }));
+}
+
+std::size_t arrivals(const Attempts& attempts) {
+    return static_cast<std::size_t>(std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) {
+        return attempt->end() != AttemptEvent::unreached;
+    }));
+}
+
+bool mayPromiseNotRun(const Attempts& attempts) {
+    const auto state = requestState(attempts);
+    return inFlight(attempts) == 0 && (state == AttemptState::unsent || state == AttemptState::surelyNotRun);
+}
+
+bool mayAttempt(const Attempts& attempts, bool repeatable) {
+    return repeatable || mayPromiseNotRun(attempts);
+}
+
+std::optional<AttemptEvent> judge(const ResponseHead& answer) {
+    // MIXED: a late answer to an earlier request stands in the place of this one's; the id tells them apart.
+    if (answer.id == ResponseHead::Id::other) return std::nullopt;
+    if (!answer.delimited) return AttemptEvent::spoilt;
+    const bool own = answer.id == ResponseHead::Id::own;
+    if (answer.status / 100 == 2)
+        return own && answer.stamped && !answer.encoded && !answer.notExecuted ? AttemptEvent::answered
+                                                                               : AttemptEvent::spoilt;
+    if (answer.status == 421) return AttemptEvent::elsewhere;
+    if (answer.notExecuted) return answer.status >= 400 ? AttemptEvent::turned : AttemptEvent::spoilt;
+    // REFUSED: what promises that nothing ran is passed on only with the pod's word for it.
+    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return AttemptEvent::spoilt;
+    return AttemptEvent::answered;
+}
+
+}  // namespace lichenlanding::routing
--- a/src/rehearsal/report.cpp
+++ b/src/scale_test/report.cpp
@@ -1,10 +1,10 @@
-#include "rehearsal/report.hpp"
+#include "scale_test/report.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 
-namespace lichenlanding::rehearsal {
+namespace lichenlanding::scale_test {
 
 using Json = nlohmann::json;
 
@@ -40,4 +40,4 @@
     return all + "\n";
 }
 
-}  // namespace lichenlanding::rehearsal
+}  // namespace lichenlanding::scale_test
--- a/tests/gateway/loop_stage.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -3,12 +3,12 @@
 
 #include <optional>
 
-#include "transcript.hpp"
-#include "wings/loop.hpp"
+#include "support/transcript.hpp"
+#include "transport/event_loop.hpp"
 
 namespace loop_stage {
 
-using namespace lichenlanding::wings;
+using namespace lichenlanding::transport;
 
 template <typename Done>
 void until(asio::io_context& io, int turnsAtMost, Done done) {
