--- a/tests/adapter/wire.cpp
+++ b/tests/adapter/wire.cpp
@@ -4,7 +4,7 @@
 
 using namespace lichenlanding::adapter;
 
-TEST_CASE("a line that cannot be read names the message and the field") {
+TEST_CASE("a line that cannot be parsed names the message and the field") {
     LineReader line("NEW_REQUEST\t3\tr-1\t-\tmany");
     line.integer("who", 0, 100), line.word("tid"), line.word("affinity");
     CHECK_THROWS_WITH(line.integer("marks", 0, 100), "cannot read NEW_REQUEST: field marks");
--- a/tests/limits/fleet.cpp
+++ b/tests/limits/fleet.cpp
@@ -56,7 +56,7 @@
     for (auto& [id, pod] : scene.pods) all.push_back(&pod);
     std::set<std::uint32_t> near, met, elsewhere;
     for (auto* pod : subset(all, 17, subsetSize(150, 300))) near.insert(pod->id);
-    const auto send = [&](int from, int to, std::set<std::uint32_t>& pods) {  // 20 hits a second
+    const auto send = [&](int from, int to, std::set<std::uint32_t>& pods) {  // 20 requests a second
         for (int at = from; at < to; ++at) {
             scene.advanceTo(at * 50 * kMs);
             auto& request = scene.request("h" + std::to_string(at), 0);
--- a/tests/policy/fleet.cpp
+++ b/tests/policy/fleet.cpp
@@ -10,7 +10,7 @@
         for (custom.index = 0; custom.index < 100; ++custom.index)
             scenes.emplace_back(custom).notesOnly = true;
     }
-    // All hear of a stage and of three voters' 'on' in one instant; then on until half of the votes count.
+    // All learn of a stage and of three voters' 'on' at once; then on until half of the votes are taken.
     Nanos decided(int stage) {
         const Message word{Message::Kind::verdict, 3, 1, 6, 1, 0, {}, {}};
         for (auto& scene : scenes) {
@@ -36,7 +36,9 @@
 // Seen on join+vast (seed 1): of 98 votes cast within 30 ms the platform counted 33, the refused came back
 // among the renewals of those, and the stage moved 5.6 s after the verdict. Seen on join+vast (seed 2): the
 // last stage waited for its pods, and only then in the queue.
-TEST_CASE("a fleet that echoes one word keeps to the platform's calls; in the last stage it queues early") {
+TEST_CASE(
+    "a fleet that follows one majority keeps to the platform's rate limit; in the last stage it queues "
+    "early") {
     Fleet first, last;
     CHECK(first.decided(0) <= 3000 * kMs);
     CHECK(first.early <= 2 * 16);  // those that go at once, and a second's more
--- a/tests/policy/routing.cpp
+++ b/tests/policy/routing.cpp
@@ -1,6 +1,6 @@
 #include "support/policy_fixture.hpp"
 
-TEST_CASE("further forwards keep away from the build on trial") {
+TEST_CASE("retries keep away from the build on trial") {
     PolicyFixture scene;
     scene.updateRollout(6, 1, RolloutState::testing, 1);
     scene.listPod(1, 5), scene.listPod(2, 6), scene.listPod(3, 6), scene.listPod(4, 6);
@@ -12,7 +12,7 @@
     }
 }
 
-TEST_CASE("a pod that owes answers and is silent is left out until it speaks") {
+TEST_CASE("a pod that is silent while attempts are in flight is ejected until it responds") {
     PolicyFixture scene;
     scene.listPod(1, 5), scene.listPod(2, 5);
     auto& stuck = scene.request("stuck", 0);
@@ -33,7 +33,7 @@
     CHECK(back > 2);
 }
 
-TEST_CASE("a pod that fails is left out until that is forgotten, and then gets little") {
+TEST_CASE("a failing pod is ejected until its failures decay, and then gets little") {
     PolicyFixture scene;
     scene.notesOnly = true;
     for (std::uint32_t id = 1; id <= 4; ++id) scene.listPod(id, 5);
@@ -50,7 +50,7 @@
     scene.matches("failing");
 }
 
-TEST_CASE("the voters' word on a pod keeps a quiet sidecar's hits away, until it is old") {
+TEST_CASE("the voters' view of a pod keeps requests away, until it is old") {
     PolicyFixture scene;
     scene.notesOnly = true;
     for (std::uint32_t id = 1; id <= 4; ++id) scene.listPod(id, 5);
@@ -72,10 +72,10 @@
     met("after a voter called the pod six times slower than the rest");
     scene.advanceTo(40000 * kMs);
     met("once the word is old");
-    scene.matches("pooled-pods");
+    scene.matches("pooled-pod-slowness");
 }
 
-TEST_CASE("voters tell all which pods are slower than the rest, from what sidecars saw of them") {
+TEST_CASE("voters send all peers which pods are slower than the rest, from pooled outcomes") {
     auto custom = testSettings();
     custom.balancers = 3;  // all of them voters
     PolicyFixture scene(custom);
@@ -92,10 +92,10 @@
         for (const auto& pod : message->pods)
             scene.trace << "pod " << pod.id << " at " << pod.slowness << "/64 of the mean\n";
     }
-    scene.matches("view");
+    scene.matches("pooled-pod-view");
 }
 
-TEST_CASE("a jam does not feed itself: open hits stay within the pace of answers in time") {
+TEST_CASE("a backlog does not feed itself: requests in flight stay within the pace of successes") {
     PolicyFixture scene;
     for (std::uint32_t id = 1; id <= 8; ++id) scene.listPod(id, 5);
     for (int turn = 0; turn < 300; ++turn) {
@@ -109,11 +109,11 @@
     CHECK(kept < 70);
 }
 
-TEST_CASE("a full pod answers at once and looks idle, so it rests for a moment") {
+TEST_CASE("a pod that rejects looks idle, so it is left alone for a backoff") {
     PolicyFixture scene;
     for (std::uint32_t id = 1; id <= 4; ++id) scene.listPod(id, 5);
     int full = 0, turn = 0;
-    for (; turn < 9; ++turn) {  // open hits fill the other pods, and pod 2 turns away all it gets
+    for (; turn < 9; ++turn) {  // requests in flight fill the other pods, and pod 2 rejects all it gets
         auto& request = scene.request("h" + std::to_string(turn), 0);
         if (request.ended || request.attempts.back().pod->id != 2) continue;
         ++full;
@@ -123,7 +123,7 @@
     CHECK(full == 1);
 }
 
-TEST_CASE("before any pace is known, two open hits for each pod and two more are taken") {
+TEST_CASE("before any pace is known, two requests in flight for each pod and two more are admitted") {
     PolicyFixture scene;
     for (std::uint32_t id = 1; id <= 4; ++id) scene.listPod(id, 5);
     for (int turn = 0; turn < 11; ++turn) scene.request("first" + std::to_string(turn), 0);
@@ -131,7 +131,7 @@
 }
 
 // Ids come back with other builds.
-TEST_CASE("nothing is known of a pod that comes back with another build") {
+TEST_CASE("statistics of a pod are reset when it comes back with another build") {
     PolicyFixture scene;
     scene.listPod(1, 5);
     for (int turn = 0; turn < 5; ++turn) scene.serve("h" + std::to_string(turn), 0);
--- a/tests/policy/rules.cpp
+++ b/tests/policy/rules.cpp
@@ -1,15 +1,15 @@
 #include "support/policy_fixture.hpp"
 
-TEST_CASE("a mutating hit goes again only if it never ran") {
+TEST_CASE("a non-idempotent request is retried only if it was never executed") {
     PolicyFixture scene;
     scene.listPod(1, 5), scene.listPod(2, 5);
     scene.finish(scene.request("turned-away", 2), Outcome::unreachable);
     scene.note("an error page promises nothing, so it is no bounce");
     scene.finish(scene.request("may-have-run", 2), Outcome::failed);
-    scene.matches("mutating");
+    scene.matches("non-idempotent");
 }
 
-TEST_CASE("a tagged hit goes again only in its zone and window") {
+TEST_CASE("a deduplicated request is retried only within its zone and window") {
     PolicyFixture scene;
     scene.listPod(1, 5, 0), scene.listPod(2, 5, 0), scene.listPod(3, 5, 1);
     for (int turn = 0; turn < 4; ++turn) {
@@ -23,10 +23,10 @@
     auto& late = scene.request("late", 1);
     scene.advanceTo(1200 * kMs);
     scene.finish(late, Outcome::timedOut, 1200 * kMs);
-    scene.matches("tagged");
+    scene.matches("deduplicated");
 }
 
-TEST_CASE("nothing goes to a pod that drains or is gone") {
+TEST_CASE("nothing is sent to a pod that drains or was removed") {
     PolicyFixture scene;
     scene.listPod(1, 5), scene.listPod(2, 5);
     scene.listPod(1, 5, 0, Availability::draining);
@@ -34,7 +34,7 @@
         scene.finish(scene.request("h" + std::to_string(turn), 0), Outcome::succeeded);
     scene.listPod(2, 5, 0, Availability::removed);
     scene.request("nowhere", 0);
-    scene.matches("drains");
+    scene.matches("draining");
 }
 
 TEST_CASE("exposure stays within the cap, and a lower cap starts anew") {
@@ -51,7 +51,7 @@
     scene.matches("exposure");
 }
 
-TEST_CASE("exposure counts by path group where it is set so, and closed stages take repeatable hits alone") {
+TEST_CASE("exposure counts by path group where set so, and restricted stages take idempotent requests only") {
     auto custom = testSettings();
     custom.perGroup = true;
     custom.restrictedStages = 1;
@@ -67,9 +67,10 @@
     scene.matches("exposure-by-group");
 }
 
-TEST_CASE("what quiet and busy sidecars send a cold pod adds up to a part of a warm one's") {
+TEST_CASE("slow start: what idle and busy sidecars send a warming pod adds up to a share of a warm one's") {
     PolicyFixture kept;
-    for (const int sidecars : {1, 40, 120}) {  // 120 hits a second between them, four pods, one of them cold
+    for (const int sidecars :
+         {1, 40, 120}) {  // 120 requests a second between them, four pods, one of them warming up
         int cold = 0, all = 0, most = 0;
         for (int index = 0; index < sidecars; ++index) {
             PolicyFixture scene(testSettings(), static_cast<std::uint64_t>(index) + 1);
@@ -90,10 +91,10 @@
         kept.trace << sidecars << " sidecars sent the cold pod " << cold << " of " << all
                    << " hits while it was cold, one sidecar at most " << most << '\n';
     }
-    kept.matches("cold");
+    kept.matches("slow-start");
 }
 
-TEST_CASE("a quiet sidecar may use the free forwards at a new build at once, unless it has just started") {
+TEST_CASE("an idle sidecar may use the free attempts at a new build at once, unless it has just started") {
     for (const bool justStarted : {false, true}) {
         PolicyFixture scene;
         scene.listPod(1, 5);
@@ -110,7 +111,7 @@
     }
 }
 
-TEST_CASE("each hit gets one answer, at once when it is given up, and none after the client has left") {
+TEST_CASE("each request gets one answer, at once when no attempt is left, and none after a disconnect") {
     PolicyFixture scene;
     scene.listPod(1, 5);
     auto& late = scene.request("late", 0, 100 * kMs);
--- a/tests/policy/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -74,7 +74,7 @@
     good.matches("voters");
 }
 
-TEST_CASE("a failing path group that hides in the ranks of the whole sends the build back") {
+TEST_CASE("a failing path group that hides in the ranks of all is voted back") {
     TrialFixture trial;
     trial.policy->onPeerMessage(1, counts(9, 1, {pair(400, 0, 1000, 1), pair(30, 20, 200, 0)}));
     CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::back));
@@ -84,7 +84,7 @@
     CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::back));
 }
 
-TEST_CASE("flagged answers send a build back, also after its release") {
+TEST_CASE("flagged responses are voted back, also after the release") {
     TrialFixture trial;
     auto flags = pair(400, 0, 1000, 0);
     flags[0].flagged = 14;
@@ -116,7 +116,7 @@
     CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::on));
 }
 
-TEST_CASE("a voter that restarts has the senders' sums again with their next message") {
+TEST_CASE("a restarted voter has the senders' sums again with their next messages") {
     TrialFixture trial;
     trial.start();
     trial.pods.clear();
@@ -126,7 +126,7 @@
     trial.matches("voter-restart");
 }
 
-TEST_CASE("others echo what most of their voters say, and renew it") {
+TEST_CASE("other sidecars cast what most voters say, and renew it") {
     auto custom = testSettings();
     custom.balancers = 8;
     std::string tapes;
@@ -167,7 +167,7 @@
 }
 
 TEST_CASE(
-    "a build that slows all pods in a later stage is waited for, then sent back, unless pods were lost or a "
+    "a build that slows all pods in a later stage is waited for, then voted back, unless pods were lost or a "
     "burst came") {
     PolicyFixture both;
     for (const std::string other : {"", "a pod lost", "a burst"}) {
@@ -195,9 +195,10 @@
     both.matches("slower-than-before");
 }
 
-// The long day: an earlier build that had turned bad held the good next one in its first stage for eight
-// seconds, and a released one under which nearly all was late stood until the next was offered.
-TEST_CASE("a build that ranks ahead waits for no slow earlier one, and a wreck after release is sent back") {
+// Seen on the long day: an earlier build that had turned bad kept the good next one in its first stage for
+// eight seconds, and a released one under which nearly all was late stayed until the next was offered.
+TEST_CASE(
+    "a build that ranks ahead waits for no slow earlier one, and a wrecked one is voted back after release") {
     PolicyFixture all;
     for (const std::string day : {"ahead", "alike", "released, a wreck", "released, slower"}) {
         TrialFixture trial;
@@ -219,7 +220,7 @@
     all.matches("ahead-or-wreck");
 }
 
-TEST_CASE("words on builds and pods that cannot be, and of peers that are not there, change nothing") {
+TEST_CASE("messages on impossible builds and pods, or from unknown peers, change nothing") {
     Message word{Message::Kind::verdict, 9, 1, 0xffffffffu, 3, 0, {}, {}};
     CHECK(!decode(encode(word)));
     word.build = 65536;
@@ -236,7 +237,7 @@
     CHECK(request.attempts.size() == 1);
 }
 
-TEST_CASE("a list of thousands of pods is taken as one of ten") {
+TEST_CASE("an endpoint list of thousands of pods works like one of ten") {
     PolicyFixture scene;
     scene.notesOnly = true;
     for (std::uint32_t id = 1; id <= 3000; ++id) scene.pods[id].id = id;
@@ -251,9 +252,9 @@
 
 // Seen on sockets: a build that turned bad late was voted back 1.5 s too late, after the next one was
 // offered.
-TEST_CASE("an error of the new build is told at once, and the next ones half a second apart") {
+TEST_CASE("an error of the new build is sent at once, and the next ones half a second apart") {
     TrialFixture scene;
-    const auto told = [&](std::uint32_t build, Outcome outcome) {  // a hit sent to a pod of that build
+    const auto told = [&](std::uint32_t build, Outcome outcome) {  // a request sent to a pod of that build
         const auto before = scene.sentToPeer1.size();
         for (int turn = 0; turn < 50; ++turn) {
             auto& request = scene.request("h" + std::to_string(scene.requests.size()), 0);
@@ -277,7 +278,7 @@
 }
 
 TEST_CASE(
-    "a build that needs signed metadata stays in the first stage without, and goes back once withdrawn") {
+    "a build without its required attestation stays in the first stage, and is voted back once withdrawn") {
     std::stringstream whole;
     for (const auto control : {VoteMode::majority, VoteMode::timed}) {
         auto custom = testSettings();
@@ -302,7 +303,7 @@
             scene.note("of " + std::to_string(count) +
                        " hits to build 6: " + std::to_string(newer * 100 / count) + "%");
         };
-        // What is cast shows on the tape; renewals of a vote do too.
+        // Votes are traced, and renewals too.
         const auto look = [&](const char* what, Nanos span) {
             scene.note(what);
             scene.advanceTo(scene.now + span);
@@ -325,7 +326,7 @@
     matchesTrace("attested", whole.str());
 }
 
-TEST_CASE("where no signed metadata are needed their word changes nothing") {
+TEST_CASE("where no attestation is required it changes nothing") {
     std::string tapes[2];
     for (const bool told : {false, true}) {
         PolicyFixture scene;
--- a/tests/sidecar/messages.cpp
+++ b/tests/sidecar/messages.cpp
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-TEST_CASE("a list of pods, whole or not at all") {
+TEST_CASE("an endpoint list is parsed completely or not at all") {
     const auto read = parseEndpointList(list);
     REQUIRE(read);
     CHECK(read->revision == 41);
@@ -71,7 +71,7 @@
     CHECK(!parseEndpointList(list + list));
 }
 
-TEST_CASE("what the platform tells") {
+TEST_CASE("messages of the platform") {
     const auto told = parsePlatformLine(line);
     REQUIRE(told);
     const auto& news = std::get<RolloutUpdate>(*told);
@@ -97,7 +97,7 @@
     CHECK(formatVote(Verdict::back, 42, 1) == R"({"image":42,"opinion":"ROLLBACK","ring":1})");
 }
 
-TEST_CASE("the configuration: nested settings read as the wire's pairs, and what is missing is named") {
+TEST_CASE("the configuration: nested settings are read as the wire's pairs, and a missing field is named") {
     const std::string settings =
         R"({"index":0,"balancers":3,"zones":["a","b"],"zone":"b","parties":[],"classes":[{"name":"read","goalTimeMs":1000.0,)"
         R"("deadlineMs":2500.0,"worth":1.0,"effect":"pure","streaming":false}],"discovery":"push","tickMs":5.0,"limits":)"
