--- /dev/null
+++ b/src/sidecar/mirror_fetch.cpp
@@ -0,0 +1,144 @@
+#include "sidecar/mirror_fetch.hpp"
+
+namespace lichenlanding::sidecar {
+namespace {
+
+using metadata::Reason;
+using metadata::Refusal;
+
+// The failure to report for a document: the last one, but the first that is about a mirror's bytes stays,
+// since it says more than that a mirror did not respond.
+class FailureRecord {
+  public:
+    void add(Refusal failure, bool ofBytes) {
+        if (ofBytes_) return;
+        failure_ = std::move(failure);
+        ofBytes_ = ofBytes;
+    }
+    const Refusal& failure() const { return failure_; }
+
+  private:
+    Refusal failure_{Reason::unavailable, {}, 0, "no mirror may be asked: all drain or rest"};
+    bool ofBytes_ = false;
+};
+
+Refusal unavailable(std::string text) { return {Reason::unavailable, {}, 0, std::move(text)}; }
+
+Refusal noResponse(const std::string& mirror, const FetchResponse& response) {
+    const auto code = response.statusCode ? " " + std::to_string(response.statusCode) : std::string();
+    return unavailable(mirror + ": " + nameOf(response.result) + code);
+}
+
+Refusal tooLarge(const std::string& mirror, std::size_t maxBytes) {
+    return {Reason::tooLong, {}, 0, mirror + " sent more than " + std::to_string(maxBytes) + " bytes"};
+}
+
+}  // namespace
+
+struct MirrorFetch::ResponseAwaiter {
+    ResponseAwaiter(MirrorFetch& fetch_, const Url& url_) : fetch(fetch_), url(url_) {}
+    ResponseAwaiter(const ResponseAwaiter&) = delete;
+
+    MirrorFetch& fetch;
+    Url url;
+    FetchResponse response;
+
+    bool await_ready() const { return false; }
+    void await_suspend(std::coroutine_handle<> waiting) {
+        fetch.fetch_ = std::make_unique<HttpFetch>(fetch.loop_, url, fetch.document_.maxBytes,
+                                                   fetch.timeouts_.connectWithin, fetch.timeouts_.within,
+                                                   [this, waiting](FetchResponse received) {
+                                                       response = std::move(received);
+                                                       waiting.resume();
+                                                   });
+    }
+    FetchResponse await_resume() {
+        fetch.fetch_.reset();
+        return std::move(response);
+    }
+};
+
+struct MirrorFetch::VerificationAwaiter {
+    VerificationAwaiter(MirrorFetch& fetch_, std::string bytes_) : fetch(fetch_), bytes(std::move(bytes_)) {}
+    VerificationAwaiter(const VerificationAwaiter&) = delete;
+
+    MirrorFetch& fetch;
+    std::string bytes;
+    metadata::Check failure;
+    bool verified = false, suspended = false;
+
+    bool await_ready() const { return false; }
+    bool await_suspend(std::coroutine_handle<> waiting) {
+        fetch.verifier_(std::move(bytes), [this, waiting](metadata::Check result) {
+            failure = std::move(result);
+            verified = true;
+            if (suspended) waiting.resume();
+        });
+        suspended = !verified;  // if verified within the call it goes on without suspending
+        return suspended;
+    }
+    metadata::Check await_resume() { return std::move(failure); }
+};
+
+MirrorFetch::MirrorFetch(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
+                         metadata::Budget& budget, const metadata::Patience& timeouts, FetchCounts& counts)
+    : loop_(loop), mirrors_(mirrors), bases_(bases), budget_(budget), timeouts_(timeouts), counts_(counts) {}
+
+void MirrorFetch::start(Document document, Verifier verifier, ResultHandler onDone) {
+    document_ = std::move(document);
+    verifier_ = std::move(verifier);
+    onDone_ = std::move(onDone);
+    ++counts_.requested;
+    task_ = run();
+}
+
+Task MirrorFetch::run() {
+    std::vector<bool> tried(mirrors_.size());
+    auto result = Result::refused;
+    FailureRecord record;
+    for (bool first = true; result == Result::refused; first = false) {
+        const auto mirror = mirrors_.choose(loop_.now(), tried);
+        if (!mirror || (!first && !budget_.take())) break;
+        tried[*mirror] = true;
+        ++counts_.attempts;
+        counts_.retries += !first;
+        ResponseAwaiter awaiter(*this, bases_[*mirror].below(document_.name));
+        auto response = co_await awaiter;
+        const auto& name = mirrors_.name(*mirror);
+        if (response.tooLarge) {
+            record.add(tooLarge(name, document_.maxBytes), true);
+        } else if (outcomeOf(response.result) == Outcome::succeeded) {
+            VerificationAwaiter verification(*this, std::move(response.body));
+            if (auto failure = co_await verification) {
+                record.add(std::move(*failure), true);
+            } else {
+                mirrors_.answered(*mirror);
+                result = Result::accepted;
+                continue;
+            }
+        } else if (response.statusCode == 404 || response.statusCode == 403) {
+            record.add(unavailable(name + " has no " + metadata::escaped(document_.name, 100)), false);
+            if (document_.oneMissingSuffices) {
+                mirrors_.answered(*mirror);
+                result = Result::missing;
+            }
+            continue;  // a mirror that lags behind has not failed
+        } else {
+            record.add(noResponse(name, response), false);
+        }
+        mirrors_.failed(*mirror, loop_.now());
+        if (response.retryAfter > 0) mirrors_.rests(*mirror, loop_.now() + response.retryAfter);
+    }
+    finish(result, record.failure());
+}
+
+// On a turn of its own, since the handler may destroy this.
+void MirrorFetch::finish(Result result, const Refusal& failure) {
+    ++counts_.completed;
+    const auto onDone = std::exchange(onDone_, nullptr);
+    loop_.post([alive = std::weak_ptr<char>(lifetime_), onDone, result, failure] {
+        if (!alive.expired()) onDone(result, failure);
+    });
+}
+
+}  // namespace lichenlanding::sidecar
--- /dev/null
+++ b/src/sidecar/mirror_server.hpp
@@ -0,0 +1,59 @@
+// This sidecar as a metadata mirror for others: it serves what it has verified itself, and nothing else.
+#pragma once
+
+#include <list>
+#include <map>
+
+#include "sidecar/http_server.hpp"
+
+namespace lichenlanding::sidecar {
+
+/// A set of documents is published as a whole, once a refresh is complete, so that no client gets half of
+/// one. The set before stays available to clients that are in the middle of it.
+class MirrorServer {
+  public:
+    using Bytes = std::shared_ptr<const std::string>;
+    using DocumentSet = std::map<std::string, Bytes>;  ///< by file name
+
+    struct Limits {
+        std::size_t connections = 64;
+        std::size_t cachedBytes = 32u << 20;  ///< of all documents and targets
+    };
+
+    /// Throws std::runtime_error if it cannot listen.
+    MirrorServer(EventLoop& loop, const Address& listen, const Limits& limits);
+
+    /// Documents beyond the limit are left out, the largest first, and logged.
+    void publish(DocumentSet documents);
+    /// Caches a target under the name that it has in a consistent repository; evicts the longest unused.
+    void cacheTarget(const std::string& name, std::string bytes);
+    bool hasTarget(const std::string& name) const { return targets_.count(name) > 0; }
+
+    /// Graceful shutdown: it is no longer ready, and each connection gets one more response.
+    void drain();
+    Address address() const { return server_.address(); }
+    std::size_t served() const { return served_; }
+    std::size_t cachedBytes() const { return documentBytes_ + targetBytes_; }
+
+    static constexpr const char* kMetadataPath = "/metadata/";
+    static constexpr const char* kTargetsPath = "/targets/";
+
+  private:
+    struct CachedTarget {
+        Bytes bytes;
+        std::list<std::string>::iterator use;  // in targetUses_
+    };
+    void onRequest(std::unique_ptr<ClientRequest> request);
+    Bytes find(const std::string& path);
+    void evictTargets(std::size_t bytesNeeded);
+
+    Limits limits_;
+    DocumentSet current_, previous_;
+    std::map<std::string, CachedTarget> targets_;
+    std::list<std::string> targetUses_;  // the longest unused first
+    std::size_t documentBytes_ = 0, targetBytes_ = 0, served_ = 0;
+    bool draining_ = false;
+    HttpServer server_;
+};
+
+}  // namespace lichenlanding::sidecar
--- /dev/null
+++ b/src/sidecar/request_handler.hpp
@@ -0,0 +1,69 @@
+// The handling of one client request, from its arrival to its response and the end of its last attempt.
+#pragma once
+
+#include "policy/policy_engine.hpp"
+#include "sidecar/client_request.hpp"
+#include "sidecar/task.hpp"
+#include "sidecar/upstream_pool.hpp"
+
+namespace lichenlanding::sidecar {
+
+class RequestHandler;
+
+/// What a RequestHandler needs of the sidecar around it.
+class RequestContext {
+  public:
+    virtual ~RequestContext() = default;
+    virtual Nanos now() const = 0;
+    /// The only way to call the policy.
+    virtual void callPolicy(const std::function<void(PolicyEngine&)>& call) = 0;
+    virtual UpstreamPool& upstreams() = 0;
+    /// Reserves a request id until onFinished(); false if a request of that id is in flight.
+    virtual bool reserveId(const std::string& id) = 0;
+    /// A client left before its response.
+    virtual void onClientDisconnect() = 0;
+    /// The handler is done, and to be destroyed from the loop.
+    virtual void onFinished(RequestHandler& handler) = 0;
+};
+
+class RequestHandler {
+  public:
+    RequestHandler(RequestContext& context, const Settings& settings, std::unique_ptr<ClientRequest> client);
+
+    void start() { task_ = handle(); }
+    /// Empty for an invalid request.
+    const std::string& id() const { return request_.id; }
+
+    // The policy's effects, carried out after its call has returned.
+    void forwardNewest(Nanos timeout) { pendingTimeout_ = timeout; }
+    void reject(Nanos retryAfter) { client_->respond(503, {}, {}, retryAfter); }
+    void fail() { client_->respond(500); }
+    void cancel(int attempt);
+
+    /// Of a request that was handed to the policy.
+    static RequestHandler& of(const Request& request) {
+        return static_cast<const HandledRequest&>(request).handler;
+    }
+
+  private:
+    struct HandledRequest : Request {
+        explicit HandledRequest(RequestHandler& handler_) : handler(handler_) {}
+        RequestHandler& handler;
+    };
+    struct AttemptAwaiter;
+
+    Task handle();
+    int readRequest();  // fills in request_; 0, or the status code that an invalid request is refused with
+    HttpRequest upstreamRequest(Nanos timeout) const;
+
+    RequestContext& context_;
+    const Settings& settings_;
+    std::unique_ptr<ClientRequest> client_;
+    HandledRequest request_{*this};
+    std::string idempotencyKey_;
+    std::optional<Nanos> pendingTimeout_;       // of the newest attempt, which is to be sent
+    UpstreamConnection* connection_ = nullptr;  // of the attempt in flight
+    Task task_;
+};
+
+}  // namespace lichenlanding::sidecar
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -8,9 +8,10 @@
 #include <filesystem>
 #include <map>
 #include <random>
+#include <set>
 
-#include "../helper.hpp"
 #include "store/folder.hpp"
+#include "support/trace.hpp"
 
 using namespace lichenlanding::store;
 
