--- a/src/command/gateway.cpp
+++ b/src/command/gateway.cpp
@@ -1,12 +1,13 @@
-// The gateway's command line: its two programs, and tools beside them. Exit status 0: done; 1: refused or
-// failed, with a line on standard error for each mistake; 2: the words of the call are wrong.
+// lichenlanding-gateway: the data plane `proxy`, the control plane, and tools beside them. Exit status 0:
+// done; 1: rejected or failed, with a line on standard error for each mistake; 2: the command line is wrong.
 #include "command/gateway.hpp"
 
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <cstdio>
 #include <fstream>
-#include <functional>
 #include <iostream>
+#include <memory>
 #include <sstream>
 
 #include "command/status.hpp"
@@ -17,8 +18,12 @@
 namespace {
 
 using namespace lichenlanding;
+using command::Action;
 
-std::string contents(const std::string& path) {
+enum ExitStatus : int { kDone = 0, kFailed = 1, kWrongCommandLine = 2 };
+
+/// The bytes of a file, or of standard input where the path is "-".
+std::string readInput(const std::string& path) {
     std::stringstream bytes;
     if (path == "-") {
         bytes << std::cin.rdbuf();
@@ -30,65 +35,105 @@
     return bytes.str();
 }
 
-}  // namespace
+void addProxy(CLI::App& app, Action& action) {
+    auto* proxy =
+        app.add_subcommand("proxy", "data plane: routes clients' requests to pods (on edge machines)");
+    proxy->callback([&action] { action = [] { proxy::run(config::BootstrapSettings::fromEnvironment()); }; });
+}
 
-int main(int argc, char** argv) {
-    CLI::App app("lichenlanding-gateway: the API gateway around lichenlanding's decisions.");
-    app.footer(
-        "The programs read the settings file that LICHENLANDING_SETTINGS names.\n"
-        "Exit status: 0 done, 1 refused or failed (a line tells), 2 wrong words.");
-    app.require_subcommand(1);
-    std::function<void()> chosen;
-    std::string file, host, path, what, address;
-    bool json = false, metrics = false;
-    app.add_subcommand("foyer", "take clients' requests to pods (on edge machines)")->callback([&] {
-        chosen = [] { proxy::run(config::BootstrapSettings::fromEnvironment()); };
+void addControlPlane(CLI::App& app, Action& action) {
+    const auto metrics = std::make_shared<bool>(false);
+    auto* controlPlane = app.add_subcommand(
+        "control-plane",
+        "control plane: replicates configurations and rollouts, discovers endpoints (on core machines)");
+    controlPlane->add_flag("--metrics", *metrics, "answer GET /metrics on the control address");
+    controlPlane->callback([=, &action] {
+        action = [=] { control_plane::run(config::BootstrapSettings::fromEnvironment(), *metrics); };
     });
-    auto* controlNode = app.add_subcommand(
-        "prompter", "keep configurations and rollouts, follow the pods (on core machines)");
-    controlNode->add_flag("--metrics", metrics, "answer GET /metrics on the control address");
-    controlNode->callback(
-        [&] { chosen = [&] { control_plane::run(config::BootstrapSettings::fromEnvironment(), metrics); }; });
+}
 
-    auto* configuration = app.add_subcommand("playbill", "configurations");
-    configuration->require_subcommand(1);
+void addConfig(CLI::App& app, Action& action) {
+    const auto file = std::make_shared<std::string>();
+    auto* configurations = app.add_subcommand("config", "configurations");
+    configurations->require_subcommand(1);
     auto* check =
-        configuration->add_subcommand("check", "all mistakes of a configuration, each with its place");
-    check->add_option("file", file, "the configuration, - for standard input")->required();
-    check->footer("Example:\n  lichenlanding-gateway playbill check config.json");
-    check->callback([&] {
-        chosen = [&] {
-            const auto read = config::Configuration::read(contents(file));
+        configurations->add_subcommand("check", "all mistakes of a configuration, each with its place");
+    check->add_option("file", *file, "the configuration, - for standard input")->required();
+    check->footer("Example:\n  lichenlanding-gateway config check config.json");
+    check->callback([=, &action] {
+        action = [=] {
+            const auto read = config::Configuration::read(readInput(*file));
             std::printf("version %s: %zu routes, %zu services\n", config::formatVersion(read.version).c_str(),
                         read.routes.size(), read.services.size());
         };
     });
+}
+
+void addExplain(CLI::App& app, Action& action) {
+    struct Arguments {
+        std::string file, host, path;
+    };
+    const auto arguments = std::make_shared<Arguments>();
     auto* explain =
         app.add_subcommand("explain", "why a request goes where it goes, with each setting's origin");
-    explain->add_option("file", file, "the configuration, - for standard input")->required();
-    explain->add_option("host", host, "the request's Host")->required();
-    explain->add_option("path", path, "the request's path")->required();
+    explain->add_option("file", arguments->file, "the configuration, - for standard input")->required();
+    explain->add_option("host", arguments->host, "the request's Host")->required();
+    explain->add_option("path", arguments->path, "the request's path")->required();
     explain->footer("Example:\n  lichenlanding-gateway explain config.json shop.example /orders/7");
-    explain->callback(
-        [&] { chosen = [&] { std::fputs(config::explain(contents(file), host, path).c_str(), stdout); }; });
-    command::addPromptbook(app, chosen);
-    command::addRehearse(app, chosen);
-    auto* status = app.add_subcommand("status", "what a running prompter knows");
-    status->add_option("address", address, "its control address, such as 10.1.0.16:8166")->required();
-    status->add_flag("--json", json, "as it comes");
-    status->callback([&] { chosen = [&] { std::fputs(command::status(address, json).c_str(), stdout); }; });
+    explain->callback([=, &action] {
+        action = [=] {
+            const auto& [file, host, path] = *arguments;
+            std::fputs(config::explain(readInput(file), host, path).c_str(), stdout);
+        };
+    });
+}
+
+void addStatus(CLI::App& app, Action& action) {
+    struct Arguments {
+        std::string address;
+        bool json = false;
+    };
+    const auto arguments = std::make_shared<Arguments>();
+    auto* status = app.add_subcommand("status", "what a running control plane process knows");
+    status->add_option("address", arguments->address, "its control address, such as 10.1.0.16:8166")
+        ->required();
+    status->add_flag("--json", arguments->json, "the JSON as it was answered");
+    status->callback([=, &action] {
+        action = [=] { std::fputs(command::status(arguments->address, arguments->json).c_str(), stdout); };
+    });
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    CLI::App app("lichenlanding-gateway: an API gateway with staged rollouts.");
+    app.footer(
+        "proxy and control-plane read the settings file that LICHENLANDING_SETTINGS names.\n"
+        "Exit status: 0 done, 1 rejected or failed (a line tells), 2 wrong command line.");
+    app.require_subcommand(1);
+    app.name("lichenlanding-gateway");
+    Action action;
+    addProxy(app, action);
+    addControlPlane(app, action);
+    addConfig(app, action);
+    addExplain(app, action);
+    command::addStore(app, action);
+    command::addScaleTest(app, action);
+    addStatus(app, action);
     try {
-        app.parse(argc, argv);
-    } catch (const CLI::ParseError& wrong) {
-        return app.exit(wrong) == 0 ? 0 : 2;
+        auto arguments = command::withPresentNames({argv + 1, argv + argc});
+        std::reverse(arguments.begin(), arguments.end());  // CLI11 takes them last first
+        app.parse(std::move(arguments));
+    } catch (const CLI::ParseError& error) {
+        return app.exit(error) == 0 ? kDone : kWrongCommandLine;
     }
     try {
-        chosen();
-    } catch (const config::ValidationError& refusal) {
-        for (const auto& mistake : refusal.errors) std::fprintf(stderr, "%s\n", mistake.c_str());
-        return 1;
+        action();
+    } catch (const config::ValidationError& rejection) {
+        for (const auto& mistake : rejection.errors) std::fprintf(stderr, "%s\n", mistake.c_str());
+        return kFailed;
     } catch (const std::exception& failure) {
         std::fprintf(stderr, "lichenlanding-gateway: %s\n", failure.what());
-        return 1;
+        return kFailed;
     }
 }
--- a/src/command/gateway.hpp
+++ b/src/command/gateway.hpp
@@ -1,7 +1,9 @@
-// Subcommands of the gateway that have a file of their own. Each sets `chosen` to what is to be done.
+// Subcommands of the gateway that have a file of their own.
 #pragma once
 
 #include <functional>
+#include <string>
+#include <vector>
 
 namespace CLI {
 class App;
@@ -9,7 +11,15 @@
 
 namespace lichenlanding::command {
 
-void addPromptbook(CLI::App& app, std::function<void()>& chosen);
-void addRehearse(CLI::App& app, std::function<void()>& chosen);
+/// What the command line has asked for; run once the whole line has been read.
+using Action = std::function<void()>;
+
+/// `store show|check|export|found`: the disk of a stopped control plane process.
+void addStore(CLI::App& app, Action& action);
+/// `scale-test`, and its hidden part `scale-test hollow`, which the run starts as child processes.
+void addScaleTest(CLI::App& app, Action& action);
+
+/// The arguments after the program's name, with subcommand names of version 0.3 replaced by the present ones.
+std::vector<std::string> withPresentNames(std::vector<std::string> arguments);
 
 }  // namespace lichenlanding::command
--- a/src/command/scale_test.cpp
+++ b/src/command/scale_test.cpp
@@ -1,4 +1,4 @@
-// Rehearsals: the gateway's rooms under load, without traffic.
+// lichenlanding-gateway scale-test: the gateway at size, on one machine and without clients' traffic.
 #include "scale_test/scale_test.hpp"
 
 #include <CLI/CLI.hpp>
@@ -10,44 +10,52 @@
 namespace lichenlanding::command {
 namespace {
 
-scale_test::ScenarioConfig readPlan(const std::string& file, const std::vector<std::string>& others) {
-    scale_test::ScenarioConfig plan;
+scale_test::ScenarioConfig readScenario(const std::string& file, const std::vector<std::string>& overrides) {
+    scale_test::ScenarioConfig scenario;
     for (const auto& item : CLI::ConfigTOML().from_file(file)) {
         if (item.inputs.size() != 1) throw std::runtime_error(item.fullname() + ": one value is needed");
-        plan.set(item.fullname(), item.inputs.front());
+        scenario.set(item.fullname(), item.inputs.front());
     }
-    for (const auto& other : others) {
-        const auto sign = other.find('=');
-        if (sign == other.npos) throw std::runtime_error("--set: no '=' in " + other);
-        plan.set(other.substr(0, sign), other.substr(sign + 1));
+    for (const auto& setting : overrides) {
+        const auto sign = setting.find('=');
+        if (sign == setting.npos) throw std::runtime_error("--set: no '=' in " + setting);
+        scenario.set(setting.substr(0, sign), setting.substr(sign + 1));
     }
-    return plan;
+    return scenario;
 }
 
 }  // namespace
 
-void addRehearse(CLI::App& app, std::function<void()>& chosen) {
-    auto* rehearse = app.add_subcommand("rehearse", "runs at size, on this machine alone");
-    rehearse->require_subcommand(1);
+void addScaleTest(CLI::App& app, Action& action) {
     const auto file = std::make_shared<std::string>();
-    auto* scale = rehearse->add_subcommand(
-        "scale", "real prompters before hollow foyers and pods: what each role costs, and how fast news is");
-    scale->add_option("file", *file, "the run's settings (TOML; bench/scale has some)")->required();
-    const auto others = std::make_shared<std::vector<std::string>>();
-    scale->add_option("--set", *others, "NAME=VALUE in place of the file's; may come more than once");
-    scale->footer(
-        "Example:\n  lichenlanding-gateway rehearse scale bench/scale/base.toml --set foyers=300 --set "
-        "seed=2");
-    scale->callback([=, &chosen] {
-        chosen = [=] {
+    const auto overrides = std::make_shared<std::vector<std::string>>();
+    auto* scaleTest = app.add_subcommand(
+        "scale-test",
+        "real control planes with simulated proxies and pods, on this machine alone: what each role costs, "
+        "and how fast changes arrive");
+    // Not marked as required: CLI11 would take the word `hollow` for it.
+    scaleTest->add_option("file", *file, "the run's settings (TOML; bench/scale has some)")
+        ->option_text("TEXT REQUIRED");
+    scaleTest->add_option("--set", *overrides, "NAME=VALUE in place of the file's; may come more than once");
+    scaleTest->footer(
+        "Example:\n  lichenlanding-gateway scale-test bench/scale/base.toml --set foyers=300 --set seed=2");
+
+    const auto instructions = std::make_shared<std::string>();
+    auto* hollow =
+        scaleTest->add_subcommand("hollow", "simulated proxies of a scale test; started by it")->group("");
+    hollow->add_option("instructions", *instructions, "what to simulate (JSON)")->required();
+    hollow->callback(
+        [=, &action] { action = [=] { scale_test::runHollow(nlohmann::json::parse(*instructions)); }; });
+
+    scaleTest->callback([=, &action] {
+        if (hollow->parsed()) return;
+        if (file->empty()) throw CLI::RequiredError("file");
+        action = [=] {
             const auto program = std::filesystem::read_symlink("/proc/self/exe").string();
-            if (!scale_test::scale(readPlan(*file, *others), program))
-                throw std::runtime_error("rehearse scale: not whole; the last lines say why");
+            if (!scale_test::scale(readScenario(*file, *overrides), program))
+                throw std::runtime_error("scale-test: incomplete; the last lines say why");
         };
     });
-    auto* hollow = rehearse->add_subcommand("hollow", "a part of a scale run; started by it")->group("");
-    hollow->add_option("told", *file, "what it is told")->required();
-    hollow->callback([=, &chosen] { chosen = [=] { scale_test::runHollow(nlohmann::json::parse(*file)); }; });
 }
 
 }  // namespace lichenlanding::command
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -36,23 +36,62 @@
     return text + "  ";
 }
 
-// Whether it may confirm anything, as of which epoch, and what a loss would take that the settings allow.
-std::string registerLine(const Json& told) {
-    std::string line = told.at("contact").get<bool>() ? ", in contact" : ", OUT OF CONTACT";
-    if (told.contains("epoch")) line += ", epoch " + told.at("epoch").dump();
-    if (told.value("changing", false)) line += ", members changing";
-    for (const auto& one : told.value("not_borne", Json::array())) line += "\nNOT BORNE " + one.dump();
+/// Whether it may acknowledge anything, the epoch, and losses that the settings allow but the present members
+/// would not survive.
+std::string quorumLine(const Json& quorum) {
+    std::string line = quorum.at("contact").get<bool>() ? ", in contact" : ", OUT OF CONTACT";
+    if (quorum.contains("epoch")) line += ", epoch " + quorum.at("epoch").dump();
+    if (quorum.value("changing", false)) line += ", members changing";
+    for (const auto& loss : quorum.value("not_borne", Json::array()))
+        line += "\nNOT TOLERATED " + loss.dump();
     return line;
 }
 
-std::string dutyLines(const Json& duties) {
+std::string leaseLines(const Json& leases) {
     std::string lines;
-    for (const auto& [name, duty] : duties.items())
-        lines += "\nduty " + name + ": " + duty.at("holder").get<std::string>() + ", term " +
-                 duty.at("term").dump() + (duty.at("mine").get<bool>() ? ", held here" : "");
+    for (const auto& [name, lease] : leases.items())
+        lines += "\nlease " + name + ": " + lease.at("holder").get<std::string>() + ", term " +
+                 lease.at("term").dump() + (lease.at("mine").get<bool>() ? ", held here" : "");
     return lines;
 }
 
+std::string proxyTable(const Json& proxies) {
+    auto table = padded("proxy", 28) + padded("configuration", 13) + "at\n";
+    for (const auto& [name, proxy] : proxies.items())
+        table += padded(name, 28) + padded(proxy.at("configuration").get<std::string>(), 13) +
+                 proxy.at("at").get<std::string>() + "\n";
+    return table;
+}
+
+std::string podTable(const Json& pods) {
+    auto table = padded("service", 16) + padded("version", 8) + padded("ready", 5) + "draining\n";
+    for (const auto& [service, versions] : pods.items())
+        for (const auto& [version, counts] : versions.items())
+            table += padded(service, 16) + padded(version, 8) + padded(counts.at(0).dump(), 5) +
+                     counts.at(1).dump() + "\n";
+    return table;
+}
+
+std::string rolloutLines(const Json& rollouts, const Json& votes) {
+    std::string lines;
+    for (const auto& rollout : rollouts)
+        lines += "\nrollout of " + rollout.at("service").get<std::string>() + " to " +
+                 rollout.at("target").get<std::string>() + ": " + rollout.at("state").get<std::string>() +
+                 ", stage " + rollout.at("stage").dump() + "\n";
+    for (const auto& vote : votes) lines += "  vote " + vote.dump() + "\n";
+    return lines;
+}
+
+std::string formatStatus(const Json& status) {
+    return "control plane " + status.at("node").get<std::string>() + ", configuration " +
+           status.at("configuration").get<std::string>() +
+           (status.at("blank").get<bool>() ? ", BLANK DISK" : "") + "\nmembers " +
+           status.at("members").dump() + ", connected " + status.at("reached").dump() +
+           quorumLine(status.at("register")) + leaseLines(status.at("duties")) + "\n\n" +
+           proxyTable(status.at("foyers")) + "\n" + podTable(status.at("pods")) +
+           rolloutLines(status.at("rollouts"), status.at("votes"));
+}
+
 }  // namespace
 
 std::string status(const std::string& address, bool json) {
@@ -61,33 +100,12 @@
     std::exception_ptr failure;
     asio::co_spawn(io, ask(address, body), [&](std::exception_ptr thrown) { failure = thrown; });
     io.run();
-    if (failure) try {
-            std::rethrow_exception(failure);
-        } catch (const std::exception& error) {
-            throw std::runtime_error("status: " + address + ": " + error.what());
-        }
-    if (json) return body + "\n";
-    const auto told = Json::parse(body);
-    std::string all = "prompter " + told.at("node").get<std::string>() + ", configuration " +
-                      told.at("configuration").get<std::string>() +
-                      (told.at("blank").get<bool>() ? ", BLANK DISK" : "") + "\nmembers " +
-                      told.at("members").dump() + ", reached " + told.at("reached").dump() +
-                      registerLine(told.at("register")) + dutyLines(told.at("duties")) + "\n\n" +
-                      padded("foyer", 28) + padded("configuration", 13) + "at\n";
-    for (const auto& [name, proxy] : told.at("foyers").items())
-        all += padded(name, 28) + padded(proxy.at("configuration").get<std::string>(), 13) +
-               proxy.at("at").get<std::string>() + "\n";
-    all += "\n" + padded("service", 16) + padded("version", 8) + padded("ready", 5) + "draining\n";
-    for (const auto& [service, versions] : told.at("pods").items())
-        for (const auto& [version, counts] : versions.items())
-            all += padded(service, 16) + padded(version, 8) + padded(counts.at(0).dump(), 5) +
-                   counts.at(1).dump() + "\n";
-    for (const auto& rollout : told.at("rollouts"))
-        all += "\nrollout of " + rollout.at("service").get<std::string>() + " to " +
-               rollout.at("target").get<std::string>() + ": " + rollout.at("state").get<std::string>() +
-               ", stage " + rollout.at("stage").dump() + "\n";
-    for (const auto& vote : told.at("votes")) all += "  vote " + vote.dump() + "\n";
-    return all;
+    try {
+        if (failure) std::rethrow_exception(failure);
+    } catch (const std::exception& error) {
+        throw std::runtime_error("status: " + address + ": " + error.what());
+    }
+    return json ? body + "\n" : formatStatus(Json::parse(body));
 }
 
 }  // namespace lichenlanding::command
--- a/src/scale_test/scale_test.cpp
+++ b/src/scale_test/scale_test.cpp
@@ -205,10 +205,10 @@
 
     void launchAll() {
         for (std::int64_t n = 0; n < plan_.controlNodes; ++n)
-            launch(controlNodeName(n), "prompter", {"prompter"}, settings(controlNodeName(n), true, n, true));
+            launch(controlNodeName(n), "prompter", {"control-plane"}, settings(controlNodeName(n), true, n, true));
         for (std::int64_t n = 0; n < plan_.realProxies; ++n) {
             const auto name = "foyer-" + std::to_string(n + 1);
-            launch(name, "foyer", {"foyer"}, settings(name, false, n, true));
+            launch(name, "foyer", {"proxy"}, settings(name, false, n, true));
         }
         Json seeds = Json::array();
         for (std::int64_t seed = 0; seed < std::min<std::int64_t>(plan_.controlNodes, 3); ++seed)
@@ -219,7 +219,7 @@
                             {"port", port_},
                             {"seeds", seeds},
                             {"heartbeat_ms", kHeartbeat}};
-            launch("hollow-from-" + std::to_string(first), "hollow", {"rehearse", "hollow", told.dump()}, "");
+            launch("hollow-from-" + std::to_string(first), "hollow", {"scale-test", "hollow", told.dump()}, "");
         }
     }
 
@@ -660,7 +660,7 @@
         const auto middle = mark();
         const auto name = controlNodeName(lost);
         const Nanos back = now();
-        launch(name, "prompter", {"prompter"}, settings(name, true, lost, false));
+        launch(name, "prompter", {"control-plane"}, settings(name, true, lost, false));
         const bool joined = co_await until(
             [&] { return links_[controlNodeAt(lost, 0)].size() >= static_cast<std::size_t>(plan_.proxies); },
             kForceWithin);
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -85,7 +85,7 @@
                         {"control_plane", at(name, control)}}}};
         const auto file = disk + ".json";
         std::ofstream(file) << settings;
-        spawn(programs[name], {core ? "prompter" : "foyer"}, "LICHENLANDING_SETTINGS=" + file);
+        spawn(programs[name], {core ? "control-plane" : "proxy"}, "LICHENLANDING_SETTINGS=" + file);
     }
     void spawn(Program& program, std::vector<std::string> words, const std::string& variable) {
         int ends[2];
@@ -265,7 +265,8 @@
     CPPUNIT_TEST(frozen);
     CPPUNIT_TEST(dutyGoesOn);
     CPPUNIT_TEST(outOfContact);
-    CPPUNIT_TEST(words);
+    CPPUNIT_TEST(commandLine);
+    CPPUNIT_TEST(subcommandsOfBefore);
     CPPUNIT_TEST_SUITE_END();
 
     static void open(House& house) {
@@ -304,7 +305,7 @@
             200, house.replace("c2", House::configuration(2, "/old/")));  // old: taken, changes nothing
         CPPUNIT_ASSERT_EQUAL(400,
                              house.rpc("c2", "config.replace", "{\"config_version\":\"00000009\"").first);
-        house.until("the foyer uses version 4", [&] { return get("/b/1") == 200 && get("/a/1") == 404; });
+        house.until("the proxy uses version 4", [&] { return get("/b/1") == 200 && get("/a/1") == 404; });
         house.stop(house.programs["c1"], SIGKILL);
         const auto five = House::configuration(5, "/five/");
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c2", five));  // two of three take it
@@ -313,7 +314,7 @@
         CPPUNIT_ASSERT_EQUAL(503, house.replace("c2", House::configuration(6, "/six/")));
         CPPUNIT_ASSERT_EQUAL(503, house.rpc("c2", "config.read").first);
         // Clients are served meanwhile, by what was acknowledged last.
-        house.until("the foyer uses version 5", [&] { return get("/five/1") == 200; });
+        house.until("the proxy uses version 5", [&] { return get("/five/1") == 200; });
         house.launch("c3", false);
         house.until("version 5 or 6 is read again",
                     [&] { return house.rpc("c3", "config.read").first == 200; });
@@ -331,7 +332,7 @@
         CPPUNIT_ASSERT_EQUAL(409, house.replace("c1", other));
         house.until("the disk that was lost stands for another",
                     [&] { return house.replace("c1", House::configuration(7, "/seven/")) == 200; });
-        house.until("the foyer uses version 7", [&] { return get("/seven/1") == 200; });
+        house.until("the proxy uses version 7", [&] { return get("/seven/1") == 200; });
     }
 
     // All processes die at once and come back with their disks; orders and configurations are still there. A
@@ -386,15 +387,15 @@
             for (const auto& line : tool.lines) all += line.value("text", line.dump()) + "\n";
             return all;
         };
-        const auto book = house.folder + "/c2/promptbook";
-        CPPUNIT_ASSERT(says({"promptbook", "check", book}).find("all checksums right") != std::string::npos);
-        CPPUNIT_ASSERT(says({"promptbook", "show", book}).find("version 00000003,") != std::string::npos);
-        CPPUNIT_ASSERT(says({"promptbook", "show", book}).find("remembered 00000003\n") != std::string::npos);
+        const auto store = house.folder + "/c2/promptbook";
+        CPPUNIT_ASSERT(says({"store", "check", store}).find("all checksums right") != std::string::npos);
+        CPPUNIT_ASSERT(says({"store", "show", store}).find("version 00000003,") != std::string::npos);
+        CPPUNIT_ASSERT(says({"store", "show", store}).find("remembered 00000003\n") != std::string::npos);
         CPPUNIT_ASSERT_EQUAL(Json::parse(House::configuration(3, "/a/")),
-                             Json::parse(says({"promptbook", "export", book})));
+                             Json::parse(says({"store", "export", store})));
         const auto shown = says({"status", house.at("c1", house.control)});
         CPPUNIT_ASSERT_MESSAGE(shown, shown.find(", in contact") != shown.npos);
-        CPPUNIT_ASSERT_MESSAGE(shown, shown.find("\nduty list: ") != shown.npos);
+        CPPUNIT_ASSERT_MESSAGE(shown, shown.find("\nlease list: ") != shown.npos);
     }
 
     // A proxy stands still while a route is dropped and another is added, and wakes up with its old view.
@@ -410,7 +411,7 @@
         kill(proxy.id, SIGCONT);
         house.await("e1", "woke");
         // How soon is a matter of this machine's speed (150 ms are waited for); it never goes back.
-        house.until("the foyer uses version 8", [&] { return get("/a/1") == 404; });
+        house.until("the proxy uses version 8", [&] { return get("/a/1") == 404; });
         CPPUNIT_ASSERT_EQUAL(200, get("/eight/1"));
         for (int at = 0; at < 20; ++at) CPPUNIT_ASSERT_EQUAL(404, get("/a/1"));
     }
@@ -470,47 +471,92 @@
         CPPUNIT_ASSERT_EQUAL(200, house.get("e2", "/r/1"));
     }
 
-    // The tools' words and exit status.
-    void words() {
-        House house;
+    // What a call of the program comes to: its exit status and, unless the command line was wrong, its
+    // output.
+    static std::string transcriptOf(House& house, std::vector<std::string> words) {
+        for (auto& word : words)
+            if (word.find(".json") != word.npos || word == "none") word = house.folder + "/" + word;
+        Program tool;
+        house.spawn(tool, words, "X=");
+        waitpid(tool.id, &tool.status, 0);
+        tool.id = -1;
+        house.io.restart();
+        for (int turn = 0; turn < 200 && house.io.poll() > 0; ++turn) {
+        }
+        std::string seen;
+        if (WEXITSTATUS(tool.status) != 2)
+            for (const auto& out : tool.lines) {
+                auto text = out.value("text", out.dump());
+                for (auto at = text.find(house.folder); at != text.npos; at = text.find(house.folder))
+                    text.replace(at, house.folder.size(), "FOLDER");
+                seen += "  " + text + "\n";
+            }
+        return seen + "  status " + std::to_string(WEXITSTATUS(tool.status)) + "\n";
+    }
+    static void writeConfigurations(const House& house) {
         std::ofstream(house.folder + "/good.json") << House::configuration(3, "/a/");
         std::ofstream(house.folder + "/bad.json")
             << R"({"config_version":"3","resources":[{"resource_type":"table"}]})";
+    }
+
+    // Output and exit status of the tools, and the help texts.
+    void commandLine() {
+        House house;
+        writeConfigurations(house);
         std::string seen;
-        for (const auto& words : std::vector<std::vector<std::string>>{{"playbill", "check", "good.json"},
-                                                                       {"playbill", "check", "bad.json"},
-                                                                       {"playbill", "check", "none.json"},
+        for (const auto& words : std::vector<std::vector<std::string>>{{"config", "check", "good.json"},
+                                                                       {"config", "check", "bad.json"},
+                                                                       {"config", "check", "none.json"},
                                                                        {"explain", "good.json", "h", "/a/1"},
                                                                        {"explain", "good.json", "h", "/none"},
-                                                                       {"promptbook", "show", "none"},
-                                                                       {"promptbook", "burn", "none"},
-                                                                       {"encore"},
+                                                                       {"store", "show", "none"},
+                                                                       {"store", "burn", "none"},
+                                                                       {"scale-test"},
+                                                                       {"scale-test", "hollow"},
+                                                                       {"no-such-subcommand"},
                                                                        {},
-                                                                       {"foyer"}}) {
-            auto full = words;
+                                                                       {"proxy"},
+                                                                       {"control-plane"},
+                                                                       {"--help"},
+                                                                       {"control-plane", "--help"},
+                                                                       {"config", "check", "--help"},
+                                                                       {"store", "--help"},
+                                                                       {"scale-test", "--help"},
+                                                                       {"status", "--help"}}) {
             std::string line;
-            for (auto& word : full) {
-                line += " " + word;
-                if (word.find(".json") != word.npos || word == "none") word = house.folder + "/" + word;
-            }
-            Program tool;
-            house.spawn(tool, full, "X=");
-            waitpid(tool.id, &tool.status, 0);
-            tool.id = -1;
-            house.io.restart();
-            for (int turn = 0; turn < 200 && house.io.poll() > 0; ++turn) {
-            }
-            seen += "$" + line + "\n";
-            if (WEXITSTATUS(tool.status) != 2)
-                for (const auto& out : tool.lines) {
-                    auto text = out.value("text", out.dump());
-                    for (auto at = text.find(house.folder); at != text.npos; at = text.find(house.folder))
-                        text.replace(at, house.folder.size(), "FOLDER");
-                    seen += "  " + text + "\n";
-                }
-            seen += "  status " + std::to_string(WEXITSTATUS(tool.status)) + "\n";
+            for (const auto& word : words) line += " " + word;
+            seen += "$" + line + "\n" + transcriptOf(house, words);
+        }
+        approve("command-line", seen);
+    }
+
+    // The subcommands' names of version 0.3 do what the present ones do.
+    void subcommandsOfBefore() {
+        House house;
+        writeConfigurations(house);
+        using Words = std::vector<std::string>;
+        for (const auto& [before, now] : std::vector<std::pair<Words, Words>>{
+                 {{"foyer"}, {"proxy"}},
+                 {{"foyer", "--help"}, {"proxy", "--help"}},
+                 {{"prompter"}, {"control-plane"}},
+                 {{"prompter", "--metrics"}, {"control-plane", "--metrics"}},
+                 {{"prompter", "--help"}, {"control-plane", "--help"}},
+                 {{"playbill"}, {"config"}},
+                 {{"playbill", "check", "good.json"}, {"config", "check", "good.json"}},
+                 {{"playbill", "check", "bad.json"}, {"config", "check", "bad.json"}},
+                 {{"promptbook", "show", "none"}, {"store", "show", "none"}},
+                 {{"promptbook", "found", "none", "--address", "127.0.0.1:1"},
+                  {"store", "found", "none", "--address", "127.0.0.1:1"}},
+                 {{"promptbook", "found", "none"}, {"store", "found", "none"}},
+                 {{"rehearse"}, {"scale-test"}},
+                 {{"rehearse", "scale", "none.json"}, {"scale-test", "none.json"}},
+                 {{"rehearse", "scale", "--help"}, {"scale-test", "--help"}},
+                 {{"rehearse", "hollow", "[]"}, {"scale-test", "hollow", "[]"}},
+                 {{"rehearse", "hollow", "--help"}, {"scale-test", "hollow", "--help"}}}) {
+            std::string line;
+            for (const auto& word : before) line += " " + word;
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(line, transcriptOf(house, now), transcriptOf(house, before));
         }
-        approve("words", seen);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(HouseTest);
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -479,7 +479,7 @@
         std::filesystem::create_directories(folder);
         const auto image = cast.disks[0].image();
         const auto command = [&](const std::string& more) {
-            return std::string(GATEWAY) + " promptbook found " + folder.string() + " --address " +
+            return std::string(GATEWAY) + " store found " + folder.string() + " --address " +
                    cast.members[0]->at() + more + " > /dev/null";
         };
         {
--- a/tests/scale_test/scale_test.cpp
+++ b/tests/scale_test/scale_test.cpp
@@ -29,7 +29,7 @@
 
     static std::pair<int, std::vector<std::string>> scale(const std::string& words) {
         const auto command =
-            std::string(GATEWAY " rehearse scale " TRANSCRIPTS "/../../bench/scale/") + words + " 2>&1";
+            std::string(GATEWAY " scale-test " TRANSCRIPTS "/../../bench/scale/") + words + " 2>&1";
         std::pair<int, std::vector<std::string>> all;
         auto* out = popen(command.c_str(), "r");
         CPPUNIT_ASSERT(out);
