--- a/src/admin/configuration_record.cpp
+++ b/src/admin/configuration_record.cpp
@@ -24,7 +24,7 @@
     return number;
 }
 
-bool earlierFormat(std::string_view value) {
+bool isEarlierFormat(std::string_view value) {
     return value.size() > kDigits && std::all_of(value.begin(), value.begin() + kDigits, [](char digit) {
                return (digit >= '0' && digit <= '9') || (digit >= 'a' && digit <= 'f');
            });
@@ -54,19 +54,19 @@
     return told;
 }
 
-ConfigurationRequest order(std::uint32_t number, std::string_view body) {
+ConfigurationRequest makeRequest(std::uint32_t number, std::string_view body) {
     return {number, digest(body), transport::compress(body)};
 }
 
 std::uint32_t version(std::string_view value) {
-    if (!earlierFormat(value)) return take(parts(value).second);
+    if (!isEarlierFormat(value)) return take(parts(value).second);
     std::uint32_t number = 0;
     std::from_chars(value.data(), value.data() + kDigits, number, 16);
     return number;
 }
 
 std::string_view compressed(std::string_view value) {
-    return earlierFormat(value) ? value.substr(kDigits) : parts(value).second.substr(4);
+    return isEarlierFormat(value) ? value.substr(kDigits) : parts(value).second.substr(4);
 }
 
 std::string body(std::string_view value) {
@@ -79,9 +79,9 @@
     }
 }
 
-ConfigurationRecord read(std::string_view value) {
+ConfigurationRecord decodeRecord(std::string_view value) {
     ConfigurationRecord held{version(value), std::string(compressed(value)), {}};
-    if (earlierFormat(value)) {
+    if (isEarlierFormat(value)) {
         held.history.push_back({held.version, digest(body(value))});
         return held;
     }
@@ -96,7 +96,7 @@
     return held;
 }
 
-std::string write(const ConfigurationRecord& held) {
+std::string encodeRecord(const ConfigurationRecord& held) {
     std::string value(kMark);
     value += static_cast<char>(held.history.size());
     for (const auto& one : held.history) {
@@ -109,26 +109,26 @@
 
 namespace {
 
-DuplicateCheck recalled(const ConfigurationRecord& held, const ConfigurationRequest& order) {
+DuplicateCheck checkDuplicate(const ConfigurationRecord& held, const ConfigurationRequest& request) {
     for (const auto& one : held.history)
-        if (one.number == order.number)
-            return one.body == order.body ? DuplicateCheck::known : DuplicateCheck::clash;
+        if (one.number == request.number)
+            return one.body == request.body ? DuplicateCheck::known : DuplicateCheck::conflict;
     return DuplicateCheck::unknown;
 }
 
 }  // namespace
 
-DuplicateCheck recalled(std::string_view value, const ConfigurationRequest& order) {
-    return value.empty() ? DuplicateCheck::unknown : recalled(read(value), order);
+DuplicateCheck checkDuplicate(std::string_view value, const ConfigurationRequest& request) {
+    return value.empty() ? DuplicateCheck::unknown : checkDuplicate(decodeRecord(value), request);
 }
 
-std::string change(const std::string& value, const ConfigurationRequest& order) {
+std::string applyRequest(const std::string& value, const ConfigurationRequest& request) {
     ConfigurationRecord held;
-    if (!value.empty()) held = read(value);
-    if (recalled(held, order) != DuplicateCheck::unknown) return value;
-    if (value.empty() || order.number > held.version)
-        held.version = order.number, held.compressed = order.compressed;
-    held.history.push_back({order.number, order.body});
+    if (!value.empty()) held = decodeRecord(value);
+    if (checkDuplicate(held, request) != DuplicateCheck::unknown) return value;
+    if (value.empty() || request.number > held.version)
+        held.version = request.number, held.compressed = request.compressed;
+    held.history.push_back({request.number, request.body});
     if (held.history.size() > kRemembered) {
         // The oldest goes, but never the one in force: however many older ones come, another body under its
         // number is told from it.
@@ -136,7 +136,7 @@
         if (oldest->number == held.version) ++oldest;
         held.history.erase(oldest);
     }
-    return write(held);
+    return encodeRecord(held);
 }
 
 }  // namespace lichenlanding::admin
--- a/src/admin/configuration_record.hpp
+++ b/src/admin/configuration_record.hpp
@@ -31,7 +31,7 @@
     Digest body{};             // of the bytes as they were sent
     std::string compressed;    // those bytes (wings::squeeze)
 };
-ConfigurationRequest order(std::uint32_t number, std::string_view body);
+ConfigurationRequest makeRequest(std::uint32_t number, std::string_view body);
 
 struct AcknowledgedRequest {
     std::uint32_t number = 0;
@@ -46,24 +46,25 @@
     std::vector<AcknowledgedRequest> history;  // oldest first
 };
 
-// "" is no value yet: none of these takes it but change(). They throw Unreadable.
-ConfigurationRecord read(std::string_view value);
-std::string write(const ConfigurationRecord& held);
+// "" is no value yet: none of these takes it but applyRequest(). They throw Unreadable.
+ConfigurationRecord decodeRecord(std::string_view value);
+std::string encodeRecord(const ConfigurationRecord& held);
 // The same, without the history.
 std::uint32_t version(std::string_view value);
 std::string_view compressed(std::string_view value);
 std::string body(std::string_view value);  // as it was sent
 
 enum class DuplicateCheck {
-    unknown,  // not among those remembered
-    known,    // acknowledged, and may be so again
-    clash,    // another body was acknowledged under its number
+    unknown,   // not among those remembered
+    known,     // acknowledged, and may be so again
+    conflict,  // another body was acknowledged under its number
 };
-DuplicateCheck recalled(std::string_view value, const ConfigurationRequest& order);
+DuplicateCheck checkDuplicate(std::string_view value, const ConfigurationRequest& request);
 
 // What is to be in force after the order: a higher number takes the place of what was; a lower one that is
 // not known changes nothing but is remembered; one that is known, or clashes, changes nothing at all. After a
-// ballot with this change the recalled() of what it ended with is the answer, wherever the value came from.
-std::string change(const std::string& value, const ConfigurationRequest& order);
+// ballot with this change the checkDuplicate() of what it ended with is the answer, wherever the value came
+// from.
+std::string applyRequest(const std::string& value, const ConfigurationRequest& request);
 
 }  // namespace lichenlanding::admin
--- a/src/admin/rollout_requests.cpp
+++ b/src/admin/rollout_requests.cpp
@@ -5,7 +5,7 @@
 namespace lichenlanding::admin {
 namespace {
 
-bool sameOrder(const messages::Rollout& one, const messages::Rollout& other) {
+bool isSameRequest(const messages::Rollout& one, const messages::Rollout& other) {
     return one.service == other.service && one.target == other.target && one.term == other.term;
 }
 
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-const char* name(RolloutRequestOutcome outcome) {
+const char* outcomeName(RolloutRequestOutcome outcome) {
     switch (outcome) {
         case RolloutRequestOutcome::begun:
             return "begun";
@@ -44,33 +44,35 @@
     return "";
 }
 
-const messages::Rollout* newest(const std::vector<messages::Rollout>& rollouts, const std::string& service) {
+const messages::Rollout* newestRollout(const std::vector<messages::Rollout>& rollouts,
+                                       const std::string& service) {
     const auto at = std::find_if(rollouts.rbegin(), rollouts.rend(),
                                  [&](const auto& rollout) { return rollout.service == service; });
     return at == rollouts.rend() ? nullptr : &*at;
 }
 
-RolloutRequestOutcome ordered(const std::vector<messages::Rollout>& rollouts,
-                              const messages::Rollout& order) {
+RolloutRequestOutcome classifyRequest(const std::vector<messages::Rollout>& rollouts,
+                                      const messages::Rollout& request) {
     const auto any = [&](auto holds) { return std::any_of(rollouts.begin(), rollouts.end(), holds); };
-    if (any([&](const auto& one) { return sameOrder(one, order); })) return RolloutRequestOutcome::known;
+    if (any([&](const auto& one) { return isSameRequest(one, request); }))
+        return RolloutRequestOutcome::known;
     if (any([&](const auto& one) {
-            return one.service == order.service && one.target == order.target && one.running();
+            return one.service == request.service && one.target == request.target && one.running();
         }))
         return RolloutRequestOutcome::underWay;
     const messages::Rollout* reached = nullptr;
     for (const auto& one : rollouts)
-        if (one.service == order.service && one.state == "completed" &&
+        if (one.service == request.service && one.state == "completed" &&
             (!reached || one.number > reached->number))
             reached = &one;
-    if (reached && reached->target == order.target) return RolloutRequestOutcome::inForce;
+    if (reached && reached->target == request.target) return RolloutRequestOutcome::inForce;
     return RolloutRequestOutcome::begun;
 }
 
-std::string begin(const std::string& value, const messages::Rollout& order) {
+std::string addRollout(const std::string& value, const messages::Rollout& request) {
     auto rollouts = messages::decodeRollouts(value);
-    if (ordered(rollouts, order) != RolloutRequestOutcome::begun) return value;
-    auto added = order;
+    if (classifyRequest(rollouts, request) != RolloutRequestOutcome::begun) return value;
+    auto added = request;
     for (const auto& one : rollouts) added.number = std::max(added.number, one.number + 1);
     added.number = std::max<std::int64_t>(added.number, 1);
     rollouts.push_back(std::move(added));
--- a/src/admin/rollout_requests.hpp
+++ b/src/admin/rollout_requests.hpp
@@ -16,17 +16,19 @@
     inForce,   // another order for the version that the service has come to last: nothing to do
     underWay,  // another order for the same service and target runs: no second one beside it
 };
-// Service, target and term make the order. What a list says of one: of the value that a ballot with begin()
-// has ended with, this is the answer (begun reads as known there).
-const char* name(RolloutRequestOutcome outcome);
-RolloutRequestOutcome ordered(const std::vector<messages::Rollout>& rollouts, const messages::Rollout& order);
+// Service, target and term make the request. What a list says of one: of the value that a ballot with
+// addRollout() has ended with, this is the answer (begun reads as known there).
+const char* outcomeName(RolloutRequestOutcome outcome);
+RolloutRequestOutcome classifyRequest(const std::vector<messages::Rollout>& rollouts,
+                                      const messages::Rollout& request);
 
 // The register's change: the order added where that is `begun`, else the same value. Throws
 // nlohmann::json::exception on a value of another shape.
-std::string begin(const std::string& value, const messages::Rollout& order);
+std::string addRollout(const std::string& value, const messages::Rollout& request);
 
 // The newest order of a service, the one that rollouts.read tells; null where there is none. Orders stand as
 // they were begun.
-const messages::Rollout* newest(const std::vector<messages::Rollout>& rollouts, const std::string& service);
+const messages::Rollout* newestRollout(const std::vector<messages::Rollout>& rollouts,
+                                       const std::string& service);
 
 }  // namespace lichenlanding::admin
--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -33,7 +33,7 @@
 
 std::string formatHistory(const std::string& value) {
     std::string all;
-    for (const auto& one : admin::read(value).history) all += " " + config::formatVersion(one.number);
+    for (const auto& one : admin::decodeRecord(value).history) all += " " + config::formatVersion(one.number);
     return all;
 }
 
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -140,7 +140,7 @@
 Task<AdminApi::Response> AdminApi::replace(const std::string& body) {
     admin::ConfigurationRequest order;
     try {
-        order = admin::order(config::Configuration::read(body).version, body);
+        order = admin::makeRequest(config::Configuration::read(body).version, body);
     } catch (const config::ValidationError& refusal) {
         log("configuration_refused", {{"error", refusal.what()}});
         co_return respond(
@@ -148,12 +148,12 @@
     }
     const auto version = config::formatVersion(order.number);
     const consensus::Change put =
-        changing([order](const std::string& held) { return admin::change(held, order); });
+        changing([order](const std::string& held) { return admin::applyRequest(held, order); });
     const auto held = co_await register_.change(kConfigurationKey, put, kAnswerWithin);
     if (!held) co_return later("register: no majority has synced it");
-    const auto recalled = admin::recalled(*held, order);
+    const auto recalled = admin::checkDuplicate(*held, order);
     const auto inForce = config::formatVersion(admin::version(*held));
-    if (recalled == admin::DuplicateCheck::clash) {
+    if (recalled == admin::DuplicateCheck::conflict) {
         log("configuration_clash", {{"version", version}, {"held", inForce}});
         co_return respond(409,
                           Json{{"error", "config_version " + version + ": acknowledged with another body"},
@@ -182,14 +182,14 @@
         co_return wrong(400, "must hold service_name, target_version and deadline (\"12s\")");
     }
     const consensus::Change add =
-        changing([order](const std::string& held) { return admin::begin(held, order); });
+        changing([order](const std::string& held) { return admin::addRollout(held, order); });
     const auto held = co_await register_.change(kRolloutsKey, add, kAnswerWithin);
     if (!held) co_return later("register: no majority has synced it");
-    const auto outcome = admin::ordered(messages::decodeRollouts(*held), order);
+    const auto outcome = admin::classifyRequest(messages::decodeRollouts(*held), order);
     log("rollout_ordered", {{"service", order.service},
                             {"target", order.target},
                             {"term_ms", order.term},
-                            {"outcome", admin::name(outcome)}});
+                            {"outcome", admin::outcomeName(outcome)}});
     if (outcome == admin::RolloutRequestOutcome::underWay)
         co_return respond(409, Json{{"error", "target_version " + order.target + " of " + order.service +
                                                   ": under way by an order with another deadline"},
@@ -202,7 +202,7 @@
     const auto value = co_await register_.read(kRolloutsKey, kAnswerWithin);
     if (!value) co_return later("register: no majority");
     const auto rollouts = messages::decodeRollouts(*value);
-    const auto* newest = admin::newest(rollouts, service);
+    const auto* newest = admin::newestRollout(rollouts, service);
     if (!newest) co_return wrong(404, "of: no rollout of " + service);
     co_return respond(200, Json{{"state", newest->state}, {"target_version", newest->target}}.dump(
                                -1, ' ', false, Json::error_handler_t::replace));
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -21,7 +21,7 @@
 constexpr Nanos kTellKnownEvery = 500 * kMillisecond, kLookEvery = 100 * kMillisecond;
 constexpr Nanos kRosterAfter = 400 * kMillisecond;
 
-std::uint64_t drawnLife() {
+std::uint64_t randomIncarnation() {
     std::random_device draw;
     return (static_cast<std::uint64_t>(draw()) << 32) | draw();
 }
@@ -41,14 +41,15 @@
                   ReplicaNode::onDisk(boot_)),
           control(listen(io, boot.control)),
           peers(listen(io, boot.internal(boot.ip))),
-          duties(
-              replica, {me(), drawnLife()}, [this] { return hears(); },
+          leases(
+              replica, {me(), randomIncarnation()}, [this] { return hears(); },
               [this] { return cache.highestTermSeen(); }),
           list(
-              io, boot, cache, [this] { return duties.has(kListDuty) ? duties.term(kListDuty) : 0; },
+              io, boot, cache,
+              [this] { return leases.holdsLease(kEndpointListLease) ? leases.term(kEndpointListLease) : 0; },
               [this](const Json& message) { tellAll(message); }),
           rollouts(
-              replica, [this] { return startedReading && duties.has(kRolloutsDuty); },
+              replica, [this] { return startedReading && leases.holdsLease(kRolloutsLease); },
               [this] { return proxyNames(); }),
           operatorCalls(
               io, AdminApi::Register::of(replica), [this] { return status(); }, metrics) {
@@ -82,8 +83,8 @@
     void heard(PeerConnection& link, const Json& message) {
         const auto& kind = message.at("t").get_ref<const std::string&>();
         if (kind == "known") {
-            if (message.contains("hears")) duties.heard(link.peer, message.at("hears"));
-            if (message.contains("ages")) rollouts.learn(message.at("ages"));
+            if (message.contains("hears")) leases.onReachability(link.peer, message.at("hears"));
+            if (message.contains("ages")) rollouts.onPeerAges(message.at("ages"));
         }
         if (kind == "hello") {
             hello(link, message);
@@ -100,7 +101,7 @@
             if (const auto at = proxies.find(link.peer); at != proxies.end())
                 message.at("configuration").get_to(at->second.applied);
         } else if (kind == "vote") {
-            rollouts.heard(message);
+            rollouts.onVote(message);
         }
     }
 
@@ -210,7 +211,7 @@
             }
             tellAll(cache.cue());
         } else if (key == kRolloutsKey) {
-            rollouts.learnt();
+            rollouts.onValueLearned();
             if (startedReading) pinRollouts();
         }
     }
@@ -251,7 +252,7 @@
                 proposalNumbers[key] = messages::write(known.proposalNumber);
         const auto packed = PeerConnection::pack(Json{{"t", "known"},
                                                       {"ballots", std::move(proposalNumbers)},
-                                                      {"hears", duties.hears()},
+                                                      {"hears", leases.hears()},
                                                       {"ages", rollouts.ages()}});
         for (const auto& [address, dialer] : dialers)
             if (dialer)
@@ -284,7 +285,7 @@
                   {"register", replica.describe()},
                   {"configuration", cache.version() ? config::formatVersion(cache.version()) : ""},
                   {"duty", Json::array()},
-                  {"duties", duties.describe()},
+                  {"duties", leases.describe()},
                   {"foyers", Json::object()},
                   {"pods", Json::object()},
                   {"rollouts", Json::parse(replica.known(kRolloutsKey).value.empty()
@@ -292,10 +293,10 @@
                                                : replica.known(kRolloutsKey).value)},
                   {"votes", rollouts.votes()},
                   {"calls", operatorCalls.calls()},
-                  {"list_calls", list.calls()},
-                  {"list_refused", list.refused()}};
-        for (const auto& duty : {kListDuty, kRolloutsDuty})
-            if (duties.has(duty)) told["duty"].push_back(duty);
+                  {"list_calls", list.requests()},
+                  {"list_refused", list.rateLimited()}};
+        for (const auto& duty : {kEndpointListLease, kRolloutsLease})
+            if (leases.holdsLease(duty)) told["duty"].push_back(duty);
         for (const auto& [name, proxy] : proxies)
             told["foyers"][name] = {{"at", proxy.address},
                                     {"life", proxy.life},
@@ -338,9 +339,9 @@
         start(io, "register", replica.maintain());
         start(io, "register", readFirst());
         start(io, "known", tellKnown());
-        start(io, "duties", duties.run());
-        start(io, "list", list.poll());
-        start(io, "rollouts", rollouts.steer());
+        start(io, "duties", leases.run());
+        start(io, "list", list.run());
+        start(io, "rollouts", rollouts.run());
         io.run();
     }
 
@@ -353,7 +354,7 @@
     std::map<std::string, ProxyInstance> proxies;            // by name
     subscription::ConfigurationCache cache{{}};
     Kept keptBody, keptList;  // packed, as last asked for
-    LeaseHolder duties;
+    LeaseHolder leases;
     EndpointDiscovery list;
     RolloutController rollouts;
     AdminApi operatorCalls;
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -31,7 +31,7 @@
     return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * kListPart)) : 0;
 }
 
-Task<> EndpointDiscovery::poll() {
+Task<> EndpointDiscovery::run() {
     auto stream = std::make_shared<beast::tcp_stream>(io_);
     beast::flat_buffer buffer;
     bool connected = false, anew = false;
@@ -66,9 +66,9 @@
                 co_await http::async_read(*stream, buffer, parser, asio::use_awaitable);
                 const auto& response = parser.get();
                 if (!response.keep_alive()) connected = false, stream->close();
-                ++pages, ++calls_;
+                ++pages, ++requests_;
                 if (response.result_int() == 429) {
-                    ++refused_;  // the same page again, when there is room
+                    ++rateLimited_;  // the same page again, when there is room
                     log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", 429}});
                     co_await sleep(pause);
                     pause = std::max(firstPause, std::min(pause * 2, kRefusedAtMost));
@@ -99,13 +99,13 @@
             connected = false, whole = false;
         }
         if (whole) anew = false;
-        if (whole && term_() == term) took(members, term);
+        if (whole && term_() == term) onListRead(members, term);
         const Nanos every = std::max(whole ? kPollEvery : kPollPause, callGap() * pages);
         co_await sleep(std::max(started + every - now(), 20 * kMillisecond));
     }
 }
 
-void EndpointDiscovery::took(const std::vector<discovery::Endpoint>& members, std::uint64_t term) {
+void EndpointDiscovery::onListRead(const std::vector<discovery::Endpoint>& members, std::uint64_t term) {
     const bool first = !cache_.listed() || cache_.endpointListVersion().term != term;
     const auto change = cache_.list(members, term);
     if (!cache_.listed()) return;  // a higher term has been heard of
--- a/src/control_plane/endpoint_discovery.hpp
+++ b/src/control_plane/endpoint_discovery.hpp
@@ -17,21 +17,21 @@
                       std::function<void(const Json&)> tell)
         : io_(io), boot_(boot), cache_(cache), term_(std::move(term)), tell_(std::move(tell)) {}
 
-    transport::Task<> poll();  // for good; off duty it only waits
+    transport::Task<> run();  // for good; off duty it only waits
 
-    std::uint64_t calls() const { return calls_; }      // pages asked for
-    std::uint64_t refused() const { return refused_; }  // of these, over the platform's rate
+    std::uint64_t requests() const { return requests_; }        // pages asked for
+    std::uint64_t rateLimited() const { return rateLimited_; }  // of these, over the platform's rate
 
   private:
     Nanos callGap() const;
-    void took(const std::vector<discovery::Endpoint>& members, std::uint64_t term);
+    void onListRead(const std::vector<discovery::Endpoint>& members, std::uint64_t term);
 
     transport::asio::io_context& io_;
     const config::BootstrapSettings& boot_;
     subscription::ConfigurationCache& cache_;
     std::function<std::uint64_t()> term_;
     std::function<void(const Json&)> tell_;
-    std::uint64_t calls_ = 0, refused_ = 0;
+    std::uint64_t requests_ = 0, rateLimited_ = 0;
     Nanos compared_ = 0;
 };
 
--- a/src/control_plane/lease_holder.hpp
+++ b/src/control_plane/lease_holder.hpp
@@ -8,40 +8,40 @@
 
 namespace lichenlanding::control_plane {
 
-inline const std::string kListDuty = "list", kRolloutsDuty = "rollouts";
+inline const std::string kEndpointListLease = "list", kRolloutsLease = "rollouts";
 
 class LeaseHolder {
   public:
-    // `hears`: addresses of the control nodes heard of late; `listTerm`: the highest that proxies have told.
-    // A register that was set up anew from an old copy may stand below it; then the holder raises it. All
-    // outlive this.
+    // `hears`: addresses of the control nodes heard of late; `highestTermSeen`: the highest that proxies have
+    // told. A register that was set up anew from an old copy may stand below it; then the holder raises it.
+    // All outlive this.
     LeaseHolder(ReplicaNode& replica, leases::ProcessIdentity self,
-                std::function<std::set<std::string>()> hears, std::function<std::uint64_t()> listTerm);
+                std::function<std::set<std::string>()> hears, std::function<std::uint64_t()> highestTermSeen);
 
     Task<> run();  // for good
-    bool has(const std::string& duty) const;
-    std::uint64_t term(const std::string& duty) const;  // of the present holder; 0: none
+    bool holdsLease(const std::string& lease) const;
+    std::uint64_t term(const std::string& lease) const;  // of the present holder; 0: none
 
-    Json hears() const { return hears_(); }                  // to be told to the other control nodes
-    void heard(const std::string& from, const Json& hears);  // as another told it
-    Json describe() const;                                   // for `status`
+    Json hears() const { return hears_(); }                           // to be told to the other control nodes
+    void onReachability(const std::string& from, const Json& hears);  // as another told it
+    Json describe() const;                                            // for `status`
 
   private:
-    struct Row {
+    struct ReportedReachability {
         std::set<std::string> hears;
         Nanos at = 0;
     };
-    leases::Reachability rows() const;
-    Task<> take(std::string duty, std::uint64_t seen);
-    const leases::Leases& held() const;
+    leases::Reachability reachability() const;
+    Task<> acquire(std::string lease, std::uint64_t seen);
+    const leases::Leases& currentLeases() const;
 
     ReplicaNode& replica_;
     leases::ProcessIdentity self_;
     std::function<std::set<std::string>()> hears_;
-    std::function<std::uint64_t()> listTerm_;
-    std::map<std::string, leases::LeaseMonitor> watches_;  // by duty
-    std::map<std::string, Row> rows_;                      // by control node's address
-    bool confirmed_ = false;                               // read from a majority since contact was had again
+    std::function<std::uint64_t()> highestTermSeen_;
+    std::map<std::string, leases::LeaseMonitor> monitors_;        // by duty
+    std::map<std::string, ReportedReachability> reachabilityOf_;  // by control node's address
+    bool confirmed_ = false;  // read from a majority since contact was had again
     mutable consensus::ProposalNumber readAt_;
     mutable leases::Leases read_;
 };
--- a/src/control_plane/replica_node.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -22,8 +22,8 @@
 using transport::Task;
 
 inline const std::string kConfigurationKey = "configuration", kRolloutsKey = "rollouts",
-                         kDutiesKey = "duties";
-inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kDutiesKey};
+                         kLeasesKey = "duties";
+inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kLeasesKey};
 
 class ReplicaNode {
   public:
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -10,28 +10,29 @@
 
 namespace {
 
-constexpr Nanos kSteerEvery = 200 * kMillisecond;
-constexpr Nanos kDecideWithin = 900 * kMillisecond;
-constexpr Nanos kWriteAgesEvery = kSecond;  // a restart of all control nodes loses no more of an order's age
+constexpr Nanos kRunInterval = 200 * kMillisecond;
+constexpr Nanos kUpdateTimeout = 900 * kMillisecond;
+constexpr Nanos kWriteAgesInterval =
+    kSecond;  // a restart of all control nodes loses no more of an order's age
 
 // An order of one service and version may come again, with another term, once the first has ended.
-std::string nameOf(const messages::Rollout& rollout) {
+std::string requestKey(const messages::Rollout& rollout) {
     return rollout.service + "\n" + rollout.target + "\n" + std::to_string(rollout.term);
 }
 
 }  // namespace
 
-void RolloutController::learnt() {
+void RolloutController::onValueLearned() {
     running_.clear();
     for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value)) {
         if (!rollout.running()) continue;
-        running_.insert(nameOf(rollout));
-        ages_.learn(nameOf(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
+        running_.insert(requestKey(rollout));
+        ages_.learn(requestKey(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
     }
     ages_.keep(running_);
 }
 
-void RolloutController::learn(const Json& ages) {
+void RolloutController::onPeerAges(const Json& ages) {
     for (const auto& one : ages)
         if (const auto name = one.at(0).get<std::string>(); running_.contains(name))
             ages_.learn(name,
@@ -53,16 +54,16 @@
         auto all = messages::decodeRollouts(value);
         for (auto& one : all) {
             if (!one.running()) continue;
-            const auto age = ages_.at(nameOf(one), now());
+            const auto age = ages_.at(requestKey(one), now());
             one.age = std::max(one.age, age.order);
             if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
         }
         return messages::write(all);
     };
-    co_await replica_.change(kRolloutsKey, older, kDecideWithin);
+    co_await replica_.change(kRolloutsKey, older, kUpdateTimeout);
 }
 
-void RolloutController::heard(const Json& vote) {
+void RolloutController::onVote(const Json& vote) {
     const auto key = vote.at("service").get<std::string>() + "\n" + vote.at("target").get<std::string>();
     votes_[key][vote.at("from").get<std::string>()] = {static_cast<Verdict>(vote.at("verdict").get<int>()),
                                                        vote.at("stage").get<int>(), now(), vote};
@@ -76,21 +77,21 @@
     return told;
 }
 
-Task<> RolloutController::steer() {
+Task<> RolloutController::run() {
     for (;;) {
-        co_await sleep(kSteerEvery);
-        if (!held_()) continue;
+        co_await sleep(kRunInterval);
+        if (!holdsLease_()) continue;
         for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value))
-            if (rollout.running()) co_await steer(rollout);
-        if (running_.empty() || now() - written_ < kWriteAgesEvery) continue;
-        written_ = now();
+            if (rollout.running()) co_await advance(rollout);
+        if (running_.empty() || now() - agesWrittenAt_ < kWriteAgesInterval) continue;
+        agesWrittenAt_ = now();
         co_await writeAges();
     }
 }
 
-Task<> RolloutController::steer(messages::Rollout rollout) {
+Task<> RolloutController::advance(messages::Rollout rollout) {
     const auto key = rollout.service + "\n" + rollout.target;
-    const auto chosen = hashing::chosen(proxies_(), key, verdict::kVoterCount);
+    const auto chosen = hashing::chosen(proxyNames_(), key, verdict::kVoterCount);
     verdict::VoteCounts votes;
     votes.voters = chosen.size();
     Json said = Json::array();
@@ -101,7 +102,7 @@
         votes.back += at->second.verdict == Verdict::back;
         said.push_back(at->second.about);
     }
-    const auto age = ages_.at(nameOf(rollout), now());
+    const auto age = ages_.at(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
     const auto move = verdict::nextMove(rollout.stage, votes, age.order, inStage, rollout.term);
     if (!move) co_return;
@@ -132,7 +133,7 @@
         }
         return changed ? messages::write(all) : value;
     };
-    co_await replica_.change(kRolloutsKey, decide, kDecideWithin);
+    co_await replica_.change(kRolloutsKey, decide, kUpdateTimeout);
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/rollout_controller.hpp
+++ b/src/control_plane/rollout_controller.hpp
@@ -10,20 +10,20 @@
 
 class RolloutController {
   public:
-    // `held`: whether the duty is this control node's now; `proxies`: names of those that may vote. All
-    // outlive this.
-    RolloutController(ReplicaNode& replica, std::function<bool()> held,
-                      std::function<std::vector<std::string>()> proxies)
-        : replica_(replica), held_(std::move(held)), proxies_(std::move(proxies)) {}
+    // `holdsLease`: whether the duty is this control node's now; `proxyNames`: names of those that may vote.
+    // All outlive this.
+    RolloutController(ReplicaNode& replica, std::function<bool()> holdsLease,
+                      std::function<std::vector<std::string>()> proxyNames)
+        : replica_(replica), holdsLease_(std::move(holdsLease)), proxyNames_(std::move(proxyNames)) {}
 
-    void heard(const Json& vote);  // a proxy's
-    Task<> steer();                // for good; off duty it only waits
-    Json votes() const;            // those that count now, for `status`
+    void onVote(const Json& vote);  // a proxy's
+    Task<> run();                   // for good; off duty it only waits
+    Json votes() const;             // those that count now, for `status`
 
     // Ages of the running orders go by steady clocks: on duty or not, each control node counts on from what
     // the register and the others say, so that it knows them when the duty comes to it.
-    void learnt();                 // the register has another value
-    void learn(const Json& ages);  // another control node's ages()
+    void onValueLearned();              // the register has another value
+    void onPeerAges(const Json& ages);  // another control node's ages()
     Json ages() const;
 
   private:
@@ -34,16 +34,16 @@
         Json about;
     };
 
-    Task<> steer(messages::Rollout rollout);
+    Task<> advance(messages::Rollout rollout);
     Task<> writeAges();
 
     ReplicaNode& replica_;
-    std::function<bool()> held_;
-    std::function<std::vector<std::string>()> proxies_;
+    std::function<bool()> holdsLease_;
+    std::function<std::vector<std::string>()> proxyNames_;
     std::map<std::string, std::map<std::string, Vote>> votes_;  // by rollout and voter
     verdict::Ages ages_;
     std::set<std::string> running_;  // orders, as `ages_` names them
-    Nanos written_ = 0;
+    Nanos agesWrittenAt_ = 0;
 };
 
 }  // namespace lichenlanding::control_plane
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -7,41 +7,42 @@
 #include "hashing/rendezvous.hpp"
 
 // Member and name of each, once.
-#define DUTY_FIELDS(X) X(holder, "holder") X(life, "life") X(term, "term")
+#define LEASE_FIELDS(X) X(holder, "holder") X(incarnation, "life") X(term, "term")
 
 namespace lichenlanding::leases {
 
 using Json = nlohmann::json;
 
-std::string write(const Leases& duties) {
+std::string encodeLeases(const Leases& leases) {
     auto all = Json::object();
-    for (const auto& [name, duty] : duties) {
+    for (const auto& [name, lease] : leases) {
         auto& json = all[name];
-#define X(field, name) json[name] = duty.field;
-        DUTY_FIELDS(X)
+#define X(field, name) json[name] = lease.field;
+        LEASE_FIELDS(X)
 #undef X
     }
     return all.dump();
 }
 
-Leases read(const std::string& text) {
-    Leases duties;
-    if (text.empty()) return duties;
+Leases decodeLeases(const std::string& text) {
+    Leases leases;
+    if (text.empty()) return leases;
     const auto all = Json::parse(text);
     for (const auto& [name, json] : all.items()) {
-        auto& duty = duties[name];
-#define X(field, name) json.at(name).get_to(duty.field);
-        DUTY_FIELDS(X)
+        auto& lease = leases[name];
+#define X(field, name) json.at(name).get_to(lease.field);
+        LEASE_FIELDS(X)
 #undef X
     }
-    return duties;
+    return leases;
 }
 
-bool holds(const Lease& duty, const ProcessIdentity& self) {
-    return duty.term > 0 && duty.holder == self.address && duty.life == self.life;
+bool isHeldBy(const Lease& lease, const ProcessIdentity& self) {
+    return lease.term > 0 && lease.holder == self.address && lease.incarnation == self.incarnation;
 }
 
-bool reaches(const std::string& holder, const std::set<std::string>& members, const Reachability& hears) {
+bool reachesMajority(const std::string& holder, const std::set<std::string>& members,
+                     const Reachability& hears) {
     if (!members.contains(holder)) return false;
     const auto hearing = std::count_if(members.begin(), members.end(), [&](const auto& member) {
         const auto row = hears.find(member);
@@ -50,36 +51,36 @@
     return static_cast<std::size_t>(hearing) + 1 >= members.size() / 2 + 1;
 }
 
-bool LeaseMonitor::due(const Lease& held, const std::set<std::string>& members, const Reachability& hears,
-                       Nanos now) {
-    if (!members.contains(self_.address) || holds(held, self_)) {
-        absentSince_ = -1;
+bool LeaseMonitor::shouldAcquire(const Lease& held, const std::set<std::string>& members,
+                                 const Reachability& hears, Nanos now) {
+    if (!members.contains(self_.address) || isHeldBy(held, self_)) {
+        unreachableSince_ = -1;
         return false;
     }
     if (held.holder == self_.address) return true;  // an earlier life of this machine: nobody has it
-    if (held.term > 0 && reaches(held.holder, members, hears)) {
-        absentSince_ = -1;
+    if (held.term > 0 && reachesMajority(held.holder, members, hears)) {
+        unreachableSince_ = -1;
         return false;
     }
-    if (absentSince_ < 0 || term_ != held.term) absentSince_ = now, term_ = held.term;
+    if (unreachableSince_ < 0 || term_ != held.term) unreachableSince_ = now, term_ = held.term;
     std::vector<std::string> candidates{self_.address};
     if (const auto row = hears.find(self_.address); row != hears.end())
         for (const auto& heard : row->second)
             if (members.contains(heard) && heard != held.holder && heard != self_.address)
                 candidates.push_back(heard);
-    const auto chosen = hashing::chosen(candidates, duty_, candidates.size());
+    const auto chosen = hashing::chosen(candidates, lease_, candidates.size());
     const auto rank = std::find(chosen.begin(), chosen.end(), self_.address) - chosen.begin();
-    const Nanos wait = held.term == 0 ? 0 : kAbsentFor;  // nobody has had it: nobody is waited for
-    return now - absentSince_ >= wait + rank * kStandbyStep;
+    const Nanos wait = held.term == 0 ? 0 : kUnreachableFor;  // nobody has had it: nobody is waited for
+    return now - unreachableSince_ >= wait + rank * kCandidateDelay;
 }
 
-consensus::Change taking(std::string duty, ProcessIdentity self, std::uint64_t seen) {
-    return [duty = std::move(duty), self = std::move(self), seen](const std::string& value) {
-        auto all = read(value);
-        auto& held = all[duty];
+consensus::Change acquireLease(std::string lease, ProcessIdentity self, std::uint64_t seen) {
+    return [lease = std::move(lease), self = std::move(self), seen](const std::string& value) {
+        auto all = decodeLeases(value);
+        auto& held = all[lease];
         if (held.term > seen) return value;
-        held = {self.address, self.life, seen + 1};
-        return write(all);
+        held = {self.address, self.incarnation, seen + 1};
+        return encodeLeases(all);
     };
 }
 
--- a/tests/admin/configuration_record.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -42,7 +42,7 @@
         left.assign(orders.size(), times);
     }
     ConfigurationRequest at(std::size_t which) const {
-        return order(orders[which].number, std::string(1, orders[which].body));
+        return makeRequest(orders[which].number, std::string(1, orders[which].body));
     }
     // How one sending may end: answered; answered but the answer lost; no majority and never in force.
     enum class End { answered, answerLost, writeLost };
@@ -51,17 +51,17 @@
         --left[which];
         const auto one = at(which);
         const auto [number, body_] = orders[which];
-        auto after = change(value, one);
+        auto after = applyRequest(value, one);
         if (bug == Bug::forgetsWhatWasReplaced && !after.empty()) {
-            auto held = read(after);
+            auto held = decodeRecord(after);
             std::erase_if(held.history, [&](const auto& past) { return past.number != held.version; });
-            after = write(held);
+            after = encodeRecord(held);
         }
         if (bug == Bug::refusesLower && !value.empty() && number < version(value)) after = value;
-        auto answer = recalled(after, one);
+        auto answer = checkDuplicate(after, one);
         if (bug == Bug::numberAlone) answer = DuplicateCheck::known;
         if (bug == Bug::refusesLower && !value.empty() && number < version(value))
-            answer = DuplicateCheck::clash;
+            answer = DuplicateCheck::conflict;
         if (end == End::writeLost) {
             if (bug != Bug::tellsBeforeInForce) return;
         } else {
@@ -153,7 +153,7 @@
         const auto number = static_cast<std::uint32_t>(runs.size() + 1);
         runs.emplace_back(
             "configuration", epoch, number, above,
-            [one](const std::string& held) { return change(held, one); }, above == 0);
+            [one](const std::string& held) { return applyRequest(held, one); }, above == 0);
         sent.push_back(which);
         send(runs.size() - 1);
     }
@@ -182,7 +182,7 @@
     }
     void answered(std::size_t run) {
         const auto& order = orders[sent[run]];
-        auto answer = recalled(runs[run].value(), order);
+        auto answer = checkDuplicate(runs[run].value(), order);
         if (bug == Bug::numberAlone) answer = DuplicateCheck::known;
         const bool known = answer == DuplicateCheck::known;
         if (answer == DuplicateCheck::unknown) broken = "Unanswered";
@@ -205,7 +205,8 @@
     }
 
     static inline const std::vector<std::string> bodies{"one body", "other body"};
-    static inline const std::vector<ConfigurationRequest> two{order(7, bodies[0]), order(7, bodies[1])};
+    static inline const std::vector<ConfigurationRequest> two{makeRequest(7, bodies[0]),
+                                                              makeRequest(7, bodies[1])};
     std::mt19937 draw;
     Bug bug;
     std::vector<ConfigurationRequest> orders;
@@ -270,34 +271,35 @@
     }
 
     void decisions() {
-        const auto seven = order(7, "seven"), other = order(7, "other"), nine = order(9, "nine");
-        const auto five = order(5, "five"), fifth = order(5, "fifth");
-        auto value = change("", seven);
+        const auto seven = makeRequest(7, "seven"), other = makeRequest(7, "other"),
+                   nine = makeRequest(9, "nine");
+        const auto five = makeRequest(5, "five"), fifth = makeRequest(5, "fifth");
+        auto value = applyRequest("", seven);
         CPPUNIT_ASSERT_EQUAL(7u, version(value));
         CPPUNIT_ASSERT_EQUAL(std::string("seven"), body(value));
-        CPPUNIT_ASSERT(recalled(value, seven) == DuplicateCheck::known);
-        CPPUNIT_ASSERT(recalled(value, other) == DuplicateCheck::clash);
-        CPPUNIT_ASSERT(change(value, seven) == value && change(value, other) == value);
-        value = change(value, nine);
+        CPPUNIT_ASSERT(checkDuplicate(value, seven) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(checkDuplicate(value, other) == DuplicateCheck::conflict);
+        CPPUNIT_ASSERT(applyRequest(value, seven) == value && applyRequest(value, other) == value);
+        value = applyRequest(value, nine);
         CPPUNIT_ASSERT_EQUAL(std::string("nine"), body(value));
         // Known again and clashing after another change too.
-        CPPUNIT_ASSERT(change(value, seven) == value && change(value, other) == value);
-        CPPUNIT_ASSERT(recalled(value, seven) == DuplicateCheck::known);
-        CPPUNIT_ASSERT(recalled(value, other) == DuplicateCheck::clash);
+        CPPUNIT_ASSERT(applyRequest(value, seven) == value && applyRequest(value, other) == value);
+        CPPUNIT_ASSERT(checkDuplicate(value, seven) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(checkDuplicate(value, other) == DuplicateCheck::conflict);
         // A lower number changes nothing in force, and another body under it clashes from then on.
-        CPPUNIT_ASSERT(recalled(value, five) == DuplicateCheck::unknown);
-        value = change(value, five);
+        CPPUNIT_ASSERT(checkDuplicate(value, five) == DuplicateCheck::unknown);
+        value = applyRequest(value, five);
         CPPUNIT_ASSERT_EQUAL(9u, version(value));
         CPPUNIT_ASSERT_EQUAL(std::string("nine"), body(value));
-        CPPUNIT_ASSERT(recalled(value, five) == DuplicateCheck::known);
-        CPPUNIT_ASSERT(recalled(value, fifth) == DuplicateCheck::clash);
+        CPPUNIT_ASSERT(checkDuplicate(value, five) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(checkDuplicate(value, fifth) == DuplicateCheck::conflict);
         // What is written is read again, large and with any byte.
         std::string large(200'000, 'x');
         large += std::string("\0\xff", 2);
-        value = change(value, order(0xfffffff0, large));
+        value = applyRequest(value, makeRequest(0xfffffff0, large));
         CPPUNIT_ASSERT_EQUAL(0xfffffff0u, version(value));
-        CPPUNIT_ASSERT(body(value) == large && write(read(value)) == value);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, read(value).history.size());
+        CPPUNIT_ASSERT(body(value) == large && encodeRecord(decodeRecord(value)) == value);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{4}, decodeRecord(value).history.size());
     }
 
     // Values of texts before: eight digits and the body. Nothing of them is lost, and the order in force is
@@ -307,48 +309,50 @@
             const auto value = config::formatVersion(0xab) + transport::compress(sent);
             CPPUNIT_ASSERT_EQUAL(0xabu, version(value));
             CPPUNIT_ASSERT_EQUAL(sent, body(value));
-            CPPUNIT_ASSERT(recalled(value, order(0xab, sent)) == DuplicateCheck::known);
-            CPPUNIT_ASSERT(recalled(value, order(0xab, sent + " ")) == DuplicateCheck::clash);
-            CPPUNIT_ASSERT(change(value, order(0xab, sent)) == value);
-            const auto older = change(value, order(3, "three"));
+            CPPUNIT_ASSERT(checkDuplicate(value, makeRequest(0xab, sent)) == DuplicateCheck::known);
+            CPPUNIT_ASSERT(checkDuplicate(value, makeRequest(0xab, sent + " ")) == DuplicateCheck::conflict);
+            CPPUNIT_ASSERT(applyRequest(value, makeRequest(0xab, sent)) == value);
+            const auto older = applyRequest(value, makeRequest(3, "three"));
             CPPUNIT_ASSERT_EQUAL(sent, body(older));
-            CPPUNIT_ASSERT(recalled(older, order(0xab, sent)) == DuplicateCheck::known);
-            const auto next = change(value, order(0xac, "next"));
+            CPPUNIT_ASSERT(checkDuplicate(older, makeRequest(0xab, sent)) == DuplicateCheck::known);
+            const auto next = applyRequest(value, makeRequest(0xac, "next"));
             CPPUNIT_ASSERT_EQUAL(std::string("next"), body(next));
-            CPPUNIT_ASSERT(recalled(next, order(0xab, sent)) == DuplicateCheck::known);
-            CPPUNIT_ASSERT(recalled(next, order(0xab, "other")) == DuplicateCheck::clash);
+            CPPUNIT_ASSERT(checkDuplicate(next, makeRequest(0xab, sent)) == DuplicateCheck::known);
+            CPPUNIT_ASSERT(checkDuplicate(next, makeRequest(0xab, "other")) == DuplicateCheck::conflict);
         }
     }
 
     // What is cut or of another format is told, never guessed; a body cut later shows when it is read.
     void unreadable() {
-        const auto value = change(change("", order(7, std::string(3000, 'a'))), order(8, "eight"));
+        const auto value =
+            applyRequest(applyRequest("", makeRequest(7, std::string(3000, 'a'))), makeRequest(8, "eight"));
         const auto whole = value.size() - transport::compress("eight").size();
         for (std::size_t length = 1; length < whole; ++length)
             CPPUNIT_ASSERT_THROW(version(value.substr(0, length)), ParseError);
         CPPUNIT_ASSERT_THROW(body(value.substr(0, whole)), ParseError);
         for (const auto* text : {"o2", "0000000", "0000000G body", "\x7f"})
-            CPPUNIT_ASSERT_THROW(read(text), ParseError);
-        auto forgotten = read(value);
+            CPPUNIT_ASSERT_THROW(decodeRecord(text), ParseError);
+        auto forgotten = decodeRecord(value);
         forgotten.version = 11;
-        CPPUNIT_ASSERT_THROW(read(write(forgotten)), ParseError);
+        CPPUNIT_ASSERT_THROW(decodeRecord(encodeRecord(forgotten)), ParseError);
     }
 
     // So many are remembered, and the one in force for good, however many older ones come.
     void bounded() {
-        std::string value = change("", order(1000, "in force"));
+        std::string value = applyRequest("", makeRequest(1000, "in force"));
         for (std::uint32_t number = 1; number <= 200; ++number)
-            value = change(value, order(number, "older" + std::to_string(number)));
-        CPPUNIT_ASSERT_EQUAL(kRemembered, read(value).history.size());
-        CPPUNIT_ASSERT(recalled(value, order(1000, "in force")) == DuplicateCheck::known);
-        CPPUNIT_ASSERT(recalled(value, order(1000, "other")) == DuplicateCheck::clash);
-        CPPUNIT_ASSERT(recalled(value, order(200, "older200")) == DuplicateCheck::known);
-        CPPUNIT_ASSERT(recalled(value, order(200 - kRemembered + 2, "other")) == DuplicateCheck::clash);
+            value = applyRequest(value, makeRequest(number, "older" + std::to_string(number)));
+        CPPUNIT_ASSERT_EQUAL(kRemembered, decodeRecord(value).history.size());
+        CPPUNIT_ASSERT(checkDuplicate(value, makeRequest(1000, "in force")) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(checkDuplicate(value, makeRequest(1000, "other")) == DuplicateCheck::conflict);
+        CPPUNIT_ASSERT(checkDuplicate(value, makeRequest(200, "older200")) == DuplicateCheck::known);
+        CPPUNIT_ASSERT(checkDuplicate(value, makeRequest(200 - kRemembered + 2, "other")) ==
+                       DuplicateCheck::conflict);
         // Beyond it lower numbers go as the page says: acknowledged, and nothing changes.
-        const auto beyond = order(1, "other");
-        CPPUNIT_ASSERT(recalled(value, beyond) == DuplicateCheck::unknown);
-        value = change(value, beyond);
-        CPPUNIT_ASSERT(recalled(value, beyond) == DuplicateCheck::known);
+        const auto beyond = makeRequest(1, "other");
+        CPPUNIT_ASSERT(checkDuplicate(value, beyond) == DuplicateCheck::unknown);
+        value = applyRequest(value, beyond);
+        CPPUNIT_ASSERT(checkDuplicate(value, beyond) == DuplicateCheck::known);
         CPPUNIT_ASSERT_EQUAL(std::string("in force"), body(value));
         CPPUNIT_ASSERT(value.size() < 64 * 24 + 40);
     }
@@ -383,46 +387,54 @@
     // Known again while it runs, after each way to end, and after others; never a second one.
     void rolloutsAgain() {
         const auto order = asked("s", "v2", 12'000);
-        auto value = begin("", order);
-        CPPUNIT_ASSERT(begin(value, order) == value);
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(value), order) == RolloutRequestOutcome::known);
+        auto value = addRollout("", order);
+        CPPUNIT_ASSERT(addRollout(value, order) == value);
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(value), order) ==
+                       RolloutRequestOutcome::known);
         for (const auto* state : {"completed", "rolled_back"}) {
             auto after = ended(value, "v2", state);
-            CPPUNIT_ASSERT(begin(after, order) == after);
-            CPPUNIT_ASSERT(ordered(messages::decodeRollouts(after), order) == RolloutRequestOutcome::known);
-            after = begin(after, asked("s", "v3", 12'000));
-            CPPUNIT_ASSERT_EQUAL(std::string("v3"), newest(messages::decodeRollouts(after), "s")->target);
-            CPPUNIT_ASSERT(begin(after, order) == after);
+            CPPUNIT_ASSERT(addRollout(after, order) == after);
+            CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(after), order) ==
+                           RolloutRequestOutcome::known);
+            after = addRollout(after, asked("s", "v3", 12'000));
+            CPPUNIT_ASSERT_EQUAL(std::string("v3"),
+                                 newestRollout(messages::decodeRollouts(after), "s")->target);
+            CPPUNIT_ASSERT(addRollout(after, order) == after);
         }
-        CPPUNIT_ASSERT(newest(messages::decodeRollouts(value), "t") == nullptr);
+        CPPUNIT_ASSERT(newestRollout(messages::decodeRollouts(value), "t") == nullptr);
     }
 
     // Another deadline makes another order: refused while the first runs, nothing to do where that version is
     // the one that the service has come to, and else begun anew.
     void rolloutsAnew() {
         const auto first = asked("s", "v2", 12'000), again = asked("s", "v2", 15'000);
-        const auto running = begin("", first);
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(running), again) == RolloutRequestOutcome::underWay);
-        CPPUNIT_ASSERT(begin(running, again) == running);
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(running), asked("t", "v2", 15'000)) ==
+        const auto running = addRollout("", first);
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(running), again) ==
+                       RolloutRequestOutcome::underWay);
+        CPPUNIT_ASSERT(addRollout(running, again) == running);
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(running), asked("t", "v2", 15'000)) ==
                        RolloutRequestOutcome::begun);
         const auto done = ended(running, "v2", "completed");
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(done), again) == RolloutRequestOutcome::inForce);
-        CPPUNIT_ASSERT(begin(done, again) == done);
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(done), again) ==
+                       RolloutRequestOutcome::inForce);
+        CPPUNIT_ASSERT(addRollout(done, again) == done);
         const auto back = ended(running, "v2", "rolled_back");
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(back), again) == RolloutRequestOutcome::begun);
-        const auto anew = begin(back, again);
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(back), again) ==
+                       RolloutRequestOutcome::begun);
+        const auto anew = addRollout(back, again);
         const auto all = messages::decodeRollouts(anew);
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, all.size());
         CPPUNIT_ASSERT(all[1].running() && all[1].number > all[0].number && !all[0].running());
-        CPPUNIT_ASSERT(begin(anew, first) == anew && begin(anew, again) == anew);
+        CPPUNIT_ASSERT(addRollout(anew, first) == anew && addRollout(anew, again) == anew);
         // Another version tried since and turned back changes nothing of that: v2's pods are all there are.
-        const auto tried = ended(begin(done, asked("s", "v3", 12'000)), "v3", "rolled_back");
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(tried), again) == RolloutRequestOutcome::inForce);
-        CPPUNIT_ASSERT(begin(tried, again) == tried);
+        const auto tried = ended(addRollout(done, asked("s", "v3", 12'000)), "v3", "rolled_back");
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(tried), again) ==
+                       RolloutRequestOutcome::inForce);
+        CPPUNIT_ASSERT(addRollout(tried, again) == tried);
         // From v3 back to v2: the service has moved on, so this is work to do.
-        auto moved = ended(begin(done, asked("s", "v3", 12'000)), "v3", "completed");
-        CPPUNIT_ASSERT(ordered(messages::decodeRollouts(moved), again) == RolloutRequestOutcome::begun);
+        auto moved = ended(addRollout(done, asked("s", "v3", 12'000)), "v3", "completed");
+        CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(moved), again) ==
+                       RolloutRequestOutcome::begun);
     }
 
     // Two orders through two control nodes, in both sequences of ballots, each sent again: one runs, the
@@ -430,35 +442,35 @@
     void rolloutsRace() {
         const std::vector<messages::Rollout> both{asked("s", "v2", 12'000), asked("s", "v2", 15'000)};
         for (const std::size_t first : {0u, 1u}) {
-            auto value = begin("", both[first]);
-            value = begin(value, both[1 - first]);
+            auto value = addRollout("", both[first]);
+            value = addRollout(value, both[1 - first]);
             for (int again = 0; again < 2; ++again) {
-                value = begin(value, both[0]), value = begin(value, both[1]);
+                value = addRollout(value, both[0]), value = addRollout(value, both[1]);
                 const auto all = messages::decodeRollouts(value);
                 CPPUNIT_ASSERT_EQUAL(std::size_t{1}, all.size());
                 CPPUNIT_ASSERT_EQUAL(both[first].term, all[0].term);
-                CPPUNIT_ASSERT(ordered(all, both[first]) == RolloutRequestOutcome::known);
-                CPPUNIT_ASSERT(ordered(all, both[1 - first]) == RolloutRequestOutcome::underWay);
+                CPPUNIT_ASSERT(classifyRequest(all, both[first]) == RolloutRequestOutcome::known);
+                CPPUNIT_ASSERT(classifyRequest(all, both[1 - first]) == RolloutRequestOutcome::underWay);
             }
         }
     }
 
     // Hundreds of rollouts: the ended ones go, but for the newest and for what each service has come to.
     void rolloutsBounded() {
-        auto value = ended(begin("", asked("quiet", "v1", 1000)), "v1", "completed");
+        auto value = ended(addRollout("", asked("quiet", "v1", 1000)), "v1", "completed");
         std::size_t bytes = 0;
         for (int at = 0; at < 400; ++at) {
             const auto order = asked("s", "w" + std::to_string(at), 12'000);
-            value = begin(value, order);
-            CPPUNIT_ASSERT(begin(value, order) == value);
+            value = addRollout(value, order);
+            CPPUNIT_ASSERT(addRollout(value, order) == value);
             value = ended(value, order.target, at % 3 ? "completed" : "rolled_back");
-            CPPUNIT_ASSERT(begin(value, order) == value);  // known also after it has ended
+            CPPUNIT_ASSERT(addRollout(value, order) == value);  // known also after it has ended
             if (at == 100) bytes = value.size();
         }
         const auto all = messages::decodeRollouts(value);
         CPPUNIT_ASSERT(all.size() <= kEndedKept + 3);
         CPPUNIT_ASSERT(value.size() < bytes + 200);
-        CPPUNIT_ASSERT_EQUAL(std::string("v1"), newest(all, "quiet")->target);
+        CPPUNIT_ASSERT_EQUAL(std::string("v1"), newestRollout(all, "quiet")->target);
         std::int64_t highest = 0;
         for (const auto& one : all) highest = std::max(highest, one.number);
         CPPUNIT_ASSERT_EQUAL(std::int64_t{802}, highest);  // numbers go on rising
--- a/tests/control_plane/endpoint_discovery.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -52,7 +52,7 @@
         };
         boot.list = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
         start(io, "platform", platform());
-        start(io, "list", duty.poll());
+        start(io, "list", duty.run());
         for (const Nanos began = now(); !cache.listed(); io.run_one_for(std::chrono::milliseconds(5)))
             CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", now() - began < 5 * kSecond);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, cache.endpointListVersion().term);
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -174,16 +174,16 @@
 void orders_(std::string_view bytes) {
     try {
         const std::string value(bytes);
-        const auto held = admin::read(value);
-        const auto written = admin::write(held);
-        insist(admin::write(admin::read(written)) == written);
+        const auto held = admin::decodeRecord(value);
+        const auto written = admin::encodeRecord(held);
+        insist(admin::encodeRecord(admin::decodeRecord(written)) == written);
         insist(admin::version(value) == held.version && admin::compressed(value) == held.compressed);
         if (value.starts_with("o1")) insist(written == value);
-        const auto order = admin::order(held.version + 1, "body");
+        const auto order = admin::makeRequest(held.version + 1, "body");
         if (held.version < std::numeric_limits<std::uint32_t>::max()) {
-            const auto after = admin::change(value, order);
-            insist(admin::recalled(after, order) != admin::DuplicateCheck::unknown);
-            insist(admin::change(after, order) == after);
+            const auto after = admin::applyRequest(value, order);
+            insist(admin::checkDuplicate(after, order) != admin::DuplicateCheck::unknown);
+            insist(admin::applyRequest(after, order) == after);
         }
     } catch (const admin::ParseError&) {
     }
@@ -191,16 +191,18 @@
 
 void duties_(std::string_view bytes) {
     try {
-        const auto read = leases::read(std::string(bytes));
-        insist(leases::read(leases::write(read)) == read);
+        const auto read = leases::decodeLeases(std::string(bytes));
+        insist(leases::decodeLeases(leases::encodeLeases(read)) == read);
         const leases::ProcessIdentity self{"10.1.0.1:7720", 7};
         for (const auto& [name, duty] : read) {
             if (duty.term > std::uint64_t{1} << 62) continue;
-            const auto taken = leases::read(leases::taking(name, self, duty.term)(std::string(bytes)));
-            insist(leases::holds(taken.at(name), self) && taken.at(name).term == duty.term + 1);
+            const auto taken =
+                leases::decodeLeases(leases::acquireLease(name, self, duty.term)(std::string(bytes)));
+            insist(leases::isHeldBy(taken.at(name), self) && taken.at(name).term == duty.term + 1);
             insist(taken.size() == read.size());
             if (duty.term > 0)
-                insist(leases::read(leases::taking(name, self, duty.term - 1)(std::string(bytes))) == read);
+                insist(leases::decodeLeases(
+                           leases::acquireLease(name, self, duty.term - 1)(std::string(bytes))) == read);
         }
     } catch (const Json::exception&) {
     }
@@ -362,9 +364,11 @@
         seed(8, std::string("\0\x14k\1\0\0\0\0\0\0\0\1\0\0\0\xc2\x41\x24\x35"
                             "abc",
                             22)),
-        seed(10, admin::change(admin::change("", admin::order(3, "three")), admin::order(7, "seven"))),
+        seed(10, admin::applyRequest(admin::applyRequest("", admin::makeRequest(3, "three")),
+                                     admin::makeRequest(7, "seven"))),
         seed(10, "00000007" + transport::compress("old")),
-        seed(9, leases::write({{"list", {"10.1.0.2:7720", 5, 3}}, {"rollouts", {"10.1.0.1:7720", 7, 1}}})),
+        seed(9, leases::encodeLeases(
+                    {{"list", {"10.1.0.2:7720", 5, 3}}, {"rollouts", {"10.1.0.1:7720", 7, 1}}})),
         seed(5, transport::compress(std::string(3000, 'x') + "yz")),
         seed(6, "POST /p/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc"),
         seed(6, "POST /p/1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n")};
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -177,15 +177,17 @@
 
 void isConfiguration(const std::string& value, std::uint32_t version,
                      const std::vector<std::uint32_t>& history) {
-    const auto held = admin::read(value);
+    const auto held = admin::decodeRecord(value);
     CPPUNIT_ASSERT_EQUAL(version, held.version);
     const auto body = admin::body(value);
     CPPUNIT_ASSERT_EQUAL(version, config::Configuration::read(body).version);
     std::vector<std::uint32_t> numbers;
     for (const auto& one : held.history) numbers.push_back(one.number);
     CPPUNIT_ASSERT(history == numbers);
-    CPPUNIT_ASSERT(admin::recalled(value, admin::order(version, body)) == admin::DuplicateCheck::known);
-    CPPUNIT_ASSERT(admin::recalled(value, admin::order(version, body + " ")) == admin::DuplicateCheck::clash);
+    CPPUNIT_ASSERT(admin::checkDuplicate(value, admin::makeRequest(version, body)) ==
+                   admin::DuplicateCheck::known);
+    CPPUNIT_ASSERT(admin::checkDuplicate(value, admin::makeRequest(version, body + " ")) ==
+                   admin::DuplicateCheck::conflict);
 }
 const std::vector<std::uint32_t> storedHistory{0x10, 0x11, 0x0f, 0x12, 0x13, 0x14};
 
@@ -345,7 +347,7 @@
             const auto rollouts = cells.at(control_plane::kRolloutsKey).value;
             CPPUNIT_ASSERT_EQUAL(rollouts, messages::write(messages::decodeRollouts(rollouts)));
             if (!before) CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
-            const auto duties = leases::read(cells.at(control_plane::kDutiesKey).value);
+            const auto duties = leases::decodeLeases(cells.at(control_plane::kLeasesKey).value);
             CPPUNIT_ASSERT_EQUAL(before ? "127.0.1.2:7720" : std::string("127.0.1.3:7720"),
                                  duties.at("list").holder);
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{before ? 1u : 3u}, duties.at("list").term);
@@ -408,18 +410,18 @@
         const auto outcome = [](const std::string& value, const char* target, std::int64_t term) {
             messages::Rollout order;
             order.service = "t", order.target = target, order.term = term;
-            return admin::ordered(messages::decodeRollouts(value), order);
+            return admin::classifyRequest(messages::decodeRollouts(value), order);
         };
         CPPUNIT_ASSERT(outcome(read("rollouts"), "v2", 3'600'000) == admin::RolloutRequestOutcome::known);
         CPPUNIT_ASSERT(outcome(read("rollouts"), "v2", 5000) == admin::RolloutRequestOutcome::underWay);
         CPPUNIT_ASSERT(outcome(read("rollouts"), "v3", 5000) == admin::RolloutRequestOutcome::begun);
         const auto body = config::formatVersion(0x15);
-        const auto order = admin::order(0x15, "not read here " + body);
+        const auto order = admin::makeRequest(0x15, "not read here " + body);
         const auto after = ended(
             control_plane::kConfigurationKey,
-            [&](const std::string& held) { return admin::change(held, order); }, false);
+            [&](const std::string& held) { return admin::applyRequest(held, order); }, false);
         CPPUNIT_ASSERT_EQUAL(0x15u, admin::version(after));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, admin::read(after).history.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{7}, admin::decodeRecord(after).history.size());
         CPPUNIT_ASSERT_EQUAL(after, read(control_plane::kConfigurationKey));
     }
 
@@ -488,17 +490,18 @@
     void values() {
         const auto configuration = bytesOf("values/configuration.bin");
         isConfiguration(configuration, 0x14, storedHistory);
-        CPPUNIT_ASSERT(configuration == admin::write(admin::read(configuration)));
+        CPPUNIT_ASSERT(configuration == admin::encodeRecord(admin::decodeRecord(configuration)));
         const auto earlier = bytesOf("values/configuration_before_history.bin");
         isConfiguration(earlier, 0x14, {0x14});
         CPPUNIT_ASSERT_EQUAL(admin::body(configuration), admin::body(earlier));
-        const auto next = admin::change(earlier, admin::order(0x15, "next"));
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, admin::read(next).history.size());
+        const auto next = admin::applyRequest(earlier, admin::makeRequest(0x15, "next"));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, admin::decodeRecord(next).history.size());
         const auto rollouts = bytesOf("values/rollouts.json"), duties = bytesOf("values/duties.json");
         CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
         CPPUNIT_ASSERT_EQUAL(rollouts, messages::write(messages::decodeRollouts(rollouts)));
-        CPPUNIT_ASSERT_EQUAL(duties, leases::write(leases::read(duties)));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7569427027645875800u}, leases::read(duties).at("list").life);
+        CPPUNIT_ASSERT_EQUAL(duties, leases::encodeLeases(leases::decodeLeases(duties)));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{7569427027645875800u},
+                             leases::decodeLeases(duties).at("list").incarnation);
         // A disk whose epoch is sealed, and that was not told of its opening.
         const auto sealed = bytesOf("values/standing_sealed.json");
         const auto standing = membership::decodeEpochState(Json::parse(sealed));
@@ -533,7 +536,8 @@
         CPPUNIT_ASSERT(request("reg_look").kind == Kind::look);
         CPPUNIT_ASSERT(request("reg_prepare").kind == Kind::prepare);
         CPPUNIT_ASSERT(request("reg_accept").kind == Kind::accept);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leases::read(request("reg_accept").value).at("list").term);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
+                             leases::decodeLeases(request("reg_accept").value).at("list").term);
         CPPUNIT_ASSERT_EQUAL(std::string("epoch/1"), request("reg_accept_epoch").key);
         CPPUNIT_ASSERT(request("reg_seal_in_succession").kind == Kind::seal);
         CPPUNIT_ASSERT_EQUAL(std::size_t{3}, request("reg_seal_in_succession_holds").holds.size());
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -24,18 +24,18 @@
     explicit Core(int size) {
         for (int at = 0; at < size; ++at) {
             members.insert(name(at));
-            lives[name(at)] = static_cast<std::uint64_t>(100 + at);
+            incarnations[name(at)] = static_cast<std::uint64_t>(100 + at);
         }
         for (const auto& member : members)
-            watches.emplace(member, leases::LeaseMonitor("list", {member, lives[member]}));
+            monitors.emplace(member, leases::LeaseMonitor("list", {member, incarnations[member]}));
     }
     static std::string name(int at) { return "10.1.0." + std::to_string(at + 1) + ":7720"; }
     void cutBetween(const std::string& one, const std::string& other) {
         cut.insert({one, other}), cut.insert({other, one});
     }
     void restart(const std::string& member) {
-        down.erase(member), ++lives[member];
-        watches.insert_or_assign(member, leases::LeaseMonitor("list", {member, lives[member]}));
+        down.erase(member), ++incarnations[member];
+        monitors.insert_or_assign(member, leases::LeaseMonitor("list", {member, incarnations[member]}));
     }
     bool hear(const std::string& one, const std::string& other) const {
         return one != other && !down.contains(one) && !down.contains(other) && !cut.contains({one, other});
@@ -49,7 +49,7 @@
         return rows;
     }
     leases::Lease held() const {
-        const auto all = leases::read(cell);
+        const auto all = leases::decodeLeases(cell);
         const auto at = all.find("list");
         return at == all.end() ? leases::Lease() : at->second;
     }
@@ -60,11 +60,11 @@
             std::vector<std::string> standing;
             for (const auto& member : members)
                 if (!down.contains(member) && rows(member)[member].size() + 1 >= members.size() / 2 + 1 &&
-                    watches.at(member).due(before, members, rows(member), now))
+                    monitors.at(member).shouldAcquire(before, members, rows(member), now))
                     standing.push_back(member);
             most = std::max(most, standing.size());
             for (const auto& member : standing)
-                cell = leases::taking("list", {member, lives.at(member)}, before.term)(cell);
+                cell = leases::acquireLease("list", {member, incarnations.at(member)}, before.term)(cell);
             if (held().term != before.term)
                 seen += "  at " + std::to_string((now - from) / kMillisecond) +
                         " ms: " + held().holder.substr(0, 8) + ", term " + std::to_string(held().term) + "\n";
@@ -74,8 +74,8 @@
 
     std::set<std::string> members, down;
     std::set<std::pair<std::string, std::string>> cut;
-    std::map<std::string, std::uint64_t> lives;
-    std::map<std::string, leases::LeaseMonitor> watches;
+    std::map<std::string, std::uint64_t> incarnations;
+    std::map<std::string, leases::LeaseMonitor> monitors;
     std::string cell, seen;
     Nanos now = 100 * kSecond, from = 0;
     std::size_t most = 0;
@@ -143,13 +143,14 @@
     // Two that stand at once: one ballot is first, the other changes nothing. Seeded kills, cuts and restarts
     // with a majority left: the duty has a holder again within a second and a half, and terms only rise.
     void races() {
-        const auto one = leases::taking("list", {"a", 1}, 4), other = leases::taking("list", {"b", 2}, 4);
-        const auto before = leases::write({{"list", {"c", 3, 4}}, {"rollouts", {"c", 3, 9}}});
+        const auto one = leases::acquireLease("list", {"a", 1}, 4),
+                   other = leases::acquireLease("list", {"b", 2}, 4);
+        const auto before = leases::encodeLeases({{"list", {"c", 3, 4}}, {"rollouts", {"c", 3, 9}}});
         const auto first = one(before);
         CPPUNIT_ASSERT_EQUAL(first, other(first));
         CPPUNIT_ASSERT_EQUAL(first, one(first));
-        CPPUNIT_ASSERT(leases::read(first).at("list") == (leases::Lease{"a", 1, 5}));
-        CPPUNIT_ASSERT(leases::read(first).at("rollouts") == (leases::Lease{"c", 3, 9}));
+        CPPUNIT_ASSERT(leases::decodeLeases(first).at("list") == (leases::Lease{"a", 1, 5}));
+        CPPUNIT_ASSERT(leases::decodeLeases(first).at("rollouts") == (leases::Lease{"c", 3, 9}));
         for (unsigned seed = 1; seed <= 60; ++seed) {
             const std::string at = "seed " + std::to_string(seed);
             std::mt19937 chance(seed);
@@ -168,7 +169,7 @@
                 CPPUNIT_ASSERT_MESSAGE(at, held.term >= term);
                 term = held.term;
                 CPPUNIT_ASSERT_MESSAGE(at, !core.down.contains(held.holder));
-                CPPUNIT_ASSERT_MESSAGE(at, held.life == core.lives.at(held.holder));
+                CPPUNIT_ASSERT_MESSAGE(at, held.incarnation == core.incarnations.at(held.holder));
             }
         }
     }
