--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -437,18 +437,18 @@
                         std::shared_ptr<UpstreamRequest> call) {
     auto& way = exchange->way;
     auto& attempt = *call->attempt;
-    auto& actor = *attempt.actor();
+    auto& host = *attempt.host();
     BodyWriter tail;
     if (exchange->upload)
         tail = [this, session, exchange](tcp::socket& pod) { return upload(session, exchange, pod); };
     try {
         co_await upstream_.call(call, std::shared_ptr<const Request>(exchange, &exchange->request),
-                                way.deadline, !way.route->repeatable, router_.maxConnections(actor), tail);
+                                way.deadline, !way.route->repeatable, router_.maxConnections(host), tail);
     } catch (const std::exception& error) {
-        call->end =
-            attempt.state() == routing::AttemptState::unsent ? AttemptEvent::unreached : AttemptEvent::cut;
+        call->end = attempt.state() == routing::AttemptState::unsent ? AttemptEvent::unreached
+                                                                     : AttemptEvent::connectionLost;
         call->line.reset(), call->rest.reset();
-        log("send_failed", {{"step", "send"}, {"peer", actor.listed.address}, {"error", error.what()}});
+        log("send_failed", {{"step", "send"}, {"peer", host.endpoint.address}, {"error", error.what()}});
     }
     const auto at = now();
     const auto& response = call->response;
@@ -456,21 +456,22 @@
         const auto parts = split(view(load->value()), ',');
         int running = 0, waiting = 0;
         if (parts.size() >= 2 && parse(parts[0], running) && parse(parts[1], waiting))
-            router_.reported(actor, running, waiting, at);
+            router_.onLoadReport(host, running, waiting, at);
     }
     const auto status = static_cast<int>(response.result_int());
     try {
-        router_.ended(way, attempt, call->end, status, at - call->began, at);
+        router_.onAttemptEnded(way, attempt, call->end, status, at - call->began, at);
     } catch (const std::logic_error& error) {
         // A fault of ours, told by the table. What is not known counts as run.
         ++outOfOrder;
         log("attempt_out_of_order",
-            {{"step", "send"}, {"peer", actor.listed.address}, {"error", error.what()}});
+            {{"step", "send"}, {"peer", host.endpoint.address}, {"error", error.what()}});
         if (attempt.inFlight())
-            router_.ended(way, attempt,
-                          attempt.state() == routing::AttemptState::unsent ? AttemptEvent::unreached
-                                                                           : AttemptEvent::cut,
-                          status, at - call->began, at);
+            router_.onAttemptEnded(way, attempt,
+                                   attempt.state() == routing::AttemptState::unsent
+                                       ? AttemptEvent::unreached
+                                       : AttemptEvent::connectionLost,
+                                   status, at - call->began, at);
     }
     exchange->bell->notify();
 }
@@ -513,7 +514,8 @@
     }
     exchange->configuration = router_.configuration();
     auto& way = exchange->way;
-    if (!router_.begin(way, view(request[http::field::host]), view(request.target()), now(), clientTime))
+    if (!router_.startRequest(way, view(request[http::field::host]), view(request.target()), now(),
+                              clientTime))
         co_return finish(own(404, "no route"), refused);
     strip(request);
     const auto method = request.method();
@@ -535,7 +537,7 @@
     bool wanted = true, aborted = false;  // another attempt, if routing has one; all were ended
     for (;;) {
         if (wanted && !exchange->uploading && !session->dead) {
-            if (auto attempt = router_.next(way, now())) {
+            if (auto attempt = router_.nextAttempt(way, now())) {
                 auto call = std::make_shared<UpstreamRequest>(std::move(attempt));
                 call->began = now();
                 exchange->calls.push_back(call);
@@ -579,7 +581,7 @@
         }
     }
     if (fallback) co_return answerOf(fallback);
-    const auto refusal = router_.refusal(way);
+    const auto refusal = router_.localReply(way);
     finish(own(refusal.status, refusal.status == 503 ? "no pod can take it now" : "the pod's answer was lost",
                refusal.retryAfter),
            refusal.status == 503 ? refused : failed);
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -100,8 +100,8 @@
         // Proxies that turn from pod to pod together do so by the clock of who tells them the list, not by
         // theirs.
         if (controlNode && kind == "digest" && message.contains("clock"))
-            router.common(message.at("clock").get<std::int64_t>() * kMillisecond - now());
-        if (cache.listed()) router.listed();
+            router.setSharedClockOffset(message.at("clock").get<std::int64_t>() * kMillisecond - now());
+        if (cache.listed()) router.setEndpointsKnown();
     }
 
     void reached(subscription::QuorumContact::Change change) {
@@ -133,7 +133,7 @@
 
     void take(const std::string& compressed) {
         try {
-            router.take(std::make_shared<const config::Configuration>(
+            router.setConfiguration(std::make_shared<const config::Configuration>(
                 config::Configuration::read(decompress(compressed))));
         } catch (const std::exception& wrong) {
             log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
@@ -157,7 +157,7 @@
         if (!rosters.empty() || proxies.empty()) proxies.clear();
         for (const auto& [_, roster] : rosters) proxies.insert(roster.begin(), roster.end());
         proxies[boot.name] = boot.internal(boot.ip);
-        router.company(proxies.size(), now());
+        router.setProxyCount(proxies.size(), now());
         std::vector<std::string> names;
         for (const auto& [name, _] : proxies) names.push_back(name);
         watching = hashing::watched(std::move(names), boot.name);
@@ -385,10 +385,10 @@
     subscription::ConfigurationCache cache{
         {[this](const std::string& compressed) { take(compressed); },
          [this](const std::string& text) {
-             router.rollouts(messages::decodeRollouts(text), now());
+             router.setRollouts(messages::decodeRollouts(text), now());
              watchRollouts();
          },
-         [this](const discovery::EndpointEvent& event) { router.apply(event, now()); }}};
+         [this](const discovery::EndpointEvent& event) { router.applyEndpointEvent(event, now()); }}};
     subscription::QuorumContact quorumContact;
     std::vector<std::string> watching;  // proxies
     Nanos turned = now(), doubtUntil = 0;
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -74,8 +74,8 @@
     if (line) line->socket.close(ignored);
 }
 
-std::shared_ptr<UpstreamConnection> UpstreamClient::kept(const routing::UpstreamHost& actor, bool careful) {
-    const auto at = places_.find(actor.listed.id);
+std::shared_ptr<UpstreamConnection> UpstreamClient::kept(const routing::UpstreamHost& host, bool careful) {
+    const auto at = places_.find(host.endpoint.id);
     if (at == places_.end()) return nullptr;
     auto& idle = at->second.idle;
     while (!idle.empty()) {
@@ -88,11 +88,11 @@
     return nullptr;
 }
 
-void UpstreamClient::keep(const std::shared_ptr<routing::UpstreamHost>& actor,
+void UpstreamClient::keep(const std::shared_ptr<routing::UpstreamHost>& host,
                           std::shared_ptr<UpstreamConnection> line) {
     line->idleSince = now();
-    auto& place = places_[actor->listed.id];
-    place.actor = actor;
+    auto& place = places_[host->endpoint.id];
+    place.host = host;
     place.idle.push_back(std::move(line));
 }
 
@@ -100,7 +100,7 @@
     for (auto at = places_.begin(); at != places_.end();) {
         auto& place = at->second;
         while (!place.idle.empty() &&
-               (place.actor->gone || now - place.idle.front()->idleSince > place.idle.front()->idleFor))
+               (place.host->gone || now - place.idle.front()->idleSince > place.idle.front()->idleFor))
             place.idle.pop_front();
         at = place.idle.empty() ? places_.erase(at) : std::next(at);
     }
@@ -140,16 +140,16 @@
 
 Task<> UpstreamClient::call(std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request,
                             Nanos deadline, bool careful, int maxConnections, BodyWriter tail) {
-    const auto& actor = *call->attempt->actor();
+    const auto& host = *call->attempt->host();
     call->began = now();
     if (call->aborted) co_return;  // unreached: nobody waits for it, and on a kept line it would be written
-    auto line = kept(actor, careful);
+    auto line = kept(host, careful);
     ErrorCode code;
     if (!line) {
-        if (actor.lines >= maxConnections) co_return;  // unreached
-        line = std::make_shared<UpstreamConnection>(io_, call->attempt->actor());
+        if (host.connections >= maxConnections) co_return;  // unreached
+        line = std::make_shared<UpstreamConnection>(io_, call->attempt->host());
         call->line = line;
-        co_await line->socket.async_connect(endpoint(actor.listed.address), withErrorCode(code));
+        co_await line->socket.async_connect(endpoint(host.endpoint.address), withErrorCode(code));
         if (code || call->aborted) {
             call->line.reset();
             co_return;
@@ -157,14 +157,14 @@
         configureSocket(line->socket, 3 * kSecond);
     }
     call->line = line;
-    call->attempt->on(AttemptEvent::written);
-    call->end = AttemptEvent::cut;
+    call->attempt->apply(AttemptEvent::written);
+    call->end = AttemptEvent::connectionLost;
     const auto id = (*request)["X-Attempt-Id"];
     // The head is copied with what this send alone says; the body is not.
     http::request<http::span_body<const char>> sent(http::request_header<>(request->base()));
     sent.body() = {request->body().data(), request->body().size()};
     sent.set("X-Deadline-Ms", std::to_string(std::max<Nanos>((deadline - now()) / kMillisecond, 1)));
-    sent.set("X-Target-Instance", actor.listed.id);
+    sent.set("X-Target-Instance", host.endpoint.id);
     if (tail) {  // it writes the body
         http::request_serializer<http::span_body<const char>> serializer(sent);
         co_await http::async_write_header(line->socket, serializer, withErrorCode(code));
@@ -179,7 +179,7 @@
             const bool unreadable =
                 code.category() == make_error_code(http::error::end_of_stream).category() &&
                 code != http::error::end_of_stream && code != http::error::partial_message;
-            if (unreadable) call->end = AttemptEvent::spoilt;
+            if (unreadable) call->end = AttemptEvent::malformed;
             break;
         }
         const auto judged = routing::judge(headOf(call->response, id));
@@ -188,21 +188,21 @@
             continue;
         }
         whole = true;
-        call->end = judged.value_or(AttemptEvent::spoilt);
+        call->end = judged.value_or(AttemptEvent::malformed);
         break;
     }
-    if (call->aborted && !whole) call->end = AttemptEvent::overdue;
+    if (call->aborted && !whole) call->end = AttemptEvent::timedOut;
     if (call->rest && call->end == AttemptEvent::answered) {
         call->line.reset();  // the answer's reader has it now
         co_return;
     }
-    const bool reusable = whole && !surplus && !call->rest && call->end != AttemptEvent::spoilt &&
+    const bool reusable = whole && !surplus && !call->rest && call->end != AttemptEvent::malformed &&
                           !call->aborted && call->response.keep_alive() && line->buffer.size() == 0 &&
-                          !actor.gone;
+                          !host.gone;
     call->rest.reset();
     if (reusable) {
         line->idleFor = routing::idleLimit(keepAlive(call->response));
-        keep(call->attempt->actor(), line);
+        keep(call->attempt->host(), line);
     } else {
         ErrorCode ignored;
         line->socket.close(ignored);
--- a/src/proxy/upstream.hpp
+++ b/src/proxy/upstream.hpp
@@ -23,13 +23,13 @@
 
 struct UpstreamConnection {
     UpstreamConnection(asio::io_context& io, std::shared_ptr<routing::UpstreamHost> to)
-        : socket(io), actor(std::move(to)) {
-        ++actor->lines;
+        : socket(io), host(std::move(to)) {
+        ++host->connections;
     }
-    ~UpstreamConnection() { --actor->lines; }
+    ~UpstreamConnection() { --host->connections; }
     UpstreamConnection(const UpstreamConnection&) = delete;
     transport::tcp::socket socket;
-    std::shared_ptr<routing::UpstreamHost> actor;
+    std::shared_ptr<routing::UpstreamHost> host;
     transport::beast::flat_buffer buffer;
     Nanos idleSince = 0, idleFor = 0;
 };
@@ -86,12 +86,12 @@
   private:
     transport::Task<transport::ErrorCode> answer(std::shared_ptr<UpstreamRequest> call,
                                                  std::shared_ptr<UpstreamConnection> line, bool head);
-    std::shared_ptr<UpstreamConnection> kept(const routing::UpstreamHost& actor, bool careful);
-    void keep(const std::shared_ptr<routing::UpstreamHost>& actor, std::shared_ptr<UpstreamConnection> line);
+    std::shared_ptr<UpstreamConnection> kept(const routing::UpstreamHost& host, bool careful);
+    void keep(const std::shared_ptr<routing::UpstreamHost>& host, std::shared_ptr<UpstreamConnection> line);
 
     asio::io_context& io_;
     struct HostPool {
-        std::shared_ptr<routing::UpstreamHost> actor;
+        std::shared_ptr<routing::UpstreamHost> host;
         std::deque<std::shared_ptr<UpstreamConnection>> idle;  // the one used last behind
     };
     std::map<std::string, HostPool> places_;  // by pod
--- a/src/routing/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -26,18 +26,18 @@
             return "written";
         case AttemptEvent::unreached:
             return "unreached";
-        case AttemptEvent::turned:
-            return "turned";
-        case AttemptEvent::elsewhere:
-            return "elsewhere";
+        case AttemptEvent::rejectedByHost:
+            return "rejected by host";
+        case AttemptEvent::misdirected:
+            return "misdirected";
         case AttemptEvent::answered:
             return "answered";
-        case AttemptEvent::cut:
-            return "cut";
-        case AttemptEvent::spoilt:
-            return "spoilt";
-        case AttemptEvent::overdue:
-            return "overdue";
+        case AttemptEvent::connectionLost:
+            return "connection lost";
+        case AttemptEvent::malformed:
+            return "malformed";
+        case AttemptEvent::timedOut:
+            return "timed out";
     }
     return "";
 }
@@ -48,7 +48,7 @@
     return std::nullopt;
 }
 
-void Attempt::on(AttemptEvent event) {
+void Attempt::apply(AttemptEvent event) {
     const auto to = end_ ? std::nullopt : after(kTransitions, state_, event);
     if (!to)
         throw std::logic_error(std::string("attempt: ") + name(event) + " after " +
@@ -72,7 +72,7 @@
                                                   [](const auto& attempt) { return attempt->inFlight(); }));
 }
 
-std::size_t arrivals(const Attempts& attempts) {
+std::size_t possibleArrivals(const Attempts& attempts) {
     return static_cast<std::size_t>(std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) {
         return attempt->end() != AttemptEvent::unreached;
     }));
@@ -90,15 +90,16 @@
 std::optional<AttemptEvent> judge(const ResponseHead& answer) {
     // MIXED: a late answer to an earlier request stands in the place of this one's; the id tells them apart.
     if (answer.id == ResponseHead::Id::other) return std::nullopt;
-    if (!answer.delimited) return AttemptEvent::spoilt;
+    if (!answer.delimited) return AttemptEvent::malformed;
     const bool own = answer.id == ResponseHead::Id::own;
     if (answer.status / 100 == 2)
         return own && answer.stamped && !answer.encoded && !answer.notExecuted ? AttemptEvent::answered
-                                                                               : AttemptEvent::spoilt;
-    if (answer.status == 421) return AttemptEvent::elsewhere;
-    if (answer.notExecuted) return answer.status >= 400 ? AttemptEvent::turned : AttemptEvent::spoilt;
+                                                                               : AttemptEvent::malformed;
+    if (answer.status == 421) return AttemptEvent::misdirected;
+    if (answer.notExecuted)
+        return answer.status >= 400 ? AttemptEvent::rejectedByHost : AttemptEvent::malformed;
     // REFUSED: what promises that nothing ran is passed on only with the pod's word for it.
-    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return AttemptEvent::spoilt;
+    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return AttemptEvent::malformed;
     return AttemptEvent::answered;
 }
 
--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -23,14 +23,14 @@
 };
 
 enum class AttemptEvent {
-    written,    // the first byte is about to be handed over. The send goes on; all other events end it
-    unreached,  // the connection never came up, or was left before the first byte
-    turned,     // X-Not-Executed, under the send's own id
-    elsewhere,  // 421: another pod lives there
-    answered,   // a whole answer of this pod to this request
-    cut,        // closed or reset before that
-    spoilt,     // bytes that are no answer to this request
-    overdue,    // no answer in time
+    written,         // the first byte is about to be handed over. The send goes on; all other events end it
+    unreached,       // the connection never came up, or was left before the first byte
+    rejectedByHost,  // X-Not-Executed, under the send's own id
+    misdirected,     // 421: another pod lives there
+    answered,        // a whole answer of this pod to this request
+    connectionLost,  // closed or reset before that
+    malformed,       // bytes that are no answer to this request
+    timedOut,        // no answer in time
 };
 
 struct Transition {
@@ -44,12 +44,12 @@
 inline constexpr std::array<Transition, 8> kTransitions{{
     {AttemptState::unsent, AttemptEvent::written, AttemptState::maybeRun},
     {AttemptState::unsent, AttemptEvent::unreached, AttemptState::surelyNotRun},
-    {AttemptState::maybeRun, AttemptEvent::turned, AttemptState::surelyNotRun},
-    {AttemptState::maybeRun, AttemptEvent::elsewhere, AttemptState::surelyNotRun},
+    {AttemptState::maybeRun, AttemptEvent::rejectedByHost, AttemptState::surelyNotRun},
+    {AttemptState::maybeRun, AttemptEvent::misdirected, AttemptState::surelyNotRun},
     {AttemptState::maybeRun, AttemptEvent::answered, AttemptState::answered},
-    {AttemptState::maybeRun, AttemptEvent::cut, AttemptState::maybeRun},
-    {AttemptState::maybeRun, AttemptEvent::spoilt, AttemptState::maybeRun},
-    {AttemptState::maybeRun, AttemptEvent::overdue, AttemptState::maybeRun},
+    {AttemptState::maybeRun, AttemptEvent::connectionLost, AttemptState::maybeRun},
+    {AttemptState::maybeRun, AttemptEvent::malformed, AttemptState::maybeRun},
+    {AttemptState::maybeRun, AttemptEvent::timedOut, AttemptState::maybeRun},
 }};
 
 // The state that follows by the table; none where it has no such transition.
@@ -62,19 +62,19 @@
 
 class Attempt {
   public:
-    explicit Attempt(std::shared_ptr<UpstreamHost> actor) : actor_(std::move(actor)) {}
+    explicit Attempt(std::shared_ptr<UpstreamHost> host) : host_(std::move(host)) {}
 
     // Throws std::logic_error where the table has no such transition or the attempt has ended: then nothing
     // changes.
-    void on(AttemptEvent event);
+    void apply(AttemptEvent event);
 
     AttemptState state() const { return state_; }
     bool inFlight() const { return !end_; }
     std::optional<AttemptEvent> end() const { return end_; }  // none while in flight
-    const std::shared_ptr<UpstreamHost>& actor() const { return actor_; }
+    const std::shared_ptr<UpstreamHost>& host() const { return host_; }
 
   private:
-    std::shared_ptr<UpstreamHost> actor_;
+    std::shared_ptr<UpstreamHost> host_;
     AttemptState state_ = AttemptState::unsent;
     std::optional<AttemptEvent> end_;
 };
@@ -85,7 +85,7 @@
 AttemptState requestState(const Attempts& attempts);
 std::size_t inFlight(const Attempts& attempts);
 // That pods have seen or may still see: all but those that ended unreached.
-std::size_t arrivals(const Attempts& attempts);
+std::size_t possibleArrivals(const Attempts& attempts);
 
 // TWICE: whether it may be sent to one more pod, now.
 bool mayAttempt(const Attempts& attempts, bool repeatable);
@@ -104,7 +104,7 @@
 };
 
 // The event that a whole answer makes of it; none where it belongs to another request, and is to be read past
-// or, where that can't be done, to count as spoilt.
+// or, where that can't be done, to count as malformed.
 std::optional<AttemptEvent> judge(const ResponseHead& answer);
 
 }  // namespace lichenlanding::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -99,37 +99,38 @@
       window_(boot.budgetWindow),
       chance_(seed) {}
 
-void Router::take(std::shared_ptr<const config::Configuration> configuration) {
+void Router::setConfiguration(std::shared_ptr<const config::Configuration> configuration) {
     if (configuration_ && configuration->version <= configuration_->version)
         return;  // CONFIG: never back in one life
     configuration_ = std::move(configuration);
 }
 
-void Router::apply(const discovery::EndpointEvent& event, Nanos now) {
+void Router::applyEndpointEvent(const discovery::EndpointEvent& event, Nanos now) {
     const auto& id = event.member.id;
     auto at = hosts_.find(id);
     if (event.gone) {
         if (at == hosts_.end()) return;
         at->second->gone = true;
-        std::erase(byService_[at->second->listed.service], at->second);
+        std::erase(byService_[at->second->endpoint.service], at->second);
         hosts_.erase(at);
         return;
     }
     if (at == hosts_.end()) {
-        auto actor = std::make_shared<UpstreamHost>();
-        actor->listed = event.member, actor->since = now, actor->slowStartUntil = now + event.member.warmup;
-        at = hosts_.emplace(id, actor).first;
-        byService_[event.member.service].push_back(actor);
+        auto host = std::make_shared<UpstreamHost>();
+        host->endpoint = event.member, host->firstSeen = now,
+        host->slowStartUntil = now + event.member.warmup;
+        at = hosts_.emplace(id, host).first;
+        byService_[event.member.service].push_back(host);
         auto& settled = settled_[event.member.service];
         const bool ordered = std::any_of(rollouts_.begin(), rollouts_.end(), [&](const auto& rollout) {
             return rollout.service == event.member.service && rollout.target == event.member.version;
         });
         if (settled.empty() && !ordered) settled.insert(event.member.version);
     }
-    at->second->listed.draining = event.member.draining;
+    at->second->endpoint.draining = event.member.draining;
 }
 
-void Router::rollouts(std::vector<messages::Rollout> rollouts, Nanos now) {
+void Router::setRollouts(std::vector<messages::Rollout> rollouts, Nanos now) {
     const bool here = std::exchange(rolloutsKnown_, true);  // else an order may have been granted before
     rollouts_ = std::move(rollouts);
     std::map<std::string, const messages::Rollout*> last;  // a version may be ordered anew
@@ -155,10 +156,10 @@
     }
     for (auto& [service, versions] : settled_) {
         if (!versions.empty()) continue;
-        for (const auto& actor : byService_[service]) {
-            const auto& version = actor->listed.version;
+        for (const auto& host : byService_[service]) {
+            const auto& version = host->endpoint.version;
             if (std::none_of(rollouts_.begin(), rollouts_.end(), [&](const auto& rollout) {
-                    return rollout.service == actor->listed.service && rollout.target == version;
+                    return rollout.service == host->endpoint.service && rollout.target == version;
                 }))
                 versions.insert(version);
         }
@@ -167,8 +168,8 @@
 
 // What a pod's version may take: a version that an order brought goes by the order's state; one that nobody
 // ordered serves only if it was there first, and only until a completed order replaces it.
-Router::Side Router::side(const UpstreamHost& actor) const {
-    const auto& [service, version] = std::tie(actor.listed.service, actor.listed.version);
+Router::Side Router::side(const UpstreamHost& host) const {
+    const auto& [service, version] = std::tie(host.endpoint.service, host.endpoint.version);
     const messages::Rollout *own = nullptr, *done = nullptr;
     for (const auto& rollout : rollouts_) {
         if (rollout.service != service) continue;
@@ -182,12 +183,12 @@
     return at != settled_.end() && at->second.contains(version) ? Side::earlier : Side::none;
 }
 
-bool Router::usable(const UpstreamHost& actor, Nanos now) const {
-    return !actor.gone && !actor.listed.draining && now >= actor.backoffUntil &&
-           (actor.unansweredSince == 0 || now - actor.unansweredSince < kMuteAfter);
+bool Router::usable(const UpstreamHost& host, Nanos now) const {
+    return !host.gone && !host.endpoint.draining && now >= host.backoffUntil &&
+           (host.unansweredSince == 0 || now - host.unansweredSince < kMuteAfter);
 }
 
-void Router::company(std::size_t proxies, Nanos now) {
+void Router::setProxyCount(std::size_t proxies, Nanos now) {
     proxies_ = std::max<std::size_t>(proxies, 1);
     while (known_.size() > 1 && now - known_[1].first > window_) known_.pop_front();
     known_.emplace_back(now, proxies_);
@@ -214,19 +215,19 @@
     return std::max(0.0, own->second - least - kCrowdUsual);
 }
 
-double Router::cost(const UpstreamHost& actor, Nanos now) const {
-    const double slots = std::max(actor.listed.slots, 1);
+double Router::cost(const UpstreamHost& host, Nanos now) const {
+    const double slots = std::max(host.endpoint.slots, 1);
     const auto wait = [&](double load) {
         return std::max(0.0, load + 1 - slots) / slots + 0.15 * load / slots;
     };
     // A pod's last word fades; then what pods of its zone have said of late stands for it. One proxy of many
     // hears of a pod every few seconds at best, and would take its own full zone for an empty one.
     const double fresh =
-        actor.reportedAt == 0 ? 0 : std::exp(-static_cast<double>(now - actor.reportedAt) / kReportFades);
-    const double usual = actor.listed.zone == zone_ ? crowding(actor.listed.service) : 0;
-    const double told = wait(actor.out + fresh * std::max(0, actor.held - actor.inFlightAtReport));
-    const double pace = actor.pace * (now < actor.slowStartUntil ? kColdPace : 1);
-    return pace * (1 + told + (1 - fresh) * usual) + (actor.listed.zone == zone_ ? 0 : kOtherZone);
+        host.reportedAt == 0 ? 0 : std::exp(-static_cast<double>(now - host.reportedAt) / kReportFades);
+    const double usual = host.endpoint.zone == zone_ ? crowding(host.endpoint.service) : 0;
+    const double told = wait(host.inFlight + fresh * std::max(0, host.reportedLoad - host.inFlightAtReport));
+    const double pace = host.relativeLatency * (now < host.slowStartUntil ? kColdPace : 1);
+    return pace * (1 + told + (1 - fresh) * usual) + (host.endpoint.zone == zone_ ? 0 : kOtherZone);
 }
 
 Router::RetryBudget& Router::budget(const std::string& service) {
@@ -235,8 +236,8 @@
     return *budget;
 }
 
-bool Router::begin(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
-                   Nanos clientTime) {
+bool Router::startRequest(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
+                          Nanos clientTime) {
     request.route = configuration_ ? configuration_->find(host, path) : nullptr;
     if (!request.route) return false;
     const auto& route = *request.route;
@@ -251,13 +252,13 @@
 bool Router::mayGoOn(const RoutedRequest& request, Nanos now) const {
     // A pod that was not reached was not sent it; but a request is not held for long over such pods.
     return mayAttempt(request.attempts, request.route->repeatable) &&
-           static_cast<std::int64_t>(arrivals(request.attempts)) < request.route->maxAttempts &&
+           static_cast<std::int64_t>(possibleArrivals(request.attempts)) < request.route->maxAttempts &&
            static_cast<std::int64_t>(request.attempts.size()) < request.route->maxAttempts + kUnreachedMore &&
            request.deadline - now > kLeastLeft;
 }
 
-bool Router::warm(const UpstreamHost& actor, Nanos now) const {
-    return now - actor.since >= kSkipFirst && now >= actor.slowStartUntil;
+bool Router::warm(const UpstreamHost& host, Nanos now) const {
+    return now - host.firstSeen >= kSkipFirst && now >= host.slowStartUntil;
 }
 
 // A share that is spread over as many new pods as there are old ones never loads one, and what fails only
@@ -272,21 +273,21 @@
     std::vector<std::string> names;
     const auto count = few(near.size() + far.size());
     for (auto* place : {&near, &far})
-        std::erase_if(*place, [&](const auto* actor) { return !warm(**actor, now); });
+        std::erase_if(*place, [&](const auto* host) { return !warm(**host, now); });
     for (const auto* place : {&near, &far})
-        for (const auto* actor : *place) names.push_back((*actor)->listed.id);
+        for (const auto* host : *place) names.push_back((*host)->endpoint.id);
     const auto turn = (now + offset_) / kFocusFor;
     const auto chosen = hashing::chosen(names, target + std::to_string(turn), count);
     for (auto* place : {&near, &far})
-        std::erase_if(*place, [&](const auto* actor) {
-            return std::find(chosen.begin(), chosen.end(), (*actor)->listed.id) == chosen.end();
+        std::erase_if(*place, [&](const auto* host) {
+            return std::find(chosen.begin(), chosen.end(), (*host)->endpoint.id) == chosen.end();
         });
 }
 
-std::shared_ptr<Attempt> Router::next(RoutedRequest& request, Nanos now) {
+std::shared_ptr<Attempt> Router::nextAttempt(RoutedRequest& request, Nanos now) {
     if (!mayGoOn(request, now)) return nullptr;
     // BUDGET: any arrival past a request's first is paid for before it is sent.
-    const bool further = arrivals(request.attempts) > 0;
+    const bool further = possibleArrivals(request.attempts) > 0;
     auto& spent = budget(request.service);
     if (further) {
         const auto [requests, sends] = spent.over(now, window_);
@@ -300,30 +301,30 @@
     std::array<Places, 2> near, far, resting;
     const auto all = byService_.find(request.service);
     if (all == byService_.end()) return nullptr;
-    for (const auto& actor : all->second) {
-        const auto where = side(*actor);
-        if (where == Side::none || actor->gone || actor->listed.draining) continue;
+    for (const auto& host : all->second) {
+        const auto where = side(*host);
+        if (where == Side::none || host->gone || host->endpoint.draining) continue;
         if (std::any_of(request.attempts.begin(), request.attempts.end(),
-                        [&](const auto& attempt) { return attempt->actor() == actor; }))
+                        [&](const auto& attempt) { return attempt->host() == host; }))
             continue;
         const auto at = static_cast<std::size_t>(where == Side::fresh);
-        auto& place = !usable(*actor, now) ? resting : actor->listed.zone == zone_ ? near : far;
-        place[at].push_back(&actor);
+        auto& place = !usable(*host, now) ? resting : host->endpoint.zone == zone_ ? near : far;
+        place[at].push_back(&host);
     }
     // EXPOSURE: a version on trial gets its share, counted here; all of it once its order says so.
     // Two orders of one service are told apart: what one may have is not the other's.
     const std::string* target = nullptr;
     bool watched = false;  // by the share alone
     const auto isOf = [](const std::string& version) {
-        return [&version](const auto* actor) { return (*actor)->listed.version == version; };
+        return [&version](const auto* host) { return (*host)->endpoint.version == version; };
     };
     for (const auto& rollout : rollouts_) {
         if (rollout.service != request.service || !rollout.running()) continue;
         auto& trial = *trials_[rollout.service + "\n" + rollout.target];
         std::size_t there = 0, warmed = 0;
         for (const auto* place : {&near[1], &far[1]})
-            for (const auto* actor : *place)
-                if (isOf(rollout.target)(actor)) ++there, warmed += warm(**actor, now);
+            for (const auto* host : *place)
+                if (isOf(rollout.target)(host)) ++there, warmed += warm(**host, now);
         const bool stopped = trial.bad >= kOwnBad && trial.bad > trial.fresh * kOwnBadPart;
         if (stopped || there == 0) continue;
         // The rehearsal: all of the requests for a moment, within what the share has left unused so far. What
@@ -342,15 +343,15 @@
     const std::size_t from = target ? 1 : 0;
     if (target)
         for (auto* place : {&near[1], &far[1]})
-            std::erase_if(*place, [&](const auto* actor) { return (*actor)->listed.version != *target; });
+            std::erase_if(*place, [&](const auto* host) { return (*host)->endpoint.version != *target; });
     if (watched) focus(near[1], far[1], *target, now);
     std::shared_ptr<UpstreamHost> best;
     double least = 0;
     const auto look = [&](const std::vector<const std::shared_ptr<UpstreamHost>*>& place, int draws) {
         for (int draw = 0; draw < draws && !place.empty(); ++draw) {
-            const auto& actor = *place[chance_() % place.size()];
-            const double its = cost(*actor, now);
-            if (!best || its < least) best = actor, least = its;
+            const auto& host = *place[chance_() % place.size()];
+            const double its = cost(*host, now);
+            if (!best || its < least) best = host, least = its;
         }
     };
     look(near[from], 2), look(far[from], near[from].empty() ? 2 : 1);
@@ -360,9 +361,9 @@
     for (const auto& rollout : rollouts_)
         if (rollout.service == request.service && rollout.running())
             ++trials_[rollout.service + "\n" + rollout.target]->all;
-    if (side(*best) == Side::fresh) ++trials_[best->listed.service + "\n" + best->listed.version]->sent;
+    if (side(*best) == Side::fresh) ++trials_[best->endpoint.service + "\n" + best->endpoint.version]->sent;
     if (further) spent.cell(now).second += 1;
-    if (best->out++ == 0) best->unansweredSince = now;
+    if (best->inFlight++ == 0) best->unansweredSince = now;
     request.attempts.push_back(std::make_shared<Attempt>(best));
     return request.attempts.back();
 }
@@ -383,51 +384,53 @@
     return std::min(request.deadline, now + std::max(static_cast<Nanos>(usual / 2), kHedgeAgainAtLeast));
 }
 
-void Router::reported(UpstreamHost& actor, int running, int waiting, Nanos now) {
-    actor.held = running + waiting, actor.inFlightAtReport = actor.out, actor.reportedAt = now;
-    const double slots = std::max(actor.listed.slots, 1);
+void Router::onLoadReport(UpstreamHost& host, int running, int waiting, Nanos now) {
+    host.reportedLoad = running + waiting, host.inFlightAtReport = host.inFlight, host.reportedAt = now;
+    const double slots = std::max(host.endpoint.slots, 1);
     const double waits = std::max(0.0, running + waiting + 1 - slots) / slots;
-    auto& crowd = crowds_.try_emplace({actor.listed.service, actor.listed.zone}, waits).first->second;
+    auto& crowd = crowds_.try_emplace({host.endpoint.service, host.endpoint.zone}, waits).first->second;
     crowd += kCrowdLearn * (waits - crowd);
 }
 
-void Router::ended(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status, Nanos took,
-                   Nanos now) {
-    attempt.on(end);
-    auto& actor = *attempt.actor();
+void Router::onAttemptEnded(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status,
+                            Nanos took, Nanos now) {
+    attempt.apply(end);
+    auto& host = *attempt.host();
     // Where nothing is out nothing is owed, however it ended: else a pod that failed once would count as mute
     // until it is drawn for want of others.
-    if (--actor.out == 0) actor.unansweredSince = 0;
-    else if (end == AttemptEvent::answered || end == AttemptEvent::turned || end == AttemptEvent::elsewhere)
-        actor.unansweredSince = now;
+    if (--host.inFlight == 0) host.unansweredSince = 0;
+    else if (end == AttemptEvent::answered || end == AttemptEvent::rejectedByHost ||
+             end == AttemptEvent::misdirected)
+        host.unansweredSince = now;
     const auto rest = [&](Nanos first) {
-        actor.backoffUntil = now + std::min(first << std::min(actor.failures, 5), kRestAtMost);
+        host.backoffUntil = now + std::min(first << std::min(host.consecutiveFailures, 5), kRestAtMost);
     };
     if (end == AttemptEvent::answered) {
-        actor.failures = 0;
-    } else if (end == AttemptEvent::turned) {
-        actor.backoffUntil = now + kRestTurned;
-    } else if (end == AttemptEvent::elsewhere) {
-        actor.gone = true;  // ROUTE: the address has another pod; the list will say so
-    } else if (end == AttemptEvent::unreached || end == AttemptEvent::overdue) {
-        rest(kRestFirst), ++actor.failures;
-    } else if (++actor.failures >= kCutsInRow) {
+        host.consecutiveFailures = 0;
+    } else if (end == AttemptEvent::rejectedByHost) {
+        host.backoffUntil = now + kRestTurned;
+    } else if (end == AttemptEvent::misdirected) {
+        host.gone = true;  // ROUTE: the address has another pod; the list will say so
+    } else if (end == AttemptEvent::unreached || end == AttemptEvent::timedOut) {
+        rest(kRestFirst), ++host.consecutiveFailures;
+    } else if (++host.consecutiveFailures >= kCutsInRow) {
         rest(kRestFirst);
     }
-    const bool failed = end == AttemptEvent::cut || end == AttemptEvent::spoilt ||
-                        end == AttemptEvent::overdue || (end == AttemptEvent::answered && status >= 500);
+    const bool failed = end == AttemptEvent::connectionLost || end == AttemptEvent::malformed ||
+                        end == AttemptEvent::timedOut || (end == AttemptEvent::answered && status >= 500);
     const auto& route = *request.route;
     if (end == AttemptEvent::answered && status < 300) {
         auto& typical = typical_.try_emplace(route.name, static_cast<double>(route.target) / 3).first->second;
         const double ratio = static_cast<double>(took) / typical;
         typical += kLearn * (static_cast<double>(took) - typical);
-        if (now >= actor.slowStartUntil) actor.pace += kLearn * (std::clamp(ratio, 0.2, 5.0) - actor.pace);
+        if (now >= host.slowStartUntil)
+            host.relativeLatency += kLearn * (std::clamp(ratio, 0.2, 5.0) - host.relativeLatency);
     }
-    if (attempt.state() == AttemptState::surelyNotRun || !warm(actor, now)) return;
+    if (attempt.state() == AttemptState::surelyNotRun || !warm(host, now)) return;
     for (const auto& rollout : rollouts_) {
-        if (rollout.service != actor.listed.service || !rollout.running()) continue;
-        const bool fresh = rollout.target == actor.listed.version;
-        if (!fresh && side(actor) != Side::earlier) continue;
+        if (rollout.service != host.endpoint.service || !rollout.running()) continue;
+        const bool fresh = rollout.target == host.endpoint.version;
+        if (!fresh && side(host) != Side::earlier) continue;
         auto& trial = *trials_[rollout.service + "\n" + rollout.target];
         trial.totals[route.name][fresh ? 0 : 1].count(took, route.target, failed);
         if (fresh) ++trial.fresh;
@@ -435,16 +438,16 @@
     }
 }
 
-LocalReply Router::refusal(const RoutedRequest& request) const {
+LocalReply Router::localReply(const RoutedRequest& request) const {
     if (mayPromiseNotRun(request.attempts)) return {503, kComeBack};
     const bool overdue =
         std::any_of(request.attempts.begin(), request.attempts.end(),
-                    [](const auto& attempt) { return attempt->end() == AttemptEvent::overdue; });
+                    [](const auto& attempt) { return attempt->end() == AttemptEvent::timedOut; });
     return {overdue ? 504 : 502, 0};
 }
 
-int Router::maxConnections(const UpstreamHost& actor) const {
-    const auto* service = configuration_ ? configuration_->service(actor.listed.service) : nullptr;
+int Router::maxConnections(const UpstreamHost& host) const {
+    const auto* service = configuration_ ? configuration_->service(host.endpoint.service) : nullptr;
     const double share =
         service ? static_cast<double>(service->maxConnections) * kLinesPart / static_cast<double>(proxies_)
                 : 2;
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -24,16 +24,17 @@
 
 // A pod as this proxy knows it. Kept until nothing is out at it and it has left the list.
 struct UpstreamHost {
-    discovery::Endpoint listed;
+    discovery::Endpoint endpoint;
     bool gone = false;
-    int out = 0;      // own requests out
-    int lines = 0;    // own connections open, kept by the host
-    Nanos since = 0;  // first seen here
+    int inFlight = 0;     // attempts of this proxy that have not ended
+    int connections = 0;  // open from this proxy; counted by UpstreamConnection
+    Nanos firstSeen = 0;
     Nanos slowStartUntil = 0;
     Nanos backoffUntil = 0;  // nothing is sent before, while others can
-    int failures = 0;        // in a row
-    double pace = 1;         // own answers' times against those of the route at all pods, averaged
-    int held = 0, inFlightAtReport = 0;  // requests by its own last report, and own ones out then
+    int consecutiveFailures = 0;
+    double relativeLatency = 1;  // own answers' times against those of the route at all pods, averaged
+    int reportedLoad = 0;        // requests, running and waiting, by its last report
+    int inFlightAtReport = 0;    // `inFlight` at that moment
     Nanos reportedAt = 0;
     Nanos unansweredSince = 0;  // since when it has owed an answer without giving any; 0: not
 };
@@ -61,40 +62,42 @@
   public:
     Router(const config::BootstrapSettings& boot, std::uint64_t seed);
 
-    void take(std::shared_ptr<const config::Configuration> configuration);  // of a lower version: no change
+    void setConfiguration(
+        std::shared_ptr<const config::Configuration> configuration);  // of a lower version: no change
     const std::shared_ptr<const config::Configuration>& configuration() const { return configuration_; }
-    void apply(const discovery::EndpointEvent& event, Nanos now);
+    void applyEndpointEvent(const discovery::EndpointEvent& event, Nanos now);
     // So many proxies are known, this one among them. Shares of what the fleet may spend shrink at once, and
     // grow only when fewer have been known over a whole window.
-    void company(std::size_t proxies, Nanos now);
-    void rollouts(std::vector<messages::Rollout> rollouts, Nanos now);
+    void setProxyCount(std::size_t proxies, Nanos now);
+    void setRollouts(std::vector<messages::Rollout> rollouts, Nanos now);
     const std::vector<messages::Rollout>& rollouts() const { return rollouts_; }
 
     // What is to be added to `now` for a time that all proxies have much alike.
-    void common(Nanos offset) { offset_ = offset; }
+    void setSharedClockOffset(Nanos offset) { offset_ = offset; }
 
     // Whether all is there that a send needs: a configuration, rollouts and pods.
-    bool ready() const { return configuration_ && rolloutsKnown_ && listed_; }
-    void listed() { listed_ = true; }
+    bool ready() const { return configuration_ && rolloutsKnown_ && endpointsKnown_; }
+    void setEndpointsKnown() { endpointsKnown_ = true; }
 
     // A request that has come in: false where no route takes it.
-    bool begin(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
-               Nanos clientTime);
+    bool startRequest(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
+                      Nanos clientTime);
 
     // The send to make now, added to the request's attempts, or null: give up, unless one is in flight still.
-    std::shared_ptr<Attempt> next(RoutedRequest& request, Nanos now);
+    std::shared_ptr<Attempt> nextAttempt(RoutedRequest& request, Nanos now);
     // Whether a second send beside one that is out would be worth it, and when to ask.
     Nanos hedgeAt(const RoutedRequest& request, Nanos sentAt) const;
-    // When to ask again, where next() has had none to give for now.
+    // When to ask again, where nextAttempt() has had none to give for now.
     Nanos nextHedgeCheckAt(const RoutedRequest& request, Nanos now) const;
-    // Tells the attempt how it ended; `status` of the answer, 0 without one. Throws as Attempt::on().
-    void ended(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status, Nanos took, Nanos now);
-    void reported(UpstreamHost& actor, int running, int waiting, Nanos now);
-    // What is answered where next() has nothing more and nothing is in flight.
-    LocalReply refusal(const RoutedRequest& request) const;
+    // Tells the attempt how it ended; `status` of the answer, 0 without one. Throws as Attempt::apply().
+    void onAttemptEnded(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status, Nanos took,
+                        Nanos now);
+    void onLoadReport(UpstreamHost& host, int running, int waiting, Nanos now);
+    // What is answered where nextAttempt() has nothing more and nothing is in flight.
+    LocalReply localReply(const RoutedRequest& request) const;
 
     // Connections to one pod that this proxy may have open.
-    int maxConnections(const UpstreamHost& actor) const;
+    int maxConnections(const UpstreamHost& host) const;
     const std::map<std::string, std::shared_ptr<UpstreamHost>>& hosts() const { return hosts_; }
 
     // Outcomes of a running rollout, for the voters.
@@ -105,15 +108,15 @@
     struct RetryBudget;
     struct Canary;
     enum class Side { none, earlier, fresh };
-    Side side(const UpstreamHost& actor) const;
+    Side side(const UpstreamHost& host) const;
     using Places = std::vector<const std::shared_ptr<UpstreamHost>*>;
-    bool warm(const UpstreamHost& actor, Nanos now) const;  // its outcomes count for a version
+    bool warm(const UpstreamHost& host, Nanos now) const;  // its outcomes count for a version
     std::size_t few(std::size_t pods) const;
     void focus(Places& near, Places& far, const std::string& target, Nanos now) const;
     double crowding(const std::string& service) const;
-    double cost(const UpstreamHost& actor, Nanos now) const;
+    double cost(const UpstreamHost& host, Nanos now) const;
     std::size_t sharers(Nanos now) const;
-    bool usable(const UpstreamHost& actor, Nanos now) const;
+    bool usable(const UpstreamHost& host, Nanos now) const;
     bool mayGoOn(const RoutedRequest& request, Nanos now) const;
     RetryBudget& budget(const std::string& service);
     Canary* trial(const std::string& service);
@@ -136,7 +139,7 @@
     std::vector<messages::Rollout> rollouts_;
     std::uint64_t bad_ = 0;
     Nanos offset_ = 0;
-    bool rolloutsKnown_ = false, listed_ = false;
+    bool rolloutsKnown_ = false, endpointsKnown_ = false;
 };
 
 }  // namespace lichenlanding::routing
--- a/src/verdict/stages.cpp
+++ b/src/verdict/stages.cpp
@@ -5,10 +5,11 @@
 namespace lichenlanding::verdict {
 namespace {
 
-constexpr double kWatchPart = 0.55;        // of the term, that a version is watched with its share at least
-constexpr std::int64_t kRehearsed = 1400;  // the rehearsal, and until its outcomes are judged
-constexpr std::int64_t kMoved = 2500;      // with all traffic, before the old pods are let go
-constexpr std::int64_t kUndecided = 700;   // before the term, so that it is told in time
+constexpr double kWatchPart = 0.55;  // of the term, that a version is watched with its share at least
+constexpr std::int64_t kTrialAndJudgement =
+    1400;                                 // the trial of all traffic, and until its outcomes are judged
+constexpr std::int64_t kMoved = 2500;     // with all traffic, before the old pods are let go
+constexpr std::int64_t kUndecided = 700;  // before the term, so that it is told in time
 
 constexpr Nanos kMillisecond = 1'000'000;
 constexpr std::int64_t kOldest = 7 * 24 * 3600 * std::int64_t{1000};  // no order runs for a week
@@ -38,16 +39,16 @@
     std::erase_if(began_, [&](const auto& one) { return !running.contains(one.first); });
 }
 
-std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed,
-                             std::int64_t inStage, std::int64_t term) {
+std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed, std::int64_t inStage,
+                             std::int64_t term) {
     const auto majority = votes.voters / 2 + 1;
     if (votes.voters > 0 && votes.back >= majority) return Move{false, true, "voters"};
     const bool on = votes.voters > 0 && votes.on >= majority;
-    if (stage == share && on && static_cast<double>(elapsed) >= kWatchPart * static_cast<double>(term))
+    if (stage == canary && on && static_cast<double>(elapsed) >= kWatchPart * static_cast<double>(term))
         return Move{false, false, "voters"};
-    if (stage == fullTrafficTest && on && inStage >= kRehearsed)
-        return Move{false, false, "voters, after the rehearsal"};
-    if (stage == all && on && inStage >= kMoved) return Move{true, false, "voters, with all traffic"};
+    if (stage == fullTrafficTrial && on && inStage >= kTrialAndJudgement)
+        return Move{false, false, "voters, after the trial of all traffic"};
+    if (stage == allTraffic && on && inStage >= kMoved) return Move{true, false, "voters, with all traffic"};
     if (elapsed >= term - kUndecided) return Move{false, true, "undecided at its term"};
     return std::nullopt;
 }
--- a/src/verdict/stages.hpp
+++ b/src/verdict/stages.hpp
@@ -19,7 +19,7 @@
 constexpr Nanos kJudgeEvery = 500'000'000;     // a voter judges no more often
 constexpr Nanos kVoteLife = 1'500'000'000;     // a vote that has not been said again by then is none
 
-enum Stage : int { share = 0, fullTrafficTest = 1, all = 2 };
+enum Stage : int { canary = 0, fullTrafficTrial = 1, allTraffic = 2 };
 
 struct VoteCounts {
     std::size_t voters = 0;  // that there are, not those that have voted
@@ -33,8 +33,8 @@
 };
 
 // What is to be done now, if anything. `elapsed` since the order, `inStage` since the stage began.
-std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed,
-                             std::int64_t inStage, std::int64_t term);
+std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed, std::int64_t inStage,
+                             std::int64_t term);
 
 // How old an order is, in milliseconds.
 struct Age {
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -208,7 +208,7 @@
         }
         // An address that can't be read is a pod that is not reached.
         House nowhere(each({ok()}), {});
-        nowhere.router->apply({0, {"N", "s", "nowhere", "z", "v1", 2, false, 0}, false}, now());
+        nowhere.router->applyEndpointEvent({0, {"N", "s", "nowhere", "z", "v1", 2, false, 0}, false}, now());
         CPPUNIT_ASSERT_EQUAL(503, nowhere.exchange(post("lost"), "lost").status);
         House wide(each({ok("{id}", "X-Wide: " + std::string(12'000, 'w') + "\r\n")}));
         CPPUNIT_ASSERT_EQUAL(200, wide.exchange(post("wide"), "wide").status);
@@ -228,7 +228,7 @@
         House house(each({ok()}));
         house.repeatable.insert("next");
         house.forgetful.insert("A");
-        house.router->hosts().at("B")->pace = 9;  // A is asked first
+        house.router->hosts().at("B")->relativeLatency = 9;  // A is asked first
         CPPUNIT_ASSERT_EQUAL(200, house.exchange(get("next"), "next").status);
         CPPUNIT_ASSERT_EQUAL(1, house.runs["next"]);
     }
@@ -366,8 +366,8 @@
         house.answered(house.client(post("frst"), {"frst"}));
         house.quiet();
         routing::RoutedRequest way;
-        CPPUNIT_ASSERT(house.router->begin(way, "h", "/write/1", now(), kSecond));
-        const auto call = std::make_shared<proxy::UpstreamRequest>(house.router->next(way, now()));
+        CPPUNIT_ASSERT(house.router->startRequest(way, "h", "/write/1", now(), kSecond));
+        const auto call = std::make_shared<proxy::UpstreamRequest>(house.router->nextAttempt(way, now()));
         const auto request = std::make_shared<proxy::Request>(proxy::http::verb::post, "/write/1", 11);
         request->set("X-Attempt-Id", "left");
         bool back = false;
@@ -381,8 +381,8 @@
         house.until([&] { return back; });
         CPPUNIT_ASSERT_EQUAL(0, house.arrivals["left"]);
         CPPUNIT_ASSERT(call->attempt->state() == routing::AttemptState::unsent);
-        house.router->ended(way, *call->attempt, call->end, 0, 0, now());
-        CPPUNIT_ASSERT_EQUAL(503, house.router->refusal(way).status);
+        house.router->onAttemptEnded(way, *call->attempt, call->end, 0, 0, now());
+        CPPUNIT_ASSERT_EQUAL(503, house.router->localReply(way).status);
         house.quiet();
     }
 
--- a/tests/proxy/http_server.cpp
+++ b/tests/proxy/http_server.cpp
@@ -128,7 +128,7 @@
             Stage stage;
             stage.pod("A", {{"", Act::reset}});
             stage.pod("B", {{ok("saved")}});
-            stage.router->hosts().at("B")->pace = 9;  // so that A is asked first
+            stage.router->hosts().at("B")->relativeLatency = 9;  // so that A is asked first
             all += told("a read, reset at one pod, answered by the next", stage, stage.client(read, 1));
         }
         approve("front-broken-pods", all);
--- a/tests/routing/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -14,9 +14,9 @@
 
 constexpr std::array states{AttemptState::unsent, AttemptState::surelyNotRun, AttemptState::maybeRun,
                             AttemptState::answered};
-constexpr std::array events{AttemptEvent::written,   AttemptEvent::unreached, AttemptEvent::turned,
-                            AttemptEvent::elsewhere, AttemptEvent::answered,  AttemptEvent::cut,
-                            AttemptEvent::spoilt,    AttemptEvent::overdue};
+constexpr std::array events{AttemptEvent::written,     AttemptEvent::unreached, AttemptEvent::rejectedByHost,
+                            AttemptEvent::misdirected, AttemptEvent::answered,  AttemptEvent::connectionLost,
+                            AttemptEvent::malformed,   AttemptEvent::timedOut};
 
 // One send, as it is: what happened to it, and whether its pod has run it.
 struct World {
@@ -27,9 +27,10 @@
     std::vector<AttemptEvent> next() const {
         if (ended) return {};
         if (!written) return {AttemptEvent::written, AttemptEvent::unreached};
-        std::vector<AttemptEvent> all{AttemptEvent::cut, AttemptEvent::spoilt, AttemptEvent::overdue};
+        std::vector<AttemptEvent> all{AttemptEvent::connectionLost, AttemptEvent::malformed,
+                                      AttemptEvent::timedOut};
         if (ran) all.push_back(AttemptEvent::answered);
-        else all.insert(all.end(), {AttemptEvent::turned, AttemptEvent::elsewhere});
+        else all.insert(all.end(), {AttemptEvent::rejectedByHost, AttemptEvent::misdirected});
         return all;
     }
     World with(AttemptEvent event) const {
@@ -56,12 +57,12 @@
         else if (world.ended && state == AttemptState::unsent) found = "Exact: ended, but unsent";
         else if ((state == AttemptState::answered) != (world.ended && world.last == AttemptEvent::answered))
             found = "Exact: answered is what was answered";
-        else if (state == AttemptState::surelyNotRun && world.written && world.last != AttemptEvent::turned &&
-                 world.last != AttemptEvent::elsewhere)
+        else if (state == AttemptState::surelyNotRun && world.written &&
+                 world.last != AttemptEvent::rejectedByHost && world.last != AttemptEvent::misdirected)
             found = "NeverBack: not by the pod's own word";
         else if (state != AttemptState::surelyNotRun && world.ended &&
-                 (!world.written || world.last == AttemptEvent::turned ||
-                  world.last == AttemptEvent::elsewhere))
+                 (!world.written || world.last == AttemptEvent::rejectedByHost ||
+                  world.last == AttemptEvent::misdirected))
             found = "Exact: surely not run, but not known";
         // The pod may run it at any moment while it is there; what it is late to say is never said.
         if (world.written && !world.ran && !world.ended) {
@@ -119,8 +120,8 @@
         int runs = 0, open = 0, silent = 0;
         for (const auto& world : worlds)
             runs += world.ran, open += !world.ended,
-                silent +=
-                world.written && world.last != AttemptEvent::turned && world.last != AttemptEvent::elsewhere;
+                silent += world.written && world.last != AttemptEvent::rejectedByHost &&
+                          world.last != AttemptEvent::misdirected;
         if (!repeatable && runs > 1) return "TWICE:" + way;
         // What is promised holds for good: nothing that may still run, nor what has.
         if (mayPromiseNotRun(attempts) && (runs > 0 || open > 0 || silent > 0)) return "REFUSED:" + way;
@@ -139,7 +140,7 @@
                 auto next = worlds;
                 next[at] = worlds[at].with(event);
                 auto told = copy(attempts);
-                told[at]->on(event);
+                told[at]->apply(event);
                 found = walk(told, next, repeatable, way + label + name(event) + ",", seen);
             }
         }
@@ -172,9 +173,10 @@
                     continue;
                 }
                 if (!event) return "LOST: an answer that is read past";
-                if (event != AttemptEvent::spoilt && !answer.delimited)
+                if (event != AttemptEvent::malformed && !answer.delimited)
                     return "MIXED: cut short, it would look whole";
-                if ((event == AttemptEvent::turned || event == AttemptEvent::elsewhere) && (success || !word))
+                if ((event == AttemptEvent::rejectedByHost || event == AttemptEvent::misdirected) &&
+                    (success || !word))
                     return "REFUSED: not by the pod's word";
                 if (event != AttemptEvent::answered) continue;
                 if (success && (id != ResponseHead::Id::own || !answer.stamped))
@@ -207,15 +209,15 @@
             seen += std::string(name(from)) + " -- " + name(event) + " -> " + name(to) + "\n";
         for (const auto event : events) {
             Attempt sent(nullptr);
-            sent.on(AttemptEvent::written);
+            sent.apply(AttemptEvent::written);
             if (event != AttemptEvent::written && event != AttemptEvent::unreached) {
-                sent.on(event);
+                sent.apply(event);
                 CPPUNIT_ASSERT(sent.end() == event && !sent.inFlight());
                 const auto kept = sent.state();
-                for (const auto more : events) CPPUNIT_ASSERT_THROW(sent.on(more), std::logic_error);
+                for (const auto more : events) CPPUNIT_ASSERT_THROW(sent.apply(more), std::logic_error);
                 CPPUNIT_ASSERT(sent.state() == kept && sent.end() == event);
             } else {
-                CPPUNIT_ASSERT_THROW(sent.on(event), std::logic_error);
+                CPPUNIT_ASSERT_THROW(sent.apply(event), std::logic_error);
                 CPPUNIT_ASSERT(sent.state() == AttemptState::maybeRun && sent.inFlight());
             }
         }
@@ -289,14 +291,14 @@
              [&](const Attempts& attempts) {
                  return inFlight(attempts) == 0 &&
                         std::all_of(attempts.begin(), attempts.end(), [&](const auto& one) {
-                            return known(*one) || one->end() == AttemptEvent::cut;
+                            return known(*one) || one->end() == AttemptEvent::connectionLost;
                         });
              }},
             {"silence is taken for not run",
              [&](const Attempts& attempts) {
                  return inFlight(attempts) == 0 &&
                         std::all_of(attempts.begin(), attempts.end(), [&](const auto& one) {
-                            return known(*one) || one->end() == AttemptEvent::overdue;
+                            return known(*one) || one->end() == AttemptEvent::timedOut;
                         });
              }},
             {"a refusal is not believed", [&](const Attempts& attempts) { return attempts.empty(); }},
@@ -369,7 +371,7 @@
                                                              return a.notExecuted &&
                                                                             a.id == ResponseHead::Id::own &&
                                                                             a.delimited
-                                                                        ? AttemptEvent::turned
+                                                                        ? AttemptEvent::rejectedByHost
                                                                         : judge(a);
                                                          }}}) {
             const auto rule = brokenBy(judged);
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -28,23 +28,23 @@
     explicit Room(std::size_t pods = 4, double slack = 20) {
         boot.zone = "z", boot.budgetSlack = slack, boot.budgetRatio = 0.2, boot.exposureShare = 0.1;
         room = std::make_unique<Router>(boot, 7);
-        room->take(bill("00000001"));
-        room->company(1, now - 10 * kSecond);
+        room->setConfiguration(bill("00000001"));
+        room->setProxyCount(1, now - 10 * kSecond);
         for (std::size_t at = 0; at < pods; ++at) list("p" + std::to_string(at));
     }
     void list(const std::string& id, const std::string& version = "v1", bool draining = false,
               const std::string& zone = "z") {
-        room->apply({0, {id, "s", "a", zone, version, 3, draining, 0}, false}, now);
+        room->applyEndpointEvent({0, {id, "s", "a", zone, version, 3, draining, 0}, false}, now);
     }
     RoutedRequest begin(const char* kind) {
         RoutedRequest request;
-        CPPUNIT_ASSERT(room->begin(request, "h", std::string("/") + kind + "/1", now, 2 * kSecond));
+        CPPUNIT_ASSERT(room->startRequest(request, "h", std::string("/") + kind + "/1", now, 2 * kSecond));
         return request;
     }
     // Sends once; the pod's id, or "-".
     std::string send(RoutedRequest& request) {
-        last = room->next(request, now);
-        return last ? last->actor()->listed.id : "-";
+        last = room->nextAttempt(request, now);
+        return last ? last->host()->endpoint.id : "-";
     }
     void end(RoutedRequest& request, AttemptEvent end, int status = 200, Nanos took = 100 * kMillisecond) {
         end_(request, *last, end, status, took);
@@ -52,14 +52,14 @@
     // As a host tells it: all but what ends unreached was written first.
     void end_(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
               Nanos took = 100 * kMillisecond) {
-        if (end != AttemptEvent::unreached) attempt.on(AttemptEvent::written);
-        room->ended(request, attempt, end, status, took, now);
+        if (end != AttemptEvent::unreached) attempt.apply(AttemptEvent::written);
+        room->onAttemptEnded(request, attempt, end, status, took, now);
     }
     void rollout(const std::string& state, int stage = 0, std::int64_t number = 1) {
         messages::Rollout order;
         order.service = "s", order.target = "v2", order.state = state, order.stage = stage,
         order.number = number;
-        room->rollouts({order}, now);
+        room->setRollouts({order}, now);
     }
     config::BootstrapSettings boot;
     std::unique_ptr<Router> room;
@@ -95,23 +95,24 @@
     void sendsAgain() {
         std::string seen;
         for (const auto* kind : {reading, writing})
-            for (const auto& [name, end] :
-                 std::vector<std::pair<const char*, AttemptEvent>>{{"turned", AttemptEvent::turned},
-                                                                   {"elsewhere", AttemptEvent::elsewhere},
-                                                                   {"unreached", AttemptEvent::unreached},
-                                                                   {"cut", AttemptEvent::cut},
-                                                                   {"spoilt", AttemptEvent::spoilt},
-                                                                   {"overdue", AttemptEvent::overdue}}) {
+            for (const auto& [name, end] : std::vector<std::pair<const char*, AttemptEvent>>{
+                     {"rejected by host", AttemptEvent::rejectedByHost},
+                     {"misdirected", AttemptEvent::misdirected},
+                     {"unreached", AttemptEvent::unreached},
+                     {"connection lost", AttemptEvent::connectionLost},
+                     {"malformed", AttemptEvent::malformed},
+                     {"timed out", AttemptEvent::timedOut}}) {
                 Room room;
                 auto request = room.begin(kind);
                 const auto first = room.send(request);
-                const auto beside = room.room->next(request, room.now) != nullptr;  // while it is in flight
+                const auto beside =
+                    room.room->nextAttempt(request, room.now) != nullptr;  // while it is in flight
                 if (beside) request.attempts.pop_back();
                 room.end(request, end);
                 const auto second_ = room.send(request);
                 CPPUNIT_ASSERT(second_ != first);
                 if (second_ != "-") room.end(request, end);
-                const auto refusal = room.room->refusal(request);
+                const auto refusal = room.room->localReply(request);
                 seen += std::string(kind) + " " + name + ": beside " + (beside ? "yes" : "no") + ", again " +
                         (second_ == "-" ? "no" : "yes") + ", then " + std::to_string(refusal.status) +
                         (refusal.retryAfter > 0 ? " come back" : "") + "\n";
@@ -125,25 +126,28 @@
             Room room(8);
             auto request = room.begin(kind);  // to three pods at most
             std::string ends;
-            for (const auto end : {AttemptEvent::turned, AttemptEvent::unreached, AttemptEvent::unreached,
-                                   AttemptEvent::turned, AttemptEvent::turned, AttemptEvent::turned}) {
+            for (const auto end :
+                 {AttemptEvent::rejectedByHost, AttemptEvent::unreached, AttemptEvent::unreached,
+                  AttemptEvent::rejectedByHost, AttemptEvent::rejectedByHost, AttemptEvent::rejectedByHost}) {
                 if (room.send(request) == "-") break;
                 room.end(request, end);
-                ends += routing::name(end) + std::string(" ");
+                ends += routing::name(end) + std::string(", ");
             }
-            CPPUNIT_ASSERT_EQUAL(std::string("turned unreached unreached turned turned "), ends);
+            CPPUNIT_ASSERT_EQUAL(
+                std::string("rejected by host, unreached, unreached, rejected by host, rejected by host, "),
+                ends);
             auto nobody = room.begin(kind);
             int attempts = 0;
             for (; room.send(nobody) != "-"; ++attempts) room.end(nobody, AttemptEvent::unreached);
             CPPUNIT_ASSERT_EQUAL(5, attempts);
-            CPPUNIT_ASSERT_EQUAL(503, room.room->refusal(nobody).status);
+            CPPUNIT_ASSERT_EQUAL(503, room.room->localReply(nobody).status);
         }
     }
 
     // BUDGET: arrivals past the first of a request stay within the share of the fleet's, window by window.
     void budget() {
         Room room(8, 24);
-        room.room->company(4, room.now);
+        room.room->setProxyCount(4, room.now);
         int further = 0;
         for (int second_ = 0; second_ < 30; ++second_) {
             const bool storm = second_ >= 10 && second_ < 20;
@@ -152,8 +156,8 @@
                 room.now += kSecond / 20;
                 auto request = room.begin(reading);
                 for (auto sent = room.send(request); sent != "-"; sent = room.send(request)) {
-                    if (routing::arrivals(request.attempts) > 1) ++further;
-                    room.end(request, storm ? AttemptEvent::turned : AttemptEvent::answered);
+                    if (routing::possibleArrivals(request.attempts) > 1) ++further;
+                    room.end(request, storm ? AttemptEvent::rejectedByHost : AttemptEvent::answered);
                     if (!storm) break;
                 }
             }
@@ -189,7 +193,7 @@
             auto request = room.begin(writing);
             const bool its = room.send(request)[0] == 'n';
             fresh += its;
-            room.end(request, its ? AttemptEvent::cut : AttemptEvent::answered);
+            room.end(request, its ? AttemptEvent::connectionLost : AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh >= 4);
         CPPUNIT_ASSERT(fresh < 60);  // until 0.3 of those it has seen are bad
@@ -202,8 +206,8 @@
         for (const bool there : {true, false}) {
             Room room(6);
             for (int at = 0; at < 6; ++at) room.list("n" + std::to_string(at), "v2");
-            if (there) room.room->rollouts({}, room.now);
-            room.room->company(12, room.now);
+            if (there) room.room->setRollouts({}, room.now);
+            room.room->setProxyCount(12, room.now);
             room.rollout("in_progress");
             room.now += 3 * kSecond;
             seen += there ? "there at the order:" : "started since:";
@@ -229,14 +233,14 @@
         messages::Rollout good, bad;
         good.service = bad.service = "s", good.target = "v2", bad.target = "v3", good.stage = 2,
         good.number = 2, bad.number = 1;
-        room.room->rollouts({bad, good}, room.now);
+        room.room->setRollouts({bad, good}, room.now);
         room.now += 3 * kSecond;
         std::map<std::string, int> where;
         for (int at = 0; at < 1000; ++at) {
             room.now += 10 * kMillisecond;
             auto request = room.begin(reading);
             CPPUNIT_ASSERT(room.send(request) != "-");
-            ++where[room.last->actor()->listed.version];
+            ++where[room.last->host()->endpoint.version];
             room.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT_EQUAL(0, where["v1"]);
@@ -258,24 +262,24 @@
                 room.now += 10 * kMillisecond;
                 auto request = room.begin(reading);
                 CPPUNIT_ASSERT(room.send(request) != "-");
-                const bool its = room.last->actor()->listed.version == "v2";
+                const bool its = room.last->host()->endpoint.version == "v2";
                 fresh += its;
                 room.end(request, AttemptEvent::answered, its ? 500 : 200);
             }
             return fresh;
         };
-        room.room->rollouts({first}, room.now);
+        room.room->setRollouts({first}, room.now);
         room.now += 3 * kSecond;
         CPPUNIT_ASSERT(serve() > 0);
         CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
         first.state = "rolled_back", first.number = 2;
-        room.room->rollouts({first}, room.now);
+        room.room->setRollouts({first}, room.now);
         CPPUNIT_ASSERT_EQUAL(0, serve());
-        room.room->rollouts({first, anew}, room.now);
+        room.room->setRollouts({first, anew}, room.now);
         CPPUNIT_ASSERT(room.room->totals("s", "v2").empty());
         CPPUNIT_ASSERT(serve() > 0);
         CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
-        room.room->rollouts({first, anew}, room.now);
+        room.room->setRollouts({first, anew}, room.now);
         CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
     }
 
@@ -287,7 +291,7 @@
             for (int at = 0; at < 200; ++at) {
                 auto request = room.begin(reading);
                 const auto sent = room.send(request);
-                ++where[sent == "-" ? sent : room.last->actor()->listed.version];
+                ++where[sent == "-" ? sent : room.last->host()->endpoint.version];
                 if (sent != "-") room.end(request, AttemptEvent::answered);
             }
             seen += what + ":";
@@ -302,9 +306,9 @@
         room.now += 3 * kSecond;
         see("in progress", room);
         room.rollout("in_progress", 1, 2);
-        see("rehearsal, within the share so far", room);
+        see("trial of all traffic, within the share so far", room);
         room.now += kSecond;
-        see("after the rehearsal", room);
+        see("after the trial of all traffic", room);
         room.rollout("in_progress", 2, 2);
         see("all traffic", room);
         room.rollout("completed", 2, 3);
@@ -332,7 +336,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("-"), room.send(other));
         room.list("p1");
         CPPUNIT_ASSERT_EQUAL(std::string("p1"), room.send(other));
-        room.end(other, AttemptEvent::elsewhere);
+        room.end(other, AttemptEvent::misdirected);
         auto third = room.begin(reading);
         CPPUNIT_ASSERT_EQUAL(std::string("-"), room.send(third));
     }
@@ -340,8 +344,8 @@
     // CONFIG: a proxy that wakes up, or hears an older control node, never goes back.
     void neverBack() {
         Room room;
-        room.room->take(bill("00000009", "t"));
-        room.room->take(bill("00000008"));
+        room.room->setConfiguration(bill("00000009", "t"));
+        room.room->setConfiguration(bill("00000008"));
         auto request = room.begin(reading);
         CPPUNIT_ASSERT_EQUAL(std::string("t"), request.service);
         CPPUNIT_ASSERT_EQUAL(9u, room.room->configuration()->version);
@@ -361,7 +365,7 @@
                 auto request = room.begin(writing);
                 const bool other = room.send(request)[0] == 'f';
                 others += at >= 1000 && other;
-                room.room->reported(*room.last->actor(), 3, other ? far : near, room.now);
+                room.room->onLoadReport(*room.last->host(), 3, other ? far : near, room.now);
                 room.end(request, AttemptEvent::answered);
             }
             seen += "waiting in the own zone " + std::to_string(near) + ", elsewhere " + std::to_string(far) +
@@ -395,8 +399,8 @@
     // A pod at which nothing is out owes nothing, however its last send ended: after its rest it is drawn
     // again like any other.
     void owesNothing() {
-        for (const auto end :
-             {AttemptEvent::unreached, AttemptEvent::cut, AttemptEvent::spoilt, AttemptEvent::overdue}) {
+        for (const auto end : {AttemptEvent::unreached, AttemptEvent::connectionLost, AttemptEvent::malformed,
+                               AttemptEvent::timedOut}) {
             Room room;
             auto failed = room.begin(writing);
             const auto pod = room.send(failed);
@@ -421,8 +425,8 @@
         room.now += 3 * kSecond;
         auto waits = room.begin(reading);
         room.send(waits);
-        for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!room.room->next(waits, room.now));
-        room.rollout("in_progress", 1, 2);  // the rehearsal: all, within the share so far
+        for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!room.room->nextAttempt(waits, room.now));
+        room.rollout("in_progress", 1, 2);  // the trial of all traffic: all, within the share so far
         int fresh = 0;
         for (int at = 0; at < 20; ++at) {
             auto request = room.begin(writing);
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -32,11 +32,11 @@
     explicit Stage(const std::string& routes = "") {
         boot.zone = "z", boot.budgetSlack = 20;
         router = std::make_unique<routing::Router>(boot, 1);
-        router->take(
+        router->setConfiguration(
             std::make_shared<config::Configuration>(config::Configuration::read(configuration(routes))));
-        router->company(1, now() - 10 * kSecond);
-        router->rollouts({}, now());
-        router->listed();
+        router->setProxyCount(1, now() - 10 * kSecond);
+        router->setRollouts({}, now());
+        router->setEndpointsKnown();
         upstream = std::make_unique<proxy::UpstreamClient>(io);
         front = std::make_unique<proxy::HttpServer>(io, *router, *upstream, [] { return true; });
         clients = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
@@ -71,7 +71,7 @@
     }
     void list(const std::string& name, const std::string& address, bool draining = false,
               const std::string& version = "v1") {
-        router->apply({0, {name, "s", address, "z", version, 2, draining, 0}, false}, now());
+        router->applyEndpointEvent({0, {name, "s", address, "z", version, 2, draining, 0}, false}, now());
     }
 
     // Sends bytes on a new connection and reads `answers` answers; tells whether it then ends.
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -95,9 +95,9 @@
     boot_.zone = "z", boot_.budgetSlack = slack;
     router = std::make_unique<routing::Router>(boot_, 1);
     limit(2048, 9'000'000);
-    router->company(1, now() - 10 * kSecond);
-    router->rollouts({}, now());
-    router->listed();
+    router->setProxyCount(1, now() - 10 * kSecond);
+    router->setRollouts({}, now());
+    router->setEndpointsKnown();
     upstream = std::make_unique<proxy::UpstreamClient>(proxyLoop);
     front = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
     clients_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
@@ -118,18 +118,18 @@
 
 void House::list(const std::string& pod, bool draining) {
     const auto address = "127.0.0.1:" + std::to_string(doors_.at(pod)->local_endpoint().port());
-    router->apply({0, {pod, "s", address, "z", "v1", 2, draining, 0}, false}, now());
+    router->applyEndpointEvent({0, {pod, "s", address, "z", "v1", 2, draining, 0}, false}, now());
 }
 
 void House::limit(int headerBytes, int bodyBytes) {
     const auto version = router->configuration() ? static_cast<int>(router->configuration()->version) + 1 : 1;
-    router->take(std::make_shared<config::Configuration>(
+    router->setConfiguration(std::make_shared<config::Configuration>(
         config::Configuration::read(configuration(version, headerBytes, bodyBytes))));
 }
 
 int House::inFlight() const {
     int all = 0;
-    for (const auto& [_, actor] : router->hosts()) all += actor->out;
+    for (const auto& [_, host] : router->hosts()) all += host->inFlight;
     return all;
 }
 
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -96,7 +96,7 @@
                 }
         CPPUNIT_ASSERT(!verdict::nextMove(0, {0, 0, 0}, 9000, 0, 16000));  // no voters: nobody said 'on'
         CPPUNIT_ASSERT(
-            !verdict::nextMove(1, {3, 3, 0}, 9000, 1399, 16000));  // the rehearsal is not judged yet
+            !verdict::nextMove(1, {3, 3, 0}, 9000, 1399, 16000));  // the trial of all traffic is not judged yet
         CPPUNIT_ASSERT(!verdict::nextMove(2, {3, 0, 0}, 9000, 2499, 16000));
         approve("verdict-stages", seen);
     }
