--- /dev/null
+++ b/src/proxy/control_plane_feed.cpp
@@ -0,0 +1,79 @@
+#include "proxy/control_plane_feed.hpp"
+
+#include "transport/compression.hpp"
+#include "transport/log.hpp"
+
+namespace lichenlanding::proxy {
+
+using namespace transport;
+using MessageSource = subscription::ConfigurationCache::MessageSource;
+using ContactChange = subscription::QuorumContact::Change;
+
+ControlPlaneFeed::ControlPlaneFeed(routing::Router& router, Listener listener)
+    : router_(router),
+      listener_(std::move(listener)),
+      cache_({[this](const std::string& compressed) { onConfiguration(compressed); },
+              [this](const std::string& text) {
+                  router_.setRollouts(messages::decodeRollouts(text), now());
+                  listener_.rollouts();
+              },
+              [this](const discovery::EndpointEvent& event) { router_.applyEndpointEvent(event, now()); }}) {}
+
+// Each message says whether its sender speaks, or was told, for a majority.
+void ControlPlaneFeed::onMessage(PeerConnection& from, const Json& message, bool fromControlNode) {
+    const bool sure = message.value(wire::kSure, true);
+    const auto& type = typeOf(message);
+    if (type != wire::kWant) {
+        if (fromControlNode) logContact(quorumContact_.heard(from.peer, sure, now()));
+        if (!quorumContact_.takes(sure, cache_.version() > 0, now())) return;
+    }
+    const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::neighbour;
+    cache_.heard(message, source, now(), [&](Json reply) {
+        if (typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.sure();
+        from.send(reply);
+    });
+    const bool confirms = type == wire::kConfiguration ||
+                          (type == wire::kDigest && message.at("configuration") <= cache_.version());
+    if (sure && cache_.version() > 0 && confirms) quorumContact_.holds(true);
+    // Proxies that turn from host to host together do so by the clock of who tells them the list, not by
+    // theirs.
+    if (fromControlNode && type == wire::kDigest && message.contains("clock"))
+        router_.setSharedClockOffset(message.at("clock").get<std::int64_t>() * kMillisecond - now());
+    if (cache_.listed()) router_.setEndpointsKnown();
+}
+
+void ControlPlaneFeed::onControlNodeLost(const std::string& controlNode) {
+    logContact(quorumContact_.onPeerDisconnected(controlNode, now()));
+}
+
+void ControlPlaneFeed::logContact(ContactChange change) const {
+    if (change == ContactChange::none) return;
+    log(change == ContactChange::unsure ? "news_unsure" : "news_sure",
+        {{"step", "news"},
+         {"configuration", config::formatVersion(cache_.version())},
+         {"held_sure", quorumContact_.sure()}});
+}
+
+Json ControlPlaneFeed::digest() const {
+    auto digest = cache_.digest();
+    digest[wire::kSure] = quorumContact_.sure();
+    return digest;
+}
+
+bool ControlPlaneFeed::isWaitOver() {
+    if (!quorumContact_.waited(cache_.version() > 0, now())) return false;
+    log("news_taken_unsure", {{"step", "news"}, {"waited_ms", quorumContact_.unsureWait / kMillisecond}});
+    return true;
+}
+
+void ControlPlaneFeed::onConfiguration(const std::string& compressed) {
+    try {
+        router_.setConfiguration(std::make_shared<const config::Configuration>(
+            config::Configuration::read(decompress(compressed))));
+    } catch (const std::exception& wrong) {
+        log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
+    }
+    listener_.configuration(router_.configuration() ? router_.configuration()->version : 0);
+}
+
+}  // namespace lichenlanding::proxy
--- /dev/null
+++ b/src/proxy/peer_messages.cpp
@@ -0,0 +1,60 @@
+#include "proxy/peer_messages.hpp"
+
+#include "messages/codec.hpp"
+
+namespace lichenlanding::proxy {
+
+const std::string& typeOf(const Json& message) { return message.at("t").get_ref<const std::string&>(); }
+
+Json encode(const ProxyHello& hello) {
+    return {{"t", wire::kHello},
+            {"kind", wire::kProxy},
+            {"name", hello.name},
+            {"at", hello.address},
+            {"life", hello.life}};
+}
+
+std::string peerKindOf(const Json& hello) { return hello.at("kind").get<std::string>(); }
+
+std::vector<std::string> controlNodesOf(const Json& hello) {
+    return hello.at("members").get<std::vector<std::string>>();
+}
+
+std::map<std::string, std::string> decodeRoster(const Json& roster) {
+    return roster.at("foyers").get<std::map<std::string, std::string>>();
+}
+
+Json encode(const OutcomeCounts& counts) {
+    return {{"t", wire::kCounts},        {"from", counts.from},
+            {"life", counts.life},       {"number", counts.number},
+            {"rollout", counts.rollout}, {"totals", messages::write(counts.totals)}};
+}
+
+OutcomeCounts decodeOutcomeCounts(const Json& message) {
+    return {message.at("from").get<std::string>(), message.at("life").get<std::uint64_t>(),
+            message.at("number").get<std::uint64_t>(), message.at("rollout").get<std::string>(),
+            messages::decodeTotals(message.at("totals"))};
+}
+
+Json encode(const Vote& vote) {
+    const auto& judgement = vote.judgement;
+    return {{"t", wire::kVote},
+            {"from", vote.from},
+            {"service", vote.service},
+            {"target", vote.target},
+            {"stage", vote.stage},
+            {"verdict", static_cast<int>(judgement.verdict)},
+            {"fresh", judgement.fresh},
+            {"earlier", judgement.earlier},
+            {"bad", judgement.bad},
+            {"lower", judgement.bounds.lowerChance},
+            {"upper", judgement.bounds.upperChance}};
+}
+
+Json encode(const PeerLost& lost) { return {{"t", wire::kPeerLost}, {"name", lost.name}}; }
+
+Json encode(const Acknowledgement& acknowledgement) {
+    return {{"t", wire::kAcknowledgement}, {"configuration", acknowledgement.version}};
+}
+
+}  // namespace lichenlanding::proxy
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -1,405 +1,220 @@
 #include "proxy/proxy.hpp"
 
-#include "hashing/rendezvous.hpp"
-#include "messages/codec.hpp"
+#include <random>
+
+#include "proxy/control_plane_feed.hpp"
+#include "proxy/fleet_membership.hpp"
 #include "proxy/http_server.hpp"
+#include "proxy/peer_connections.hpp"
 #include "proxy/readiness_server.hpp"
-#include "subscription/configuration_cache.hpp"
-#include "subscription/quorum_contact.hpp"
-#include "transport/compression.hpp"
+#include "proxy/rollout_voting.hpp"
 #include "transport/log.hpp"
-#include "transport/peer_connection.hpp"
-#include "verdict/stages.hpp"
 
 namespace lichenlanding::proxy {
 namespace {
 
 using namespace transport;
 
-constexpr Nanos kSweepEvery = 250 * kMillisecond;
-constexpr Nanos kTakeOnFor = 3000 * kMillisecond;   // after SIGTERM, until clients have been led away
-constexpr Nanos kLeaveBefore = 500 * kMillisecond;  // of the grace, kept back
-constexpr Nanos kAsleep = kSecond;                  // between two sweeps: the machine stood still
-constexpr Nanos kWakeWithin = 150 * kMillisecond;   // for news, after that
-
-struct Proxy {
-    explicit Proxy(const config::BootstrapSettings& boot_)
-        : boot(boot_),
-          seed(std::random_device{}()),
-          router(boot, seed),
-          upstream(io),
-          front(io, router, upstream, [this] { return awake(); }),
-          clients(listen(io, boot.front)),
-          probes(listen(io, boot.readiness)),
-          doors(listen(io, boot.internal(boot.ip))) {
-        std::random_device draw;
-        life = (static_cast<std::uint64_t>(draw()) << 32) | draw();
-        owner = std::make_shared<PeerConnection::Owner>();
-        owner->greet = [this](PeerConnection& link) { return greet(link); };
-        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](PeerConnection& link) { closed(link); };
-    }
-
-    // ---- Company: links to control nodes and to voters. ----
-
-    Json greet(PeerConnection&) const {
-        return {{"t", "hello"},
-                {"kind", "foyer"},
-                {"name", boot.name},
-                {"at", boot.internal(boot.ip)},
-                {"life", life}};
-    }
-
-    void dial(const std::string& address) {
-        auto& dialer = dialers[address];
-        if (dialer) return;
-        dialer = std::make_shared<Dialer>(io, address, owner);
-        dialer->go();
-    }
+constexpr Nanos kHousekeepingEvery = 250 * kMillisecond;
+constexpr Nanos kAcceptFor = 3000 * kMillisecond;       // after SIGTERM, until clients have been led away
+constexpr Nanos kExitBeforeGrace = 500 * kMillisecond;  // of the grace, kept back
+constexpr Nanos kDrainPollEvery = 30 * kMillisecond;
+constexpr Nanos kStandstillFrom = kSecond;  // between two housekeepings: the machine stood still
+constexpr Nanos kWaitAfterStandstill = 150 * kMillisecond;  // for news
+
+std::uint64_t drawLife() {
+    std::random_device draw;
+    const auto high = static_cast<std::uint64_t>(draw()) << 32;
+    return high | draw();
+}
 
-    void dialSeeds() {
-        for (const auto& seedAddress : boot.seeds) dial(boot.internal(hostOf(seedAddress)));
-    }
+// The program: it puts connections, clients and hosts around the pure modules.
+class Proxy {
+  public:
+    explicit Proxy(const config::BootstrapSettings& settings)
+        : settings_(settings),
+          seed_(std::random_device{}()),
+          life_(drawLife()),
+          router_(settings_, seed_),
+          upstream_(io_),
+          httpServer_(io_, router_, upstream_, [this] { return awake(); }),
+          clientAcceptor_(listen(io_, settings_.front)),
+          readinessAcceptor_(listen(io_, settings_.readiness)),
+          peerAcceptor_(listen(io_, settings_.internal(settings_.ip))),
+          fleet_(settings_),
+          connections_(io_, settings_, life_,
+                       {[this](PeerConnection& from, const Json& message) { onMessage(from, message); },
+                        [this](PeerConnection& connection) { onClosed(connection); }}),
+          voting_(io_, settings_, life_, router_, fleet_, connections_, [this] { updatePeers(); }),
+          feed_(router_, {[this](std::uint32_t version) {
+                              connections_.sendToControlNodes(encode(Acknowledgement{version}));
+                          },
+                          [this] {
+                              updatePeers();
+                              voting_.onRollouts();
+                          }}) {}
 
-    void heard(PeerConnection& link, const Json& message) {
-        const auto& kind = message.at("t").get_ref<const std::string&>();
-        const bool controlNode = link.kind == "prompter";
-        if (kind == "hello") {
-            link.kind = message.at("kind").get<std::string>();
-            if (link.kind == "prompter")
-                for (const auto& member : message.at("members")) dial(member.get<std::string>());
-            else link.pace(boot.heartbeat);
-        } else if (kind == "roster") {
-            rosters[link.peer] = message.at("foyers").get<std::map<std::string, std::string>>();
-            enrol();
-        } else if (kind == "counts") {
-            pool(message);
+    void run() {
+        onFleetChanged();
+        signals(
+            io_,
+            [this] {
+                if (std::exchange(stopping_, true)) return;
+                start(io_, "leave", drainAndStop());
+            },
+            [this] { reload(); });
+        log("start", {{"seed", seed_}, {"life", life_}});
+        connections_.dialSeeds();
+        start(io_, "links", connections_.serve(peerAcceptor_));
+        start(io_, "clients", httpServer_.serve(clientAcceptor_));
+        start(io_, "readiness", serveReadiness(io_, readinessAcceptor_, [this] { return ready(); }));
+        start(io_, "tend", housekeeping());
+        start(io_, "watch", watchPeers());
+        io_.run();
+    }
+
+  private:
+    // ---- Peers. ----
+
+    void onMessage(PeerConnection& from, const Json& message) {
+        const auto& type = typeOf(message);
+        if (type == wire::kRoster) {
+            fleet_.setRoster(from.peer, decodeRoster(message));
+            onFleetChanged();
+        } else if (type == wire::kCounts) {
+            voting_.onCounts(decodeOutcomeCounts(message));
         } else {
-            news(link, message, controlNode);
-        }
-    }
-
-    // What a proxy or a control node tells, or asks for. Each says whether it speaks, or was told, for a
-    // majority.
-    void news(PeerConnection& link, const Json& message, bool controlNode) {
-        using MessageSource = subscription::ConfigurationCache::MessageSource;
-        const bool sure = message.value("sure", true);
-        const auto& kind = message.at("t").get_ref<const std::string&>();
-        if (kind != "want") {
-            if (controlNode) reached(quorumContact.heard(link.peer, sure, now()));
-            if (!quorumContact.takes(sure, cache.version() > 0, now())) return;
+            feed_.onMessage(from, message, PeerConnections::isControlNode(from));
         }
-        cache.heard(message, controlNode ? MessageSource::controlNode : MessageSource::neighbour, now(),
-                    [&](Json reply) {
-                        if (reply.at("t") != "want") reply["sure"] = quorumContact.sure();
-                        link.send(reply);
-                    });
-        if (sure && cache.version() > 0 &&
-            (kind == "configuration" || (kind == "digest" && message.at("configuration") <= cache.version())))
-            quorumContact.holds(true);
-        // Proxies that turn from pod to pod together do so by the clock of who tells them the list, not by
-        // theirs.
-        if (controlNode && kind == "digest" && message.contains("clock"))
-            router.setSharedClockOffset(message.at("clock").get<std::int64_t>() * kMillisecond - now());
-        if (cache.listed()) router.setEndpointsKnown();
-    }
-
-    void reached(subscription::QuorumContact::Change change) {
-        using Change = subscription::QuorumContact::Change;
-        if (change == Change::none) return;
-        log(change == Change::unsure ? "news_unsure" : "news_sure",
-            {{"step", "news"},
-             {"configuration", config::formatVersion(cache.version())},
-             {"held_sure", quorumContact.sure()}});
-    }
-
-    Json digest() const {
-        auto told = cache.digest();
-        told["sure"] = quorumContact.sure();
-        return told;
-    }
-
-    void closed(PeerConnection& link) {
-        if (link.kind == "prompter") reached(quorumContact.onPeerDisconnected(link.peer, now()));
-        if (rosters.erase(link.peer) > 0) enrol();
-        for (const auto& name : watching)
-            if (const auto at = proxies.find(name);
-                at != proxies.end() && at->second == link.peer && link.kind == "foyer") {
-                log("neighbour_lost", {{"step", "watch"}, {"peer", name}});
-                const auto packed = PeerConnection::pack(Json{{"t", "lost"}, {"name", name}});
-                for (const auto& to : controlNodes()) to->send(packed);
-            }
     }
 
-    void take(const std::string& compressed) {
-        try {
-            router.setConfiguration(std::make_shared<const config::Configuration>(
-                config::Configuration::read(decompress(compressed))));
-        } catch (const std::exception& wrong) {
-            log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
+    void onClosed(PeerConnection& connection) {
+        if (PeerConnections::isControlNode(connection)) feed_.onControlNodeLost(connection.peer);
+        if (fleet_.removeRoster(connection.peer)) onFleetChanged();
+        if (!PeerConnections::isProxy(connection)) return;
+        for (const auto& name : fleet_.watched()) {
+            const auto at = fleet_.proxies().find(name);
+            if (at == fleet_.proxies().end() || at->second != connection.peer) continue;
+            log("neighbour_lost", {{"step", "watch"}, {"peer", name}});
+            connections_.sendToControlNodes(encode(PeerLost{name}));
         }
-        const auto version = router.configuration() ? router.configuration()->version : 0;
-        const auto packed = PeerConnection::pack(Json{{"t", "ack"}, {"configuration", version}});
-        for (const auto& link : controlNodes()) link->send(packed);
-    }
-
-    static std::vector<std::shared_ptr<PeerConnection>> open(
-        const std::map<std::string, std::shared_ptr<Dialer>>& all, const char* kind) {
-        std::vector<std::shared_ptr<PeerConnection>> links;
-        for (const auto& [_, dialer] : all)
-            if (auto link = dialer->link(); link && link->kind == kind) links.push_back(link);
-        return links;
     }
-    std::vector<std::shared_ptr<PeerConnection>> controlNodes() const { return open(dialers, "prompter"); }
 
-    // Who there is, by the control nodes reached; what was last known while none is.
-    void enrol() {
-        if (!rosters.empty() || proxies.empty()) proxies.clear();
-        for (const auto& [_, roster] : rosters) proxies.insert(roster.begin(), roster.end());
-        proxies[boot.name] = boot.internal(boot.ip);
-        router.setProxyCount(proxies.size(), now());
-        std::vector<std::string> names;
-        for (const auto& [name, _] : proxies) names.push_back(name);
-        watching = hashing::watched(std::move(names), boot.name);
-        keepPeers();
+    void onFleetChanged() {
+        router_.setProxyCount(fleet_.proxies().size(), now());
+        updatePeers();
     }
 
-    // Links to other proxies: to those watched, and while an order runs to its voters.
-    void keepPeers() {
-        std::set<std::string> wanted;
-        for (const auto& name : watching) wanted.insert(proxies.at(name));
-        for (const auto& rollout : router.rollouts())
-            if (rollout.running())
-                for (const auto& voter : votersOf(rollout))
-                    if (voter != boot.name) wanted.insert(proxies.at(voter));
-        std::erase_if(peers, [&](const auto& peer) {
-            const bool drop = !wanted.contains(peer.first);
-            if (drop) peer.second->stop();
-            return drop;
-        });
-        for (const auto& address : wanted) {
-            auto& dialer = peers[address];
-            if (dialer) continue;
-            dialer = std::make_shared<Dialer>(io, address, owner);
-            dialer->go();
+    // Connections to other proxies: to those watched, and while a rollout runs to its voters.
+    void updatePeers() {
+        std::set<std::string> addresses;
+        for (const auto& name : fleet_.watched()) addresses.insert(fleet_.proxies().at(name));
+        for (const auto& rollout : router_.rollouts()) {
+            if (!rollout.running()) continue;
+            for (const auto& voter : fleet_.votersOf(rollout))
+                if (voter != settings_.name) addresses.insert(fleet_.proxies().at(voter));
         }
+        connections_.setPeers(addresses);
     }
 
     // Neighbours compare what they hold.
-    Task<> watch() {
+    Task<> watchPeers() {
         for (;;) {
-            co_await sleep(boot.heartbeat);
-            const auto packed = PeerConnection::pack(digest());
-            for (const auto& name : watching)
-                if (const auto peer = peers.find(proxies.at(name)); peer != peers.end())
-                    if (const auto link = peer->second->link()) link->send(packed);
+            co_await sleep(settings_.heartbeat);
+            const auto packed = PeerConnection::pack(feed_.digest());
+            for (const auto& name : fleet_.watched())
+                if (const auto connection = connections_.peer(fleet_.proxies().at(name)))
+                    connection->send(packed);
         }
     }
 
-    // ---- Rollouts: totals to voters, judgements of our own. ----
-
-    std::vector<std::string> votersOf(const messages::Rollout& rollout) const {
-        std::vector<std::string> names;
-        for (const auto& [name, _] : proxies) names.push_back(name);
-        return hashing::chosen(names, rollout.service + "\n" + rollout.target, verdict::kVoterCount);
-    }
-
-    void watchRollouts() {
-        keepPeers();
-        const auto& all = router.rollouts();
-        const bool running =
-            std::any_of(all.begin(), all.end(), [](const auto& one) { return one.running(); });
-        if (!running || counting) return;
-        counting = true;
-        start(io, "counts", count());
-    }
-
-    Task<> count() {
-        Nanos told = 0;
-        std::uint64_t badTold = 0;
-        for (bool running = true; running;) {
-            co_await sleep(verdict::kUrgentEvery);
-            const bool due = now() - told >= verdict::kCountsEvery || router.canaryFailures() > badTold;
-            running = false;
-            for (const auto& rollout : router.rollouts()) {
-                if (!rollout.running()) continue;
-                running = true;
-                if (due) tell(rollout);
-                judge(rollout);
-            }
-            if (due) told = now(), badTold = router.canaryFailures();
-        }
-        counting = false;
-        pools.clear();
-        keepPeers();
-    }
+    // ---- Readiness, timeouts, standstills. ----
 
-    void tell(const messages::Rollout& rollout) {
-        const auto& totals = router.totals(rollout.service, rollout.target);
-        const auto key = rollout.service + "\n" + rollout.target;
-        ++counted;
-        std::shared_ptr<const std::string> packed;
-        for (const auto& voter : votersOf(rollout)) {
-            if (voter == boot.name) {
-                pools[key].take(boot.name, life, counted, totals);
-                continue;
-            }
-            const auto peer = peers.find(proxies.at(voter));
-            if (peer == peers.end()) continue;
-            if (!packed)
-                packed = PeerConnection::pack(Json{{"t", "counts"},
-                                                   {"from", boot.name},
-                                                   {"life", life},
-                                                   {"number", counted},
-                                                   {"rollout", key},
-                                                   {"totals", messages::write(totals)}});
-            if (auto link = peer->second->link()) link->send(packed);
+    bool ready() const { return !stopping_ && router_.ready(); }
+    // After a standstill what is known may be old: requests wait a moment for a control node's word.
+    bool awake() const { return now() - lastHousekeeping_ < kStandstillFrom && now() >= doubtUntil_; }
+
+    Task<> housekeeping() {
+        for (bool wasReady = false;;) {
+            co_await sleep(kHousekeepingEvery);
+            noticeStandstill();
+            if (feed_.isWaitOver()) connections_.sendToControlNodes(feed_.digest());
+            httpServer_.enforceTimeouts(now());
+            upstream_.closeExpired(now());
+            if (ready() == wasReady) continue;
+            wasReady = ready();
+            logReadiness();
         }
     }
 
-    void pool(const Json& message) {
-        pools[message.at("rollout").get<std::string>()].take(
-            message.at("from").get<std::string>(), message.at("life").get<std::uint64_t>(),
-            message.at("number").get<std::uint64_t>(), messages::decodeTotals(message.at("totals")));
+    void noticeStandstill() {
+        const Nanos gap = now() - std::exchange(lastHousekeeping_, now());
+        if (gap <= kStandstillFrom) return;
+        doubtUntil_ = now() + kWaitAfterStandstill;
+        log("woke", {{"stood_ms", gap / kMillisecond}});
     }
 
-    void judge(const messages::Rollout& rollout) {
-        const auto chosen = votersOf(rollout);
-        if (std::find(chosen.begin(), chosen.end(), boot.name) == chosen.end()) return;
-        const auto key = rollout.service + "\n" + rollout.target;
-        auto& next = judgeNext[key];
-        if (now() < next) return;
-        next = now() + verdict::kJudgeEvery;
-        const auto judged = verdict::judge(pools[key].sum(), chance);
-        const Json vote{{"t", "vote"},
-                        {"from", boot.name},
-                        {"service", rollout.service},
-                        {"target", rollout.target},
-                        {"stage", rollout.stage},
-                        {"verdict", static_cast<int>(judged.verdict)},
-                        {"fresh", judged.fresh},
-                        {"earlier", judged.earlier},
-                        {"bad", judged.bad},
-                        {"lower", judged.bounds.lowerChance},
-                        {"upper", judged.bounds.upperChance}};
-        const auto packed = PeerConnection::pack(vote);
-        for (const auto& link : controlNodes()) link->send(packed);
+    void logReadiness() const {
+        const auto& configuration = router_.configuration();
+        log(ready() ? "ready" : "unready",
+            {{"configuration", configuration ? config::formatVersion(configuration->version) : ""},
+             {"pods", router_.hosts().size()},
+             {"foyers", fleet_.proxies().size()},
+             {"leaving", stopping_}});
     }
 
-    // ---- Readiness, stopping, small change. ----
+    // ---- Signals. ----
 
-    bool ready() const { return !leaving && router.ready(); }
-    // After a standstill what is known may be old: requests wait a moment for a control node's word.
-    bool awake() const { return now() - turned < kAsleep && now() >= doubtUntil; }
-
-    Task<> tend() {
-        for (bool was = false;;) {
-            co_await sleep(kSweepEvery);
-            if (const Nanos gap = now() - std::exchange(turned, now()); gap > kAsleep) {
-                doubtUntil = now() + kWakeWithin;
-                log("woke", {{"stood_ms", gap / kMillisecond}});
-            }
-            if (quorumContact.waited(cache.version() > 0, now())) {
-                log("news_taken_unsure",
-                    {{"step", "news"}, {"waited_ms", quorumContact.unsureWait / kMillisecond}});
-                const auto packed = PeerConnection::pack(digest());
-                for (const auto& link : controlNodes()) link->send(packed);
-            }
-            front.sweep(now());
-            upstream.sweep(now());
-            if (ready() != was) {
-                was = ready();
-                log(was ? "ready" : "unready",
-                    {{"configuration",
-                      router.configuration() ? config::formatVersion(router.configuration()->version) : ""},
-                     {"pods", router.hosts().size()},
-                     {"foyers", proxies.size()},
-                     {"leaving", leaving}});
-            }
-        }
-    }
-
-    Task<> leave() {
-        const Nanos began = now(), end = began + boot.grace - kLeaveBefore;
-        log("leaving", {{"open", front.open()}});
-        front.drain();
-        co_await sleep(std::min(kTakeOnFor, boot.grace / 2));
+    Task<> drainAndStop() {
+        const Nanos end = now() + settings_.grace - kExitBeforeGrace;
+        log("leaving", {{"open", httpServer_.openConnections()}});
+        httpServer_.drain();
+        co_await sleep(std::min(kAcceptFor, settings_.grace / 2));
         ErrorCode ignored;
-        clients.close(ignored);
-        while (front.open() > 0 && now() < end) {
-            front.closeIdle();
-            co_await sleep(30 * kMillisecond);
+        clientAcceptor_.close(ignored);
+        while (httpServer_.openConnections() > 0 && now() < end) {
+            httpServer_.closeIdle();
+            co_await sleep(kDrainPollEvery);
         }
-        log("left", {{"open", front.open()},
-                     {"served", front.served},
-                     {"refused", front.refused},
-                     {"failed", front.failed}});
-        io.stop();
+        const auto& stats = httpServer_.stats();
+        log("left", {{"open", httpServer_.openConnections()},
+                     {"served", stats.served},
+                     {"refused", stats.rejected},
+                     {"failed", stats.failed}});
+        io_.stop();
     }
 
     void reload() {
         try {
-            boot = config::BootstrapSettings::fromEnvironment();
-            dialSeeds();
+            settings_ = config::BootstrapSettings::fromEnvironment();
+            connections_.dialSeeds();
             log("settings_read", {});
         } catch (const std::exception& wrong) {
             log("settings_refused", {{"step", "reload"}, {"error", wrong.what()}});
         }
     }
 
-    void run() {
-        enrol();
-        signals(
-            io,
-            [this] {
-                if (std::exchange(leaving, true)) return;
-                start(io, "leave", leave());
-            },
-            [this] { reload(); });
-        log("start", {{"seed", seed}, {"life", life}});
-        dialSeeds();
-        start(io, "links", servePeerConnections(io, doors, owner));
-        start(io, "clients", front.serve(clients));
-        start(io, "readiness", serveReadiness(io, probes, [this] { return ready(); }));
-        start(io, "tend", tend());
-        start(io, "watch", watch());
-        io.run();
-    }
-
-    config::BootstrapSettings boot;
-    asio::io_context io{1};
-    std::uint32_t seed;
-    std::uint64_t life = 0, counted = 0;
-    routing::Router router;
-    UpstreamClient upstream;
-    HttpServer front;
-    tcp::acceptor clients, probes, doors;
-    std::shared_ptr<PeerConnection::Owner> owner;
-    std::map<std::string, std::shared_ptr<Dialer>> dialers, peers;  // by address: control nodes, proxies
-    std::map<std::string, std::map<std::string, std::string>>
-        rosters;  // by control node: proxies and addresses
-    std::map<std::string, std::string> proxies;
-    std::map<std::string, verdict::Pool> pools;
-    std::map<std::string, Nanos> judgeNext;
-    std::mt19937 chance{std::random_device{}()};
-    subscription::ConfigurationCache cache{
-        {[this](const std::string& compressed) { take(compressed); },
-         [this](const std::string& text) {
-             router.setRollouts(messages::decodeRollouts(text), now());
-             watchRollouts();
-         },
-         [this](const discovery::EndpointEvent& event) { router.applyEndpointEvent(event, now()); }}};
-    subscription::QuorumContact quorumContact;
-    std::vector<std::string> watching;  // proxies
-    Nanos turned = now(), doubtUntil = 0;
-    bool leaving = false, counting = false;
+    config::BootstrapSettings settings_;
+    asio::io_context io_{1};
+    const std::uint32_t seed_;
+    const std::uint64_t life_;  // tells this start from earlier ones
+    routing::Router router_;
+    UpstreamClient upstream_;
+    HttpServer httpServer_;
+    tcp::acceptor clientAcceptor_, readinessAcceptor_, peerAcceptor_;
+    FleetMembership fleet_;
+    PeerConnections connections_;
+    RolloutVoting voting_;
+    ControlPlaneFeed feed_;
+    Nanos lastHousekeeping_ = now(), doubtUntil_ = 0;
+    bool stopping_ = false;
 };
 
 }  // namespace
 
-void run(const config::BootstrapSettings& boot) {
-    openLog(boot.name);
-    Proxy(boot).run();
+void run(const config::BootstrapSettings& settings) {
+    openLog(settings.name);
+    Proxy(settings).run();
 }
 
 }  // namespace lichenlanding::proxy
--- /dev/null
+++ b/src/proxy/rollout_voting.cpp
@@ -0,0 +1,95 @@
+#include "proxy/rollout_voting.hpp"
+
+#include <algorithm>
+
+#include "verdict/stages.hpp"
+
+namespace lichenlanding::proxy {
+
+using namespace transport;
+
+namespace {
+
+std::string keyOf(const messages::Rollout& rollout) { return rollout.service + "\n" + rollout.target; }
+
+}  // namespace
+
+RolloutVoting::RolloutVoting(asio::io_context& io, const config::BootstrapSettings& settings,
+                             std::uint64_t life, routing::Router& router, const FleetMembership& fleet,
+                             const PeerConnections& connections, std::function<void()> onEnded)
+    : io_(io),
+      settings_(settings),
+      life_(life),
+      router_(router),
+      fleet_(fleet),
+      connections_(connections),
+      onEnded_(std::move(onEnded)) {}
+
+void RolloutVoting::onRollouts() {
+    const auto& all = router_.rollouts();
+    const bool running =
+        std::any_of(all.begin(), all.end(), [](const auto& rollout) { return rollout.running(); });
+    if (!running || counting_) return;
+    counting_ = true;
+    start(io_, "counts", countWhileRunning());
+}
+
+// Totals go out every kCountsEvery, and sooner once failures of a canary have come.
+Task<> RolloutVoting::countWhileRunning() {
+    Nanos lastSent = 0;
+    std::uint64_t failuresSent = 0;
+    for (bool running = true; running;) {
+        co_await sleep(verdict::kUrgentEvery);
+        const bool due = now() - lastSent >= verdict::kCountsEvery || router_.canaryFailures() > failuresSent;
+        running = false;
+        for (const auto& rollout : router_.rollouts()) {
+            if (!rollout.running()) continue;
+            running = true;
+            if (due) sendCounts(rollout);
+            judge(rollout);
+        }
+        if (!due) continue;
+        lastSent = now();
+        failuresSent = router_.canaryFailures();
+    }
+    counting_ = false;
+    pools_.clear();
+    onEnded_();
+}
+
+void RolloutVoting::sendCounts(const messages::Rollout& rollout) {
+    const auto& totals = router_.totals(rollout.service, rollout.target);
+    const auto key = keyOf(rollout);
+    ++sentCounts_;
+    EncodedMessage packed;
+    for (const auto& voter : fleet_.votersOf(rollout)) {
+        if (voter == settings_.name) {
+            pools_[key].take(settings_.name, life_, sentCounts_, totals);
+            continue;
+        }
+        const auto connection = connections_.peer(fleet_.proxies().at(voter));
+        if (!connection) continue;
+        if (!packed)
+            packed =
+                PeerConnection::pack(encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
+        connection->send(packed);
+    }
+}
+
+void RolloutVoting::onCounts(OutcomeCounts counts) {
+    pools_[counts.rollout].take(counts.from, counts.life, counts.number, std::move(counts.totals));
+}
+
+void RolloutVoting::judge(const messages::Rollout& rollout) {
+    const auto voters = fleet_.votersOf(rollout);
+    if (std::find(voters.begin(), voters.end(), settings_.name) == voters.end()) return;
+    const auto key = keyOf(rollout);
+    auto& next = nextJudgement_[key];
+    if (now() < next) return;
+    next = now() + verdict::kJudgeEvery;
+    const auto judgement = verdict::judge(pools_[key].sum(), chance_);
+    connections_.sendToControlNodes(
+        encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, judgement}));
+}
+
+}  // namespace lichenlanding::proxy
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -245,9 +245,9 @@
         for (const bool reset : {true, false})
             for (std::size_t cut = 0; cut < whole.size(); ++cut) {
                 const auto client = house.client(whole.substr(0, cut), {"part"});
-                house.until([&] { return house.front->open() == 1; });
+                house.until([&] { return house.front->openConnections() == 1; });
                 House::leave(client, reset);
-                house.until([&] { return house.front->open() == 0; });
+                house.until([&] { return house.front->openConnections() == 0; });
                 CPPUNIT_ASSERT_EQUAL(0, house.arrivals["part"]);
             }
         int number = 0;
@@ -266,7 +266,7 @@
                 CPPUNIT_ASSERT_EQUAL(1, house.runs[id]);
                 House::leave(client, false);
             }
-        house.until([&] { return house.front->open() == 0; });
+        house.until([&] { return house.front->openConnections() == 0; });
     }
 
     // Requests sent ahead, whose pods answer in any order, break off or answer for another.
@@ -382,7 +382,7 @@
         CPPUNIT_ASSERT_EQUAL(0, house.arrivals["left"]);
         CPPUNIT_ASSERT(call->attempt->state() == routing::AttemptState::unsent);
         house.router->onAttemptEnded(way, *call->attempt, call->end, 0, 0, now());
-        CPPUNIT_ASSERT_EQUAL(503, house.router->localReply(way).status);
+        CPPUNIT_ASSERT_EQUAL(503, house.router->localReply(way).status());
         house.quiet();
     }
 
@@ -450,10 +450,11 @@
             House house(each({ok()}));
             const auto client = house.client(upload.substr(0, cut), {"once"});
             // What is too large to hold is at a pod already, in part.
-            house.until(
-                [&] { return house.front->open() == 1 && (cut < 300'000 || !house.connections.empty()); });
+            house.until([&] {
+                return house.front->openConnections() == 1 && (cut < 300'000 || !house.connections.empty());
+            });
             House::leave(client, true);
-            house.until([&] { return house.front->open() == 0; });
+            house.until([&] { return house.front->openConnections() == 0; });
             house.quiet();
             CPPUNIT_ASSERT_EQUAL(0, house.runs["once"]);
         }
@@ -519,7 +520,7 @@
         house.answered(client);
         house.quiet();
         const auto answered = now();
-        house.front->sweep(answered + 15 * kSecond - 20 * kMillisecond);
+        house.front->enforceTimeouts(answered + 15 * kSecond - 20 * kMillisecond);
         house.write(client, post("next"), {"next"});
         house.until([&] { return house.arrivals["next"] == 1; });
         house.release("A", "next");
@@ -527,13 +528,13 @@
         house.quiet();
         house.write(client, post("thrd"), {"thrd"});
         house.standStill(5 * kMillisecond);  // the bytes are there, the proxy hasn't looked
-        house.front->sweep(now() + 60 * kSecond), house.front->closeIdle();
+        house.front->enforceTimeouts(now() + 60 * kSecond), house.front->closeIdle();
         house.until([&] { return house.arrivals["thrd"] == 1; });
         house.release("A", "thrd");
         house.answered(client, 3);
         house.quiet();
         CPPUNIT_ASSERT_EQUAL(200, client->answers().at(2).status);
-        house.front->sweep(now() + 16 * kSecond);
+        house.front->enforceTimeouts(now() + 16 * kSecond);
         house.until([&] { return client->ended; });
     }
 
@@ -566,12 +567,12 @@
         const auto began = now();
         house.until([&] { return client->got.size() > 200'000 && gone->got.size() > 200'000; });
         House::leave(gone, false);
-        house.front->sweep(began + 19'900 * kMillisecond);
+        house.front->enforceTimeouts(began + 19'900 * kMillisecond);
         while (house.proxyLoop.poll() + house.worldLoop.poll() > 0) {
         }
         CPPUNIT_ASSERT(!client->ended);
-        house.front->sweep(now() + 20'100 * kMillisecond);
-        house.until([&] { return client->ended && house.front->open() == 0; });
+        house.front->enforceTimeouts(now() + 20'100 * kMillisecond);
+        house.until([&] { return client->ended && house.front->openConnections() == 0; });
         house.until([&] { return house.open["A"] + house.open["B"] == 0; });
         CPPUNIT_ASSERT(!client->answers().at(0).whole);
         house.quiet();
@@ -666,8 +667,8 @@
         const auto refused = resting->answers().at(0);
         CPPUNIT_ASSERT_EQUAL(503, refused.status);
         CPPUNIT_ASSERT(refused.close && !refused.retryAfter.empty());
-        house.front->sweep(now() + kSecond);  // the clients don't close: it lingers no longer
-        house.until([&] { return house.front->open() == 0; });
+        house.front->enforceTimeouts(now() + kSecond);  // the clients don't close: it lingers no longer
+        house.until([&] { return house.front->openConnections() == 0; });
     }
 
     // While the last answer of a draining connection is on its way, its client sends more: that is not run,
@@ -698,7 +699,7 @@
         CPPUNIT_ASSERT(answers.size() == 1 && answers[0].whole && answers[0].close);
         CPPUNIT_ASSERT_EQUAL(0, house.arrivals["more"] + house.arrivals["evry"]);
         House::leave(client, false);
-        house.until([&] { return house.front->open() == 0; });
+        house.until([&] { return house.front->openConnections() == 0; });
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(TriesTest);
--- a/tests/proxy/http_server.cpp
+++ b/tests/proxy/http_server.cpp
@@ -205,15 +205,15 @@
             half.connect(stage.clients->local_endpoint());
             const auto bytes = Stage::post("1", "whole").substr(0, Stage::post("1", "whole").size() - 2);
             asio::write(half, asio::buffer(bytes));
-            stage.until([&] { return stage.front->open() == 1; });
+            stage.until([&] { return stage.front->openConnections() == 1; });
             half.close();
-            stage.until([&] { return stage.front->open() == 0; });
+            stage.until([&] { return stage.front->openConnections() == 0; });
         }
         CPPUNIT_ASSERT_EQUAL(std::string(), stage.podsSaw());
         // Leaving as a proxy: what is read is answered, the answer ends the connection.
         stage.front->drain();
         const auto seen = stage.client(Stage::get("2"), 1, true);
-        stage.until([&] { return stage.front->open() == 0; });
+        stage.until([&] { return stage.front->openConnections() == 0; });
         approve("front-leaving", told("half a body, then a request while the foyer leaves", stage, seen));
     }
 
@@ -228,12 +228,12 @@
         deaf.connect(stage.clients->local_endpoint());
         asio::write(deaf,
                     asio::buffer(Stage::get("1") + Stage::get("2") + Stage::get("3") + Stage::get("4")));
-        stage.until([&] { return stage.arrivals.size() == 4 && stage.front->served == 4; });
+        stage.until([&] { return stage.arrivals.size() == 4 && stage.front->stats().served == 4; });
         stage.settle();
         const auto seen = stage.client(Stage::get("5"), 1);
         CPPUNIT_ASSERT(seen.find("small") != seen.npos);
-        stage.front->sweep(now() + 11 * kSecond);
-        stage.until([&] { return stage.front->open() <= 1; });
+        stage.front->enforceTimeouts(now() + 11 * kSecond);
+        stage.until([&] { return stage.front->openConnections() <= 1; });
     }
 
     // Bodies too large to hold pass through in blocks, both ways, by length and in chunks; one that breaks
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -114,7 +114,7 @@
                 if (second_ != "-") room.end(request, end);
                 const auto refusal = room.room->localReply(request);
                 seen += std::string(kind) + " " + name + ": beside " + (beside ? "yes" : "no") + ", again " +
-                        (second_ == "-" ? "no" : "yes") + ", then " + std::to_string(refusal.status) +
+                        (second_ == "-" ? "no" : "yes") + ", then " + std::to_string(refusal.status()) +
                         (refusal.retryAfter > 0 ? " come back" : "") + "\n";
             }
         approve("router-retries", seen);
@@ -140,7 +140,7 @@
             int attempts = 0;
             for (; room.send(nobody) != "-"; ++attempts) room.end(nobody, AttemptEvent::unreached);
             CPPUNIT_ASSERT_EQUAL(5, attempts);
-            CPPUNIT_ASSERT_EQUAL(503, room.room->localReply(nobody).status);
+            CPPUNIT_ASSERT_EQUAL(503, room.room->localReply(nobody).status());
         }
     }
 
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -183,7 +183,7 @@
 }
 
 void House::judge() const {
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("ends out of order", std::uint64_t{0}, front->outOfOrder);
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("ends out of order", std::uint64_t{0}, front->stats().invalidTransitions);
     for (const auto& [id, count] : runs)
         CPPUNIT_ASSERT_MESSAGE("TWICE: " + id + " was run " + std::to_string(count) + " times",
                                count <= 1 || repeatable.contains(id));
