--- a/src/scale_test/hollow.cpp
+++ b/src/scale_test/hollow.cpp
@@ -7,13 +7,10 @@
 #include <boost/asio/streambuf.hpp>
 #include <cstdio>
 #include <istream>
-#include <random>
 
-#include "hashing/rendezvous.hpp"
-#include "subscription/configuration_cache.hpp"
-#include "subscription/quorum_contact.hpp"
+#include "scale_test/facts.hpp"
+#include "scale_test/hollow_proxy.hpp"
 #include "transport/log.hpp"
-#include "transport/peer_connection.hpp"
 
 namespace lichenlanding::scale_test {
 namespace {
@@ -21,264 +18,50 @@
 using namespace transport;
 
 constexpr Nanos kTallyEvery = 200 * kMillisecond;
-constexpr Nanos kAwayFor = 500 * kMillisecond;  // a restart
+constexpr Nanos kRestartTakes = 500 * kMillisecond;
+constexpr std::int64_t kProxiesOfNetwork = 200;
 
-void fact(const char* what, Json about) {
-    about["fact"] = what;
-    if (!about.contains("ns")) about["ns"] = now();
-    std::fprintf(stderr, "%s\n", about.dump().c_str());
-}
-
-// Messages of all proxies of this process, by the kind of the other side and their own.
-struct Tally {
-    std::map<std::string, std::map<std::string, std::uint64_t>> heard, sent;
-};
-
-// Who there is, by name and address. All proxies of a process are told the same many times over, so what is
-// worked out of it is kept once for all: a process of them has one thread where each proxy has its own
-// machine.
-struct Roster {
-    std::uint64_t sum = 0;
-    std::map<std::string, std::string> proxies;
-};
-
-struct Room {
-    asio::io_context& io;
-    const Json& told;
-    Tally tally;
-    std::mt19937_64 chance{std::random_device{}()};
-    std::map<std::uint64_t, std::weak_ptr<const Roster>> rosters{};  // by a hash over all of it
-
-    std::shared_ptr<const Roster> roster(const Json& proxies) {
-        std::uint64_t sum = proxies.size();
-        for (const auto& [name, address] : proxies.items())
-            sum += hashing::hash(name, address.get_ref<const std::string&>());
-        auto& kept = rosters[sum];
-        auto same = kept.lock();
-        if (!same) {
-            Roster made{sum, {}};
-            proxies.get_to(made.proxies);
-            kept = same = std::make_shared<const Roster>(std::move(made));
-        }
-        std::erase_if(rosters, [](const auto& one) { return one.second.expired(); });
-        return same;
-    }
+struct NumberedProxy {
+    std::int64_t number = 0;
+    std::shared_ptr<HollowProxy> proxy;
 };
+using ProxiesByName = std::map<std::string, NumberedProxy>;
 
-class HollowProxy : public std::enable_shared_from_this<HollowProxy> {
-  public:
-    HollowProxy(Room& room, std::int64_t n) : room_(room), name_(hollowName(n)), ip_(hollowAddress(n)) {}
-
-    void open() {
-        const auto self = shared_from_this();
-        owner_ = std::make_shared<PeerConnection::Owner>();
-        owner_->greet = [self](PeerConnection& link) { return self->greet(link); };
-        owner_->heard = [self](PeerConnection& link, const Json& message) {
-            if (!self->left_) self->heard(link, message);
-        };
-        owner_->closed = [self](PeerConnection& link) {
-            if (!self->left_) self->closed(link);
-        };
-        door_ = std::make_unique<tcp::acceptor>(listen(room_.io, at(ip_)));
-        enrol();
-        for (const auto& seed : room_.told.at("seeds")) dial(seed.get<std::string>());
-        start(room_.io, "links", servePeerConnections(room_.io, *door_, owner_));
-        start(room_.io, "watch", watch(self));
-    }
-
-    void leave() {
-        left_ = true;
-        ErrorCode ignored;
-        door_->close(ignored);
-        for (const auto* all : {&dialers_, &peers_})
-            for (const auto& [_, dialer] : *all) dialer->stop();
-        for (const auto& one : links_)
-            if (const auto link = one.lock()) link->close();
-    }
-
-  private:
-    std::string at(const std::string& ip) const {
-        return ip + ":" + std::to_string(room_.told.at("port").get<int>());
-    }
-
-    void send(PeerConnection& link, const Json& message) {
-        count(room_.tally.sent, link, message);
-        link.send(message);
-    }
-    static void count(std::map<std::string, std::map<std::string, std::uint64_t>>& in,
-                      const PeerConnection& link, const Json& message) {
-        ++in[link.kind.empty() ? "new" : link.kind][message.at("t").get<std::string>()];
-    }
-
-    Json greet(PeerConnection& link) {
-        std::erase_if(links_, [](const auto& one) { return one.expired(); });
-        links_.push_back(link.weak_from_this());
-        return {{"t", "hello"}, {"kind", "foyer"}, {"name", name_}, {"at", at(ip_)}, {"life", life_}};
-    }
-
-    void dial(const std::string& address) {
-        auto& dialer = dialers_[address];
-        if (dialer || left_) return;
-        dialer = std::make_shared<Dialer>(room_.io, address, owner_);
-        dialer->go();
-    }
-
-    void heard(PeerConnection& link, const Json& message) {
-        const auto& kind = message.at("t").get_ref<const std::string&>();
-        if (kind == "hello") {
-            link.kind = message.at("kind").get<std::string>();
-            if (link.kind == "prompter") {
-                fact("link", {{"name", name_}, {"to", link.peer}, {"open", true}});
-                for (const auto& member : message.at("members")) dial(member.get<std::string>());
-            } else {
-                link.pace(room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
-            }
-        }
-        count(room_.tally.heard, link, message);
-        if (kind == "roster") {
-            rosters_[link.peer] = room_.roster(message.at("foyers"));
-            enrol();
-        } else if (kind != "hello") {
-            news(link, message, kind);
-        }
-        if (std::exchange(configurationNew_, false)) took();
-        if (!ready_ && cache_.listed() && cache_.version() > 0 && rolloutsKnown_) {
-            ready_ = true;
-            fact("ready", {{"name", name_}, {"pods", cache_.endpoints().members().size()}});
-        }
-    }
-
-    void news(PeerConnection& link, const Json& message, const std::string& kind) {
-        using MessageSource = subscription::ConfigurationCache::MessageSource;
-        const bool controlNode = link.kind == "prompter", sure = message.value("sure", true);
-        if (kind != "want") {
-            if (controlNode) confidence_.heard(link.peer, sure, now());
-            if (!confidence_.takes(sure, cache_.version() > 0, now())) return;
-        }
-        cache_.heard(message, controlNode ? MessageSource::controlNode : MessageSource::neighbour, now(),
-                     [&](Json reply) {
-                         if (reply.at("t") != "want") reply["sure"] = confidence_.sure();
-                         send(link, reply);
-                     });
-        if (sure && cache_.version() > 0 &&
-            (kind == "configuration" ||
-             (kind == "digest" && message.at("configuration") <= cache_.version())))
-            confidence_.holds(true);
-    }
-
-    void closed(PeerConnection& link) {
-        if (link.kind == "prompter") confidence_.onPeerDisconnected(link.peer, now());
-        if (link.kind == "prompter") fact("link", {{"name", name_}, {"to", link.peer}, {"open", false}});
-        if (rosters_.erase(link.peer) > 0) enrol();
-        if (link.kind != "foyer") return;
-        for (const auto& [name, address] : watching_)
-            if (address == link.peer) tell({{"t", "lost"}, {"name", name}});
-    }
-
-    void tell(const Json& message) {
-        for (const auto& [_, dialer] : dialers_)
-            if (const auto link = dialer->link(); link && link->kind == "prompter") send(*link, message);
-    }
-
-    void took() {
-        const auto version = cache_.version();
-        fact("configuration", {{"name", name_}, {"version", version}});
-        tell({{"t", "ack"}, {"configuration", version}});
-    }
-
-    void enrol() {
-        // What was last known stands while no control node says anything. By their sums: each once.
-        if (!rosters_.empty() || known_.empty()) {
-            std::map<std::uint64_t, std::shared_ptr<const Roster>> told;
-            for (const auto& [_, roster] : rosters_) told[roster->sum] = roster;
-            if (told == known_ && !told.empty()) return;
-            known_ = std::move(told);
-        }
-        std::map<std::string, std::string> proxies;
-        for (const auto& [_, roster] : known_) proxies.insert(roster->proxies.begin(), roster->proxies.end());
-        std::vector<std::string> names;
-        for (const auto& [name, _] : proxies) names.push_back(name);
-        watching_.clear();
-        std::set<std::string> wanted;
-        for (const auto& name : hashing::watched(std::move(names), name_))
-            wanted.insert(watching_[name] = proxies.at(name));
-        std::erase_if(peers_, [&](const auto& peer) {
-            const bool drop = !wanted.contains(peer.first);
-            if (drop) peer.second->stop();
-            return drop;
-        });
-        for (const auto& address : wanted) {
-            auto& dialer = peers_[address];
-            if (dialer || left_) continue;
-            dialer = std::make_shared<Dialer>(room_.io, address, owner_);
-            dialer->go();
-        }
-    }
-
-    static Task<> watch(std::shared_ptr<HollowProxy> self) {
-        while (!self->left_) {
-            co_await sleep(self->room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
-            auto digest = self->cache_.digest();
-            digest["sure"] = self->confidence_.sure();
-            if (self->confidence_.waited(self->cache_.version() > 0, now())) self->tell(digest);
-            for (const auto& [_, address] : self->watching_)
-                if (const auto peer = self->peers_.find(address); peer != self->peers_.end())
-                    if (const auto link = peer->second->link()) self->send(*link, digest);
-        }
-    }
-
-    Room& room_;
-    const std::string name_, ip_;
-    const std::uint64_t life_ = room_.chance() >> 12;
-    std::shared_ptr<PeerConnection::Owner> owner_;
-    std::unique_ptr<tcp::acceptor> door_;
-    std::map<std::string, std::shared_ptr<Dialer>> dialers_, peers_;
-    std::map<std::string, std::shared_ptr<const Roster>> rosters_;  // by control node
-    std::map<std::uint64_t, std::shared_ptr<const Roster>> known_;  // by sum
-    subscription::QuorumContact confidence_;
-    std::map<std::string, std::string> watching_;  // proxies and addresses
-    std::vector<std::weak_ptr<PeerConnection>> links_;
-    bool ready_ = false, rolloutsKnown_ = false, left_ = false, configurationNew_ = false;
-    subscription::ConfigurationCache cache_{{[this](const std::string&) { configurationNew_ = true; },
-                                             [this](const std::string&) { rolloutsKnown_ = true; },
-                                             [this](const discovery::EndpointEvent& event) {
-                                                 if (ready_ && (event.gone || event.member.draining))
-                                                     fact("pod", {{"name", name_}, {"id", event.member.id}});
-                                             }}};
-};
+std::shared_ptr<HollowProxy> openProxy(HollowProcess& process, std::int64_t number) {
+    auto proxy = std::make_shared<HollowProxy>(process, hollowName(number), hollowAddress(number));
+    proxy->open();
+    return proxy;
+}
 
-Task<> tallies(Room& room) {
+Task<> tellTallies(HollowProcess& process) {
     for (;;) {
         co_await sleep(kTallyEvery);
-        fact("tally", {{"heard", room.tally.heard}, {"sent", room.tally.sent}});
+        tellFact(facts::kTally, {{"heard", process.heard}, {"sent", process.sent}});
     }
 }
 
-using Proxies = std::map<std::string, std::pair<std::int64_t, std::shared_ptr<HollowProxy>>>;
-
-Task<> restart(Room& room, Proxies& proxies, std::string name) {
+Task<> restart(HollowProcess& process, ProxiesByName& proxies, std::string name) {
     const auto at = proxies.find(name);
     if (at == proxies.end()) co_return;
-    at->second.second->leave();
-    co_await sleep(kAwayFor);
-    at->second.second = std::make_shared<HollowProxy>(room, at->second.first);
-    at->second.second->open();
+    at->second.proxy->leave();
+    co_await sleep(kRestartTakes);
+    at->second.proxy = openProxy(process, at->second.number);
 }
 
-Task<> orders(Room& room, Proxies& proxies) {
-    asio::posix::stream_descriptor in(room.io, dup(STDIN_FILENO));
+Task<> takeOrders(HollowProcess& process, ProxiesByName& proxies) {
+    asio::posix::stream_descriptor in(process.io, dup(STDIN_FILENO));
     asio::streambuf buffer;
     for (;;) {
-        ErrorCode code;
-        co_await asio::async_read_until(in, buffer, '\n', withErrorCode(code));
-        if (code) break;
+        ErrorCode error;
+        co_await asio::async_read_until(in, buffer, '\n', withErrorCode(error));
+        if (error) break;
         std::istream stream(&buffer);
-        std::string word, name;
-        stream >> word >> name;
+        std::string order, name;
+        stream >> order >> name;
         stream.ignore(1);
-        if (word == "restart") start(room.io, "restart", restart(room, proxies, name));
+        if (order == facts::kRestartOrder) start(process.io, "restart", restart(process, proxies, name));
     }
-    room.io.stop();
+    process.io.stop();
 }
 
 }  // namespace
@@ -286,22 +69,22 @@
 std::string hollowName(std::int64_t n) { return "hollow-" + std::to_string(n); }
 
 std::string hollowAddress(std::int64_t n) {
-    return "127.72." + std::to_string(n / 200 + 1) + "." + std::to_string(n % 200 + 1);
+    return "127.72." + std::to_string(n / kProxiesOfNetwork + 1) + "." +
+           std::to_string(n % kProxiesOfNetwork + 1);
 }
 
-void runHollow(const Json& told) {
-    openLog("hollow-from-" + told.at("first").dump());
+void runHollow(const Json& settings) {
+    const auto first = settings.at("first").get<std::int64_t>();
+    const auto count = settings.at("count").get<std::int64_t>();
+    openLog("hollow-from-" + std::to_string(first));
     asio::io_context io{1};
-    Room room{io, told, {}};
-    Proxies proxies;
-    const auto first = told.at("first").get<std::int64_t>();
-    for (auto n = first; n < first + told.at("count").get<std::int64_t>(); ++n) {
-        auto proxy = std::make_shared<HollowProxy>(room, n);
-        proxy->open();
-        proxies[hollowName(n)] = {n, proxy};
-    }
-    start(io, "tally", tallies(room));
-    start(io, "orders", orders(room, proxies));
+    HollowProcess process{io, settings.at("port").get<int>(),
+                          settings.at("heartbeat_ms").get<Nanos>() * kMillisecond,
+                          settings.at("seeds").get<std::vector<std::string>>()};
+    ProxiesByName proxies;
+    for (auto n = first; n < first + count; ++n) proxies[hollowName(n)] = {n, openProxy(process, n)};
+    start(io, "tally", tellTallies(process));
+    start(io, "orders", takeOrders(process, proxies));
     io.run();
     std::fflush(stderr);
     _exit(0);  // what is left open ends with the process
--- /dev/null
+++ b/src/scale_test/operator_client.cpp
@@ -0,0 +1,70 @@
+#include "scale_test/operator_client.hpp"
+
+#include <boost/beast/http/read.hpp>
+#include <boost/beast/http/write.hpp>
+
+namespace lichenlanding::scale_test {
+
+using namespace transport;
+namespace http = boost::beast::http;
+
+namespace {
+
+constexpr Nanos kRetryAfter = 200 * kMillisecond;
+constexpr Nanos kPollEvery = 10 * kMillisecond;
+constexpr Nanos kCallWithin = 20 * kSecond;
+
+}  // namespace
+
+OperatorClient::OperatorClient(asio::io_context& io, const ScenarioConfig& plan, const RunLayout& layout)
+    : io_(io), plan_(plan), layout_(layout) {}
+
+Task<int> OperatorClient::call(std::string address, Request request) {
+    beast::tcp_stream stream(io_);
+    stream.expires_after(span(kCallWithin));
+    ErrorCode error;
+    co_await stream.async_connect(endpoint(address), withErrorCode(error));
+    if (error) co_return 0;
+    if (request[http::field::host].empty()) request.set(http::field::host, address);
+    request.prepare_payload();
+    co_await http::async_write(stream, request, withErrorCode(error));
+    if (error) co_return 0;
+    beast::flat_buffer buffer;
+    http::response<http::string_body> response;
+    co_await http::async_read(stream, buffer, response, withErrorCode(error));
+    co_return error ? 0 : static_cast<int>(response.result_int());
+}
+
+Task<> OperatorClient::replaceConfiguration(std::int64_t changes) {
+    const auto body = configuration(plan_, changes);
+    bodyBytes_ = body.size();
+    for (std::int64_t n = changes;; ++n) {
+        Request request(http::verb::post, "/api/rpc?call=config.replace", 11);
+        request.set(http::field::content_type, "application/json");
+        request.body() = body;
+        const auto address = layout_.controlNodeAddress(n % plan_.controlNodes, kControlPlanePort);
+        const auto status = co_await call(address, std::move(request));
+        if (status == 200) co_return;
+        if (status >= 400 && status < 500)
+            throw std::runtime_error("a configuration was refused: " + std::to_string(status));
+        ++resent_;
+        co_await sleep(kRetryAfter);
+    }
+}
+
+Task<Nanos> OperatorClient::askForRoute(std::int64_t proxy, std::int64_t change, Nanos within) {
+    const Nanos end = now() + within;
+    const auto address = layout_.proxyAddress(proxy, kHttpPort);
+    while (now() < end) {
+        Request request(http::verb::get, changedPath(change) + "x", 11);
+        request.set(http::field::host, kChangedHost);
+        request.set("X-Attempt-Id", "a" + std::to_string(proxy) + "." + std::to_string(now()));
+        request.set("X-Deadline-Ms", "200");
+        const auto status = co_await call(address, std::move(request));
+        if (status != 0 && status != 404) co_return now();
+        co_await sleep(kPollEvery);
+    }
+    co_return 0;
+}
+
+}  // namespace lichenlanding::scale_test
--- /dev/null
+++ b/src/scale_test/run_layout.cpp
@@ -0,0 +1,127 @@
+#include "scale_test/run_layout.hpp"
+
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+
+#include "transport/event_loop.hpp"
+
+namespace lichenlanding::scale_test {
+namespace {
+
+using namespace transport;
+using Json = nlohmann::json;
+
+constexpr int kPortsFrom = 20000, kPortsTo = 32000;  // below those that the kernel gives to connections
+constexpr int kPortStep = 8, kPortTries = 500;
+constexpr std::int64_t kSeedsMax = 3;
+constexpr const char* kRegion = "region";
+
+// Roles in a settings file; nodes know them by these words.
+constexpr const char* kControlNodeRole = "prompter";
+constexpr const char* kProxyRole = "foyer";
+
+std::string hostAndPort(const char* network, std::int64_t n, int port) {
+    return network + std::to_string(n + 1) + ":" + std::to_string(port);
+}
+
+std::string writeFile(const std::string& folder, const std::string& name, const Json& settings) {
+    const auto path = folder + "/" + name + ".json";
+    std::ofstream(path) << settings.dump();
+    return path;
+}
+
+bool isFree(int port) {
+    asio::io_context io;
+    for (int offset = 0; offset < kPortsOfNode; ++offset) {
+        tcp::acceptor acceptor(io);
+        ErrorCode error;
+        acceptor.open(tcp::v4(), error);
+        acceptor.bind({tcp::v4(), static_cast<unsigned short>(port + offset)}, error);
+        if (error) return false;
+    }
+    return true;
+}
+
+}  // namespace
+
+std::string RunLayout::controlNodeAddress(std::int64_t n, PortOffset port) const {
+    return hostAndPort("127.71.0.", n, port_ + port);
+}
+
+std::string RunLayout::proxyAddress(std::int64_t n, PortOffset port) const {
+    return hostAndPort("127.72.0.", n, port_ + port);
+}
+
+std::string RunLayout::controlNodeName(std::int64_t n) { return "prompter-" + std::to_string(n + 1); }
+
+std::string RunLayout::proxyName(std::int64_t n) { return "foyer-" + std::to_string(n + 1); }
+
+std::vector<std::string> RunLayout::seedAddresses(PortOffset port) const {
+    std::vector<std::string> seeds;
+    for (std::int64_t seed = 0; seed < std::min(plan_.controlNodes, kSeedsMax); ++seed)
+        seeds.push_back(controlNodeAddress(seed, port));
+    return seeds;
+}
+
+Json RunLayout::commonSettings(const std::string& name, std::int64_t n, const std::string& platform) const {
+    Json zones = Json::object();
+    for (std::int64_t zone = 0; zone < plan_.zones; ++zone) zones[zoneName(zone)] = kRegion;
+    return {{"node_name", name},
+            {"zone", zoneName(n % plan_.zones)},
+            {"region", kRegion},
+            {"zones", zones},
+            {"internal_ports", {port_, port_}},
+            {"seed_nodes", seedAddresses(kControlPlanePort)},
+            {"heartbeat", std::to_string(kHeartbeatMs) + "ms"},
+            {"fault_tolerance", {{"machines", (plan_.controlNodes - 1) / 2}, {"zones", 0}, {"regions", 0}}},
+            {"cloud_api", {{"address", platform}, {"rate_per_s", plan_.calls}}}};
+}
+
+std::string RunLayout::writeControlNodeSettings(const std::string& folder, std::int64_t n, bool bootstrap,
+                                                const std::string& platform) const {
+    const auto name = controlNodeName(n);
+    const auto disk = folder + "/" + name;
+    std::filesystem::create_directories(disk);
+    auto settings = commonSettings(name, n, platform);
+    settings.update({{"role", kControlNodeRole},
+                     {"machine_class", "core"},
+                     {"serves", Json::array({"control"})},
+                     {"ip_address", hostOf(controlNodeAddress(n, kPeerPort))},
+                     {"listen_addresses", {{"control_plane", controlNodeAddress(n, kControlPlanePort)}}},
+                     {"bootstrap", bootstrap},
+                     {"quorum_member", true},
+                     {"limits", {{"disk_mb", 256}, {"memory_mb", 256}}},
+                     {"data_dir", disk}});
+    return writeFile(folder, name, settings);
+}
+
+std::string RunLayout::writeProxySettings(const std::string& folder, std::int64_t n,
+                                          const std::string& platform) const {
+    const auto name = proxyName(n);
+    auto settings = commonSettings(name, n, platform);
+    settings.update(
+        {{"role", kProxyRole},
+         {"machine_class", "edge"},
+         {"serves", Json::array({"edge"})},
+         {"ip_address", hostOf(proxyAddress(n, kPeerPort))},
+         {"listen_addresses",
+          {{"front_http", proxyAddress(n, kHttpPort)}, {"readiness", proxyAddress(n, kReadinessPort)}}},
+         {"bootstrap", true},
+         {"quorum_member", false},
+         {"limits", {{"disk_mb", 0}, {"memory_mb", 256}}},
+         {"data_dir", nullptr}});
+    return writeFile(folder, name, settings);
+}
+
+int findFreePorts() {
+    int port = kPortsFrom + static_cast<int>(getpid()) * kPortStep % (kPortsTo - kPortsFrom);
+    for (int tried = 0; tried < kPortTries; ++tried) {
+        if (isFree(port)) return port;
+        port = port + kPortStep < kPortsTo ? port + kPortStep : kPortsFrom;
+    }
+    throw std::runtime_error("scale: no free ports");
+}
+
+}  // namespace lichenlanding::scale_test
