--- a/src/admin/rollout_requests.cpp
+++ b/src/admin/rollout_requests.cpp
@@ -75,7 +75,7 @@
     added.number = std::max<std::int64_t>(added.number, 1);
     rollouts.push_back(std::move(added));
     bound(rollouts);
-    return messages::write(rollouts);
+    return messages::encode(rollouts);
 }
 
 }  // namespace lichenlanding::admin
--- a/src/command/gateway.cpp
+++ b/src/command/gateway.cpp
@@ -58,7 +58,7 @@
     check->footer("Example:\n  lichenlanding-gateway playbill check config.json");
     check->callback([&] {
         chosen = [&] {
-            const auto read = config::Configuration::read(contents(file));
+            const auto read = config::Configuration::parse(contents(file));
             std::printf("version %s: %zu routes, %zu services\n", config::formatVersion(read.version).c_str(),
                         read.routes.size(), read.services.size());
         };
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -18,7 +18,7 @@
 Task<> ask(const std::string& address, std::string& body) {
     beast::tcp_stream stream(co_await asio::this_coro::executor);
     stream.expires_after(std::chrono::seconds(2));
-    co_await stream.async_connect(endpoint(address), asio::use_awaitable);
+    co_await stream.async_connect(parseAddress(address), asio::use_awaitable);
     http::request<http::empty_body> request(http::verb::post, "/api/rpc?call=status", 11);
     request.set(http::field::host, address);
     request.content_length(0);
--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -42,7 +42,7 @@
     const auto disk = opened.note(storage::kDiskNote);
     if (disk.empty()) throw std::runtime_error("the book in " + folder + " has no identity of its disk yet");
     std::printf("held here: %s\n", membersOf(opened).c_str());
-    for (const auto& [key, cell] : opened.cells()) {
+    for (const auto& [key, cell] : opened.states()) {
         if (key == "configuration" && !cell.value.empty())
             std::printf("configuration %s, orders remembered%s\n",
                         config::formatVersion(admin::version(cell.value)).c_str(),
@@ -74,7 +74,7 @@
 void book(const std::string& folder, const std::string& what) {
     if (!std::ifstream(folder + "/data.mdb")) throw std::runtime_error("no book in " + folder);
     const storage::LmdbReplicaStore opened(folder, std::size_t{1} << 30);
-    const auto cells = opened.cells();
+    const auto cells = opened.states();
     if (what == "check") {
         std::printf("%zu keys, all checksums right, %s\n", cells.size(), membersOf(opened).c_str());
         return;
--- a/src/config/bootstrap_settings.cpp
+++ b/src/config/bootstrap_settings.cpp
@@ -13,7 +13,7 @@
 
 using Json = nlohmann::json;
 
-void duration(Nanos& value, std::string_view text) { value = span(text); }
+void duration(Nanos& value, std::string_view text) { value = parseDuration(text); }
 void number(double& value, std::string_view text) {
     if (!parse(text, value)) throw std::invalid_argument("no number: " + std::string(text));
 }
@@ -35,11 +35,11 @@
 
 }  // namespace
 
-std::string BootstrapSettings::internal(const std::string& ip) const {
+std::string BootstrapSettings::peerAddress(const std::string& ip) const {
     return ip + ":" + std::to_string(internalPorts.front());
 }
 
-BootstrapSettings BootstrapSettings::read(std::string_view bytes) {
+BootstrapSettings BootstrapSettings::parse(std::string_view bytes) {
     BootstrapSettings boot;
     const auto told = Json::parse(bytes, nullptr, false);
     if (!told.is_object()) throw std::runtime_error("settings: not a JSON object");
@@ -60,7 +60,7 @@
     if (boot.internalPorts.empty()) throw std::runtime_error("settings: /internal_ports is empty");
     if (!boot.heartbeatText.empty()) {
         try {
-            boot.heartbeat = span(boot.heartbeatText);
+            boot.heartbeat = parseDuration(boot.heartbeatText);
         } catch (const std::invalid_argument& wrong) {
             throw std::runtime_error(std::string("settings: /heartbeat: ") + wrong.what());
         }
@@ -83,7 +83,7 @@
     std::stringstream bytes;
     if (!file || !(bytes << file.rdbuf()))
         throw std::runtime_error(std::string("settings: cannot read ") + path);
-    return read(bytes.str());
+    return parse(bytes.str());
 }
 
 }  // namespace lichenlanding::config
--- a/src/config/bootstrap_settings.hpp
+++ b/src/config/bootstrap_settings.hpp
@@ -9,42 +9,42 @@
 #include "state.hpp"
 
 // Member, type, place in the file (a JSON pointer), needed or not.
-#define BOOT_SETTINGS(X)                                              \
-    X(name, std::string, "/node_name", true)                          \
-    X(ip, std::string, "/ip_address", true)                           \
-    X(zone, std::string, "/zone", true)                               \
-    X(region, std::string, "/region", false)                          \
-    X(front, std::string, "/listen_addresses/front_http", false)      \
-    X(readiness, std::string, "/listen_addresses/readiness", false)   \
-    X(control, std::string, "/listen_addresses/control_plane", false) \
-    X(internalPorts, std::vector<int>, "/internal_ports", true)       \
-    X(seeds, std::vector<std::string>, "/seed_nodes", true)           \
-    X(bootstrap, bool, "/bootstrap", false)                           \
-    X(quorumMember, bool, "/quorum_member", false)                    \
-    X(heartbeatText, std::string, "/heartbeat", false)                \
-    X(dataDir, std::string, "/data_dir", false)                       \
-    X(diskMegabytes, int, "/limits/disk_mb", false)                   \
-    X(machinesLost, int, "/fault_tolerance/machines", false)          \
-    X(zonesLost, int, "/fault_tolerance/zones", false)                \
-    X(regionsLost, int, "/fault_tolerance/regions", false)            \
-    X(list, std::string, "/cloud_api/address", true)                  \
-    X(listPerSecond, double, "/cloud_api/rate_per_s", false)
+#define BOOT_SETTINGS(X)                                                          \
+    X(name, std::string, "/node_name", true)                                      \
+    X(ip, std::string, "/ip_address", true)                                       \
+    X(zone, std::string, "/zone", true)                                           \
+    X(region, std::string, "/region", false)                                      \
+    X(httpAddress, std::string, "/listen_addresses/front_http", false)            \
+    X(readinessAddress, std::string, "/listen_addresses/readiness", false)        \
+    X(controlPlaneAddress, std::string, "/listen_addresses/control_plane", false) \
+    X(internalPorts, std::vector<int>, "/internal_ports", true)                   \
+    X(seeds, std::vector<std::string>, "/seed_nodes", true)                       \
+    X(bootstrap, bool, "/bootstrap", false)                                       \
+    X(quorumMember, bool, "/quorum_member", false)                                \
+    X(heartbeatText, std::string, "/heartbeat", false)                            \
+    X(dataDir, std::string, "/data_dir", false)                                   \
+    X(diskMegabytes, int, "/limits/disk_mb", false)                               \
+    X(machinesLost, int, "/fault_tolerance/machines", false)                      \
+    X(zonesLost, int, "/fault_tolerance/zones", false)                            \
+    X(regionsLost, int, "/fault_tolerance/regions", false)                        \
+    X(platformAddress, std::string, "/cloud_api/address", true)                   \
+    X(platformCallsPerSecond, double, "/cloud_api/rate_per_s", false)
 
 // Member, name in `bounds`, kind, value where it is not told. control_contact: for how long the answer of a
 // member counts; control_replace: after how long without a word a member's seat goes to one that stands by
 // (0: six tenths of sync_time).
-#define BOOT_BOUNDS(X)                                                 \
-    X(drain, "drain", duration, 2500 * 1'000'000ll)                    \
-    X(grace, "grace", duration, 6000 * 1'000'000ll)                    \
-    X(contact, "contact", duration, 3000 * 1'000'000ll)                \
-    X(budgetWindow, "retry_window", duration, 10'000 * 1'000'000ll)    \
-    X(rollback, "rollback", duration, 5000 * 1'000'000ll)              \
-    X(syncTime, "sync_time", duration, 4000 * 1'000'000ll)             \
-    X(controlContact, "control_contact", duration, 1000 * 1'000'000ll) \
-    X(controlReplace, "control_replace", duration, 0)                  \
-    X(budgetRatio, "retry_budget_ratio", number, 0.2)                  \
-    X(budgetSlack, "retry_slack", number, 20.0)                        \
-    X(exposureShare, "exposure_share", number, 0.1)                    \
+#define BOOT_BOUNDS(X)                                                     \
+    X(drainTime, "drain", duration, 2500 * 1'000'000ll)                    \
+    X(shutdownGrace, "grace", duration, 6000 * 1'000'000ll)                \
+    X(contactTime, "contact", duration, 3000 * 1'000'000ll)                \
+    X(retryBudgetWindow, "retry_window", duration, 10'000 * 1'000'000ll)   \
+    X(rollbackTime, "rollback", duration, 5000 * 1'000'000ll)              \
+    X(syncTime, "sync_time", duration, 4000 * 1'000'000ll)                 \
+    X(controlContactTime, "control_contact", duration, 1000 * 1'000'000ll) \
+    X(controlReplaceAfter, "control_replace", duration, 0)                 \
+    X(retryBudgetRatio, "retry_budget_ratio", number, 0.2)                 \
+    X(retrySlack, "retry_slack", number, 20.0)                             \
+    X(exposureShare, "exposure_share", number, 0.1)                        \
     X(exposureSlack, "exposure_slack", number, 50.0)
 
 namespace lichenlanding::config {
@@ -62,10 +62,10 @@
     Nanos heartbeat = 1500 * 1'000'000ll;  // between two words of sidecars that watch each other; above 0
 
     // Of the process itself, and of any machine, by its IP: sidecars talk on the first internal port.
-    std::string internal(const std::string& ip) const;
+    std::string peerAddress(const std::string& ip) const;
 
     // Throws std::runtime_error that names the field.
-    static BootstrapSettings read(std::string_view bytes);
+    static BootstrapSettings parse(std::string_view bytes);
     static BootstrapSettings fromEnvironment();  // the file that LICHENLANDING_SETTINGS names
 };
 
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -20,7 +20,7 @@
     X(health, "health_check", text, false) \
     X(maxConnections, "max_connections", count, false)
 
-#define BOUNDS_SETTINGS(X)                              \
+#define CLIENT_LIMITS_SETTINGS(X)                       \
     X(headerBytes, "max_header_bytes", count, false)    \
     X(bodyBytes, "max_body_bytes", count, false)        \
     X(headerTimeout, "header_timeout", duration, false) \
@@ -65,7 +65,7 @@
         const auto* told = field(name, needed);
         if (!told) return;
         try {
-            value = span(told->is_string() ? told->get<std::string>() : "");
+            value = parseDuration(told->is_string() ? told->get<std::string>() : "");
         } catch (const std::invalid_argument&) {
             wrong(name, "must be a time as text, such as \"1500ms\" or \"2.5s\"");
         }
@@ -101,16 +101,16 @@
     from.text(one, "service_name", false);
     const auto* split = from.field("traffic_split", false);
     if (split && split->is_array()) {
-        made.weights = 0;
+        made.totalWeight = 0;
         for (std::size_t at = 0; at < split->size(); ++at) {
             const Reader part{(*split)[at], from.path + "/traffic_split/" + std::to_string(at), from.errors};
             WeightedService share;
             part.text(share.service, "service_name", true);
             part.count(share.weight, "weight", true);
-            made.weights += share.weight;
+            made.totalWeight += share.weight;
             made.shares.push_back(share);
         }
-        if (made.weights <= 0) from.wrong("traffic_split", "weights must sum to more than 0");
+        if (made.totalWeight <= 0) from.wrong("traffic_split", "weights must sum to more than 0");
     } else if (!one.empty()) {
         made.shares.push_back({one, 1});
     } else {
@@ -124,7 +124,7 @@
 ValidationError::ValidationError(std::vector<std::string> found)
     : std::runtime_error(joined(found)), errors(found) {}
 
-Nanos span(std::string_view text) {
+Nanos parseDuration(std::string_view text) {
     const auto unit = text.find_first_not_of("0123456789.");
     const auto kind = unit == text.npos ? "" : text.substr(unit);
     double number = 0;
@@ -142,7 +142,7 @@
     return text;
 }
 
-const std::string& Route::service(std::int64_t at) const {
+const std::string& Route::serviceForDraw(std::int64_t at) const {
     for (const auto& share : shares) {
         if (at < share.weight) return share.service;
         at -= share.weight;
@@ -150,7 +150,7 @@
     return shares.back().service;
 }
 
-Configuration Configuration::read(std::string_view bytes) {
+Configuration Configuration::parse(std::string_view bytes) {
     Configuration made;
     std::vector<std::string> errors;
     const auto told = Json::parse(bytes, nullptr, false);
@@ -174,7 +174,7 @@
         const Reader from{spec ? *spec : none, entry.path + "/spec", errors};
         if (type == "route_table") {
             about.text(name, "name", true);
-            if (spec) made.routes.push_back(route(from, name)), made.routes.back().entry = at;
+            if (spec) made.routes.push_back(route(from, name)), made.routes.back().resourceIndex = at;
         } else if (type == "service_table") {
             auto& service = made.services.emplace_back();
             about.text(service.name, "name", true);
@@ -182,8 +182,8 @@
             SERVICE_SETTINGS(X)
 #undef X
         } else if (type == "limits") {
-#define X(member, key, kind, needed) from.kind(made.bounds.member, key, needed);
-            BOUNDS_SETTINGS(X)
+#define X(member, key, kind, needed) from.kind(made.clientLimits.member, key, needed);
+            CLIENT_LIMITS_SETTINGS(X)
 #undef X
         } else if (!type.empty()) {
             entry.wrong("resource_type", "must be route_table, service_table or limits");
@@ -199,7 +199,7 @@
         for (const auto& share : route.shares)
             if (!known.contains(share.service))
                 errors.push_back(where + "service " + share.service + " is not in any service_table");
-        if (!made.places_.emplace(route.host + route.prefix, at).second)
+        if (!made.routeIndex_.emplace(route.host + route.prefix, at).second)
             errors.push_back(where + "another route has the host " + route.host + " and the path_prefix " +
                              route.prefix);
     }
@@ -207,7 +207,7 @@
     return made;
 }
 
-const Route* Configuration::find(std::string_view host, std::string_view path) const {
+const Route* Configuration::findRoute(std::string_view host, std::string_view path) const {
     const auto colon = host.find(':');
     std::string place(host.substr(0, colon));
     std::transform(place.begin(), place.end(), place.begin(),
@@ -219,19 +219,19 @@
     for (auto slash = place.rfind('/'); slash != place.npos && slash >= length;
          slash = slash == 0 ? place.npos : place.rfind('/', slash - 1)) {
         place.resize(slash + 1);
-        if (const auto at = places_.find(place); at != places_.end()) return &routes[at->second];
+        if (const auto at = routeIndex_.find(place); at != routeIndex_.end()) return &routes[at->second];
     }
     return nullptr;
 }
 
-const Service* Configuration::service(const std::string& name) const {
+const Service* Configuration::findService(const std::string& name) const {
     for (const auto& service : services)
         if (service.name == name) return &service;
     return nullptr;
 }
 
 std::string explain(std::string_view bytes, std::string_view host, std::string_view path) {
-    const auto configuration = Configuration::read(bytes);
+    const auto configuration = Configuration::parse(bytes);
     const auto told = Json::parse(bytes);
     const auto& resources = told.at("resources");
     const auto shown = [](const Json& spec, const std::string& where, const char* name,
@@ -244,9 +244,9 @@
     const auto duration = [](Nanos value) { return std::to_string(value / kMillisecond) + "ms"; };
     const auto count = [](std::int64_t value) { return std::to_string(value); };
     std::string all = "configuration " + formatVersion(configuration.version) + "\n";
-    if (const auto* route = configuration.find(host, path)) {
-        const auto where = "/resources/" + std::to_string(route->entry);
-        const auto& spec = resources.at(route->entry).at("spec");
+    if (const auto* route = configuration.findRoute(host, path)) {
+        const auto where = "/resources/" + std::to_string(route->resourceIndex);
+        const auto& spec = resources.at(route->resourceIndex).at("spec");
         all += "route " + route->name + ": the longest path_prefix of this host that begins the path\n";
 #define X(member, key, kind, needed) all += shown(spec, where, key, kind(route->member));
         ROUTE_SETTINGS(X)
@@ -254,14 +254,14 @@
         all += shown(spec, where, "route_class", route->repeatable ? "idempotent" : "non_idempotent");
         for (const auto& share : route->shares)
             all += "to service " + share.service + ", " + std::to_string(share.weight) + " of " +
-                   std::to_string(route->weights) + " requests\n";
+                   std::to_string(route->totalWeight) + " requests\n";
         for (std::size_t at = 0; at < resources.size(); ++at)
             for (const auto& share : route->shares) {
                 const auto& entry = resources.at(at);
                 if (entry.at("resource_type") != "service_table" ||
                     entry.at("metadata").at("name") != share.service)
                     continue;
-                const auto* service = configuration.service(share.service);
+                const auto* service = configuration.findService(share.service);
                 const auto place = "/resources/" + std::to_string(at);
                 all += "service " + share.service + "\n";
 #define X(member, key, kind, needed) all += shown(entry.at("spec"), place, key, kind(service->member));
@@ -277,8 +277,8 @@
         if (resources.at(at).at("resource_type") == "limits")
             spec = resources.at(at).at("spec"), place = "/resources/" + std::to_string(at);
     all += "limits of clients\n";
-#define X(member, key, kind, needed) all += shown(spec, place, key, kind(configuration.bounds.member));
-    BOUNDS_SETTINGS(X)
+#define X(member, key, kind, needed) all += shown(spec, place, key, kind(configuration.clientLimits.member));
+    CLIENT_LIMITS_SETTINGS(X)
 #undef X
     return all;
 }
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -28,16 +28,16 @@
 
 struct Route {
     std::string name, host, prefix;
-    std::size_t entry = 0;                // its place in the list of resources
+    std::size_t resourceIndex = 0;        // its place in the list of resources
     bool repeatable = false;              // route_class idempotent
     Nanos timeout = 0, target = 0;        // above 0
     std::int64_t priority = 0;            // 0 the highest
     std::int64_t maxAttempts = 1;         // pods that one try may be sent to; 1 or more
     std::vector<WeightedService> shares;  // one, or as traffic_split says; weights sum to above 0
-    std::int64_t weights = 1;             // their sum
+    std::int64_t totalWeight = 1;         // their sum
 
-    // The service for a draw of 0 <= at < weights.
-    const std::string& service(std::int64_t at) const;
+    // The service for a draw of 0 <= at < totalWeight.
+    const std::string& serviceForDraw(std::int64_t at) const;
 };
 
 struct Service {
@@ -53,19 +53,20 @@
 class Configuration {
   public:
     // Throws Refusal with all mistakes found.
-    static Configuration read(std::string_view bytes);
+    static Configuration parse(std::string_view bytes);
 
     // The route of the longest prefix; null where there is none. `path` may carry a query.
-    const Route* find(std::string_view host, std::string_view path) const;
-    const Service* service(const std::string& name) const;
+    const Route* findRoute(std::string_view host, std::string_view path) const;
+    const Service* findService(const std::string& name) const;
 
     std::uint32_t version = 0;
     std::vector<Route> routes;  // in the order sent
     std::vector<Service> services;
-    ClientLimits bounds;
+    ClientLimits clientLimits;
 
   private:
-    std::unordered_map<std::string, std::size_t> places_;  // host and prefix; looked up, never walked through
+    std::unordered_map<std::string, std::size_t>
+        routeIndex_;  // host and prefix; looked up, never walked through
 };
 
 // Why a request goes where it goes: the route, and each setting with its place in the file or "default".
@@ -75,6 +76,6 @@
 std::string formatVersion(std::uint32_t version);  // eight hexadecimal digits
 
 // "1500ms", "2.5s". Throws std::invalid_argument.
-Nanos span(std::string_view text);
+Nanos parseDuration(std::string_view text);
 
 }  // namespace lichenlanding::config
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -140,7 +140,7 @@
 Task<AdminApi::Response> AdminApi::replace(const std::string& body) {
     admin::ConfigurationRequest order;
     try {
-        order = admin::order(config::Configuration::read(body).version, body);
+        order = admin::order(config::Configuration::parse(body).version, body);
     } catch (const config::ValidationError& refusal) {
         log("configuration_refused", {{"error", refusal.what()}});
         co_return respond(
@@ -177,7 +177,7 @@
     try {
         told.at("service_name").get_to(order.service);
         told.at("target_version").get_to(order.target);
-        order.term = config::span(told.at("deadline").get<std::string>()) / kMillisecond;
+        order.term = config::parseDuration(told.at("deadline").get<std::string>()) / kMillisecond;
     } catch (const std::exception&) {
         co_return wrong(400, "must hold service_name, target_version and deadline (\"12s\")");
     }
@@ -244,7 +244,7 @@
         ErrorCode code;
         its.enter(Phase::idle);
         if (buffer.size() == 0) {
-            stream.expires_after(span(bounds_.idle));
+            stream.expires_after(toDuration(bounds_.idle));
             const auto bytes =
                 co_await stream.async_read_some(buffer.prepare(kReadAtOnce), withErrorCode(code));
             if (code) co_return;
@@ -254,10 +254,10 @@
         http::request_parser<http::string_body> parser;
         parser.body_limit(kBodyAtMost);
         parser.header_limit(kHeadAtMost);
-        stream.expires_after(span(bounds_.head));
+        stream.expires_after(toDuration(bounds_.head));
         co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
         if (!code && !parser.is_done()) {
-            stream.expires_after(span(bounds_.body));
+            stream.expires_after(toDuration(bounds_.body));
             if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
                 const http::response<http::empty_body> goOn(http::status::continue_, 11);
                 co_await http::async_write(stream, goOn, withErrorCode(code));
@@ -278,7 +278,7 @@
         response.keep_alive(request.keep_alive());
         response.prepare_payload();
         its.enter(Phase::taking);
-        stream.expires_after(span(bounds_.taking));
+        stream.expires_after(toDuration(bounds_.taking));
         co_await http::async_write(stream, response, withErrorCode(code));
         if (code || !response.keep_alive()) co_return;
     }
@@ -289,7 +289,7 @@
 Task<> AdminApi::turnAway(Caller& its, Response response) {
     ErrorCode code;
     its.enter(Phase::taking);
-    its.stream.expires_after(span(kTurnedAwayWithin));
+    its.stream.expires_after(toDuration(kTurnedAwayWithin));
     response.keep_alive(false), response.prepare_payload();
     co_await http::async_write(its.stream, response, withErrorCode(code));
     its.stream.socket().shutdown(tcp::socket::shutdown_send, code);
@@ -310,7 +310,7 @@
         configureSocket(socket, bounds_.taking);
         const auto its = std::make_shared<Caller>(std::move(socket));
         callers_.push_back(its);
-        start(io_, "caller", caller(its));
+        spawn(io_, "caller", caller(its));
     }
 }
 
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -39,8 +39,8 @@
         : boot(boot_),
           replica(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
                   ReplicaNode::onDisk(boot_)),
-          control(listen(io, boot.control)),
-          peers(listen(io, boot.internal(boot.ip))),
+          control(listen(io, boot.controlPlaneAddress)),
+          peers(listen(io, boot.peerAddress(boot.ip))),
           duties(
               replica, {me(), drawnLife()}, [this] { return hears(); },
               [this] { return cache.highestTermSeen(); }),
@@ -52,15 +52,15 @@
               [this] { return proxyNames(); }),
           operatorCalls(
               io, AdminApi::Register::of(replica), [this] { return status(); }, metrics) {
-        owner = std::make_shared<PeerConnection::Owner>();
-        owner->greet = [this](PeerConnection& link) { return greet(link); };
-        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](PeerConnection& link) { closed(link); };
+        owner = std::make_shared<PeerConnection::Callbacks>();
+        owner->makeHello = [this](PeerConnection& link) { return greet(link); };
+        owner->onMessage = [this](PeerConnection& link, const Json& message) { heard(link, message); };
+        owner->onClosed = [this](PeerConnection& link) { closed(link); };
     }
 
     // ---- Links. ----
 
-    std::string me() const { return boot.internal(boot.ip); }
+    std::string me() const { return boot.peerAddress(boot.ip); }
 
     Json greet(PeerConnection&) {
         auto hello = replica.greeting();
@@ -72,11 +72,11 @@
         auto& dialer = dialers[address];
         if (dialer || address == me()) return;
         dialer = std::make_shared<Dialer>(io, address, owner);
-        dialer->go();
+        dialer->start();
     }
 
     void dialSeeds() {
-        for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
+        for (const auto& seed : boot.seeds) dial(boot.peerAddress(hostOf(seed)));
     }
 
     void heard(PeerConnection& link, const Json& message) {
@@ -91,8 +91,8 @@
         } else if (kind == "want") {
             answer(link, message);
         } else if (kind == "digest") {
-            cache.heard(message, subscription::ConfigurationCache::MessageSource::follower, now(),
-                        [&](Json reply) { link.send(word(std::move(reply))); });
+            cache.handleMessage(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
+                                [&](Json reply) { link.send(word(std::move(reply))); });
         } else if (kind == "lost") {
             const auto at = proxies.find(message.at("name").get<std::string>());
             if (at != proxies.end()) at->second.missedBy.insert(link.peer);
@@ -110,9 +110,9 @@
         if (link.kind == "prompter") {
             link.peer = at;
             const auto dialer = dialers.find(at);
-            if (dialer != dialers.end() && dialer->second && dialer->second->link().get() == &link)
+            if (dialer != dialers.end() && dialer->second && dialer->second->connection().get() == &link)
                 replica.joined(at, link.shared_from_this());
-            else if (dialer != dialers.end() && dialer->second && !dialer->second->link())
+            else if (dialer != dialers.end() && dialer->second && !dialer->second->connection())
                 dialer->second
                     ->retryNow();  // after a loss of all, those that are up first wait for the others
             replica.onHello(message);
@@ -122,7 +122,7 @@
         }
         link.peer = message.at("name").get<std::string>();
         proxies[link.peer] = {link.shared_from_this(), at, message.at("life").get<std::uint64_t>(), 0, {}};
-        link.send(word(cache.digest()));
+        link.send(word(cache.digestMessage()));
         roster();
     }
 
@@ -130,13 +130,13 @@
     void moved() {
         for (const auto& member : replica.members()) dial(member);
         for (const auto& [_, proxy] : proxies) proxy.link->send(greet(*proxy.link));
-        tellAll(cache.digest());
+        tellAll(cache.digestMessage());
     }
 
     void closed(PeerConnection& link) {
         if (link.kind == "prompter") {
             const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && dialer->second && !dialer->second->link())
+            if (dialer != dialers.end() && dialer->second && !dialer->second->connection())
                 replica.onPeerDisconnected(link.peer), sayKnown();
         } else if (const auto at = proxies.find(link.peer);
                    at != proxies.end() && at->second.link.get() == &link) {
@@ -161,34 +161,35 @@
     };
     template <typename Make>
     static EncodedMessage once(Kept& kept, Json of, Make make) {
-        if (kept.of != of) kept = {std::move(of), PeerConnection::pack(make())};
+        if (kept.of != of) kept = {std::move(of), PeerConnection::encode(make())};
         return kept.packed;
     }
     void answer(PeerConnection& link, Json want) {
         const bool sure = replica.hasQuorumContact();
         if (want.contains("configuration") && cache.version() > 0) {
-            link.send(once(keptBody, {cache.version(), sure}, [&] { return word(cache.body()); }));
+            link.send(
+                once(keptBody, {cache.version(), sure}, [&] { return word(cache.configurationMessage()); }));
             want.erase("configuration");
         }
         if (cache.wantsFullList(want)) {
             const auto& endpointListVersion = cache.endpointListVersion();
             link.send(once(keptList, {endpointListVersion.term, endpointListVersion.sequence, sure},
-                           [&] { return word(cache.whole()); }));
+                           [&] { return word(cache.fullEndpointsMessage()); }));
             want.erase("held");
         }
-        cache.heard(want, subscription::ConfigurationCache::MessageSource::follower, now(),
-                    [&](Json reply) { link.send(word(std::move(reply))); });
+        cache.handleMessage(want, subscription::ConfigurationCache::MessageSource::subscriber, now(),
+                            [&](Json reply) { link.send(word(std::move(reply))); });
     }
 
     void tellAll(const Json& message) {
-        const auto packed = PeerConnection::pack(word(message));
+        const auto packed = PeerConnection::encode(word(message));
         for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
     }
 
     // One word for all that came and went of late: at a start a whole fleet says hello at once.
     void roster() {
         if (std::exchange(rosterDue, true)) return;
-        start(io, "roster", tellRoster());
+        spawn(io, "roster", tellRoster());
     }
 
     Task<> tellRoster() {
@@ -196,7 +197,7 @@
         rosterDue = false;
         Json names = Json::object();
         for (const auto& [name, proxy] : proxies) names[name] = proxy.address;
-        const auto packed = PeerConnection::pack(Json{{"t", "roster"}, {"foyers", std::move(names)}});
+        const auto packed = PeerConnection::encode(Json{{"t", "roster"}, {"foyers", std::move(names)}});
         for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
     }
 
@@ -204,11 +205,11 @@
         const auto& value = replica.known(key).value;
         if (key == kConfigurationKey && !value.empty()) {
             try {
-                cache.configuration(admin::version(value), std::string(admin::compressed(value)));
+                cache.setConfiguration(admin::version(value), std::string(admin::compressed(value)));
             } catch (const admin::ParseError& error) {  // of a later text, say; what is held stays
                 return log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
             }
-            tellAll(cache.cue());
+            tellAll(cache.versionsMessage());
         } else if (key == kRolloutsKey) {
             rollouts.learnt();
             if (startedReading) pinRollouts();
@@ -219,7 +220,8 @@
         const auto& text = replica.known(kRolloutsKey).value;
         std::int64_t number = 0;
         for (const auto& rollout : messages::decodeRollouts(text)) number = std::max(number, rollout.number);
-        if (cache.rollouts(number, text)) tellAll(cache.order());  // not where ages alone have changed
+        if (cache.setRollouts(number, text))
+            tellAll(cache.rolloutsMessage());  // not where ages alone have changed
     }
 
     // Before rollouts have been read from a majority nothing is said of them.
@@ -248,14 +250,14 @@
         Json proposalNumbers = Json::object();
         for (const auto& key : kKeys)
             if (const auto& known = replica.known(key); known.proposalNumber.round > 0)
-                proposalNumbers[key] = messages::write(known.proposalNumber);
-        const auto packed = PeerConnection::pack(Json{{"t", "known"},
-                                                      {"ballots", std::move(proposalNumbers)},
-                                                      {"hears", duties.hears()},
-                                                      {"ages", rollouts.ages()}});
+                proposalNumbers[key] = messages::encode(known.proposalNumber);
+        const auto packed = PeerConnection::encode(Json{{"t", "known"},
+                                                        {"ballots", std::move(proposalNumbers)},
+                                                        {"hears", duties.hears()},
+                                                        {"ages", rollouts.ages()}});
         for (const auto& [address, dialer] : dialers)
             if (dialer)
-                if (auto link = dialer->link()) link->send(packed);
+                if (auto link = dialer->connection()) link->send(packed);
     }
 
     // ---- Duties, each by one control node. ----
@@ -263,7 +265,7 @@
     std::set<std::string> hears() const {
         std::set<std::string> all;
         for (const auto& [address, dialer] : dialers)
-            if (dialer && dialer->link() && replica.hears(address)) all.insert(address);
+            if (dialer && dialer->connection() && replica.hears(address)) all.insert(address);
         return all;
     }
 
@@ -301,7 +303,7 @@
                                     {"life", proxy.life},
                                     {"missed_by", proxy.missedBy.size()},
                                     {"configuration", config::formatVersion(proxy.applied)}};
-        for (const auto& [_, member] : cache.endpoints().members()) {
+        for (const auto& [_, member] : cache.endpoints().endpoints()) {
             auto& counts = told["pods"][member.service][member.version];
             if (counts.is_null()) counts = {0, 0};
             auto& count = counts[member.draining ? 1 : 0];
@@ -311,10 +313,10 @@
     }
 
     void run() {
-        signals(
+        handleSignals(
             io,
             [this] {
-                start(io, "leave", [](ControlPlane& self) -> Task<> {
+                spawn(io, "leave", [](ControlPlane& self) -> Task<> {
                     co_await self.replica.leave();
                     log("left", {});
                     self.io.stop();
@@ -333,14 +335,14 @@
         replica.open();
         dialSeeds();
         for (const auto& member : replica.members()) dial(member);
-        start(io, "links", servePeerConnections(io, peers, owner));
-        start(io, "control", operatorCalls.serve(control));
-        start(io, "register", replica.maintain());
-        start(io, "register", readFirst());
-        start(io, "known", tellKnown());
-        start(io, "duties", duties.run());
-        start(io, "list", list.poll());
-        start(io, "rollouts", rollouts.steer());
+        spawn(io, "links", servePeerConnections(io, peers, owner));
+        spawn(io, "control", operatorCalls.serve(control));
+        spawn(io, "register", replica.maintain());
+        spawn(io, "register", readFirst());
+        spawn(io, "known", tellKnown());
+        spawn(io, "duties", duties.run());
+        spawn(io, "list", list.poll());
+        spawn(io, "rollouts", rollouts.steer());
         io.run();
     }
 
@@ -348,7 +350,7 @@
     asio::io_context io{1};
     ReplicaNode replica;
     tcp::acceptor control, peers;
-    std::shared_ptr<PeerConnection::Owner> owner;
+    std::shared_ptr<PeerConnection::Callbacks> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;  // by address
     std::map<std::string, ProxyInstance> proxies;            // by name
     subscription::ConfigurationCache cache{{}};
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -63,11 +63,11 @@
     : io_(io),
       boot_(boot),
       owner_(std::move(owner)),
-      me_(boot.internal(boot.ip)),
+      me_(boot.peerAddress(boot.ip)),
       opener_(std::move(opener)),
       contactSince_(now()),
       began_(now()) {
-    for (const auto& seed : boot.seeds) seeds_.push_back(boot.internal(hostOf(seed)));
+    for (const auto& seed : boot.seeds) seeds_.push_back(boot.peerAddress(hostOf(seed)));
     std::sort(seeds_.begin(), seeds_.end());
     seeds_.erase(std::unique(seeds_.begin(), seeds_.end()), seeds_.end());
 }
@@ -108,7 +108,7 @@
     std::map<std::string, std::string> notes;
     try {
         book_ = opener_(false);
-        cells = book_->cells();
+        cells = book_->states();
         for (const auto& name : {kDiskNote, kStandingNote, kWritesNote, kWitnessNote, kOldMembersNote})
             notes[name] = book_->note(name);
     } catch (const storage::StorageError& damaged) {
@@ -184,7 +184,7 @@
     confirmed_ = true;
     if (!jobs_.empty() && !working_) {
         working_ = true;
-        start(io_, "register copy", work());
+        spawn(io_, "register copy", work());
     }
 }
 
@@ -214,7 +214,7 @@
     jobs_.push_back(std::move(job));
     if (working_ || (open_ && !confirmed_)) return;
     working_ = true;
-    start(io_, "register copy", work());
+    spawn(io_, "register copy", work());
 }
 
 Task<> ReplicaNode::work() {
@@ -290,7 +290,7 @@
     Json held = Json::object();
     for (const auto& key : kKeys)
         if (const auto& cell = copy_.cell(key); cell.accepted.round > 0)
-            held[key] = messages::write(cell.accepted);
+            held[key] = messages::encode(cell.accepted);
     return held;
 }
 
@@ -321,7 +321,7 @@
 }
 
 void ReplicaNode::tellStanding() {
-    const auto packed = PeerConnection::pack(standing());
+    const auto packed = PeerConnection::encode(standing());
     for (const auto& [_, link] : links_) link->send(packed);
 }
 
@@ -430,7 +430,7 @@
 void ReplicaNode::pingAll() {
     auto mine = about();
     const bool whole = mine != aboutTold_;
-    const auto packed = PeerConnection::pack(pinging(whole));
+    const auto packed = PeerConnection::encode(pinging(whole));
     aboutTold_ = std::move(mine);
     for (const auto& [_, link] : links_) link->send(packed);
 }
@@ -447,7 +447,7 @@
     if (message.at("of").get_ref<const std::string&>() != copy_.disk() || !open_) return;
     if (message.at("seen").get<std::uint64_t>() > writes_) return renew("others saw a later life of it");
     if (!confirmed_) confirmedBy_[at] = peer.member.disk, confirm();
-    if (formed() && !contact_ && !reading_ && reachable()) start(io_, "register", readAll());
+    if (formed() && !contact_ && !reading_ && reachable()) spawn(io_, "register", readAll());
 }
 
 // Whether a majority of an epoch that is decided has answered of late, with the disks that it names.
@@ -476,7 +476,7 @@
         if (peer == peers_.end() || peer->second.epoch > epoch_.number) continue;
         // Of the founding only addresses are known: one whose disk is new is no founder.
         if (epoch_.number > 0 ? peer->second.member.disk != member.disk : !peer->second.seated) continue;
-        heard += peer->second.answeredAt > 0 && now() - peer->second.answeredAt <= boot_.controlContact;
+        heard += peer->second.answeredAt > 0 && now() - peer->second.answeredAt <= boot_.controlContactTime;
     }
     return heard >= epoch_.majority();
 }
@@ -484,7 +484,7 @@
 bool ReplicaNode::hears(const std::string& address) const {
     const auto peer = peers_.find(address);
     return links_.contains(address) && peer != peers_.end() && peer->second.answeredAt > 0 &&
-           now() - peer->second.answeredAt <= boot_.controlContact;
+           now() - peer->second.answeredAt <= boot_.controlContactTime;
 }
 
 void ReplicaNode::joined(const std::string& to, std::shared_ptr<PeerConnection> link) {
@@ -589,7 +589,7 @@
             const auto link = links_.find(member.address);
             if (link == links_.end()) continue;
             if (!packed)
-                packed = PeerConnection::pack(
+                packed = PeerConnection::encode(
                     {{"t", "reg"}, {"id", id}, {"about", about}, {"request", membership::write(request)}});
             link->second->send(packed);
         }
@@ -664,8 +664,8 @@
             const auto value = run.value();
             const auto proposalNumber = run.proposalNumber();
             if (proposalNumber > known(key).proposalNumber && !key.starts_with("epoch/")) {
-                const auto packed = PeerConnection::pack(
-                    Json{{"t", "learn"}, {"key", key}, {"ballot", messages::write(proposalNumber)}});
+                const auto packed = PeerConnection::encode(
+                    Json{{"t", "learn"}, {"key", key}, {"ballot", messages::encode(proposalNumber)}});
                 for (const auto& [_, link] : links_) link->send(packed);
             }
             if (!key.starts_with("epoch/")) learn(key, proposalNumber, value);
@@ -741,7 +741,8 @@
 }
 
 std::vector<membership::Candidate> ReplicaNode::candidates() const {
-    const Nanos absentAfter = boot_.controlReplace > 0 ? boot_.controlReplace : boot_.syncTime * 6 / 10;
+    const Nanos absentAfter =
+        boot_.controlReplaceAfter > 0 ? boot_.controlReplaceAfter : boot_.syncTime * 6 / 10;
     const auto whole = [&](const auto& holds) {
         return std::all_of(kKeys.begin(), kKeys.end(),
                            [&](const auto& key) { return holds(key) >= known(key).proposalNumber; });
@@ -865,7 +866,7 @@
         if (one.present && (formed() ? epoch_.find(one.member.address, one.member.disk)
                                      : epoch_.find(one.member.address, "")))
             present.push_back(one.member.address);
-    const auto turn = hashing::chosen(present, "members", 1);
+    const auto turn = hashing::rendezvousSelect(present, "members", 1);
     if (!turn.empty() && turn.front() != me_ && now() - wantedSince_ < kDeferFor) co_return;
     wantedSince_ = 0;
     co_await propose(target);
@@ -935,17 +936,17 @@
                 owner_.moved();
             }
         } else if (!contact_ && !reading_) {
-            start(io_, "register", readAll());
+            spawn(io_, "register", readAll());
         }
         const bool pending = !contact_ || successor_ || wantedSince_ > 0 || halfwaySince_ > 0;
         if (!changing_ && (pending || now() - planned >= kPlanEvery))
-            planned = now(), start(io_, "members", steward());
+            planned = now(), spawn(io_, "members", steward());
         if (!contact_) continue;
         for (const auto& key : kKeys)
             if (!behind(key) && !working_) retain(key);
         if (!catching_ &&
             std::any_of(kKeys.begin(), kKeys.end(), [&](const auto& key) { return behind(key); }))
-            start(io_, "register", catchUp());
+            spawn(io_, "register", catchUp());
     }
 }
 
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -57,7 +57,7 @@
             one.age = std::max(one.age, age.order);
             if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
         }
-        return messages::write(all);
+        return messages::encode(all);
     };
     co_await replica_.change(kRolloutsKey, older, kDecideWithin);
 }
@@ -90,7 +90,7 @@
 
 Task<> RolloutController::steer(messages::Rollout rollout) {
     const auto key = rollout.service + "\n" + rollout.target;
-    const auto chosen = hashing::chosen(proxies_(), key, verdict::kVoterCount);
+    const auto chosen = hashing::rendezvousSelect(proxies_(), key, verdict::kVoterCount);
     verdict::VoteCounts votes;
     votes.voters = chosen.size();
     Json said = Json::array();
@@ -130,7 +130,7 @@
                 continue;
             one = to, one.number = number + 1, changed = true;
         }
-        return changed ? messages::write(all) : value;
+        return changed ? messages::encode(all) : value;
     };
     co_await replica_.change(kRolloutsKey, decide, kDecideWithin);
 }
--- a/src/discovery/endpoint_set.cpp
+++ b/src/discovery/endpoint_set.cpp
@@ -3,18 +3,18 @@
 namespace lichenlanding::discovery {
 
 bool EndpointSet::apply(const EndpointEvent& event) {
-    const auto& id = event.member.id;
-    if (event.gone) {
-        if (!event.aside) left_.insert(id);
-        return members_.erase(id) > 0;
+    const auto& id = event.endpoint.id;
+    if (event.removed) {
+        if (!event.suspect) departed_.insert(id);
+        return endpoints_.erase(id) > 0;
     }
-    if (left_.contains(id)) return false;
-    const auto at = members_.find(id);
-    if (at == members_.end()) {
-        members_[id] = event.member;
+    if (departed_.contains(id)) return false;
+    const auto at = endpoints_.find(id);
+    if (at == endpoints_.end()) {
+        endpoints_[id] = event.endpoint;
         return true;
     }
-    if (event.member.draining && !at->second.draining) {
+    if (event.endpoint.draining && !at->second.draining) {
         at->second.draining = true;
         return true;
     }
@@ -25,14 +25,14 @@
                                                       std::uint64_t after) const {
     std::vector<EndpointEvent> events;
     std::set<std::string> there;
-    for (const auto& member : listed) {
-        there.insert(member.id);
-        const auto at = members_.find(member.id);
-        const bool known = at != members_.end() && (at->second.draining || !member.draining);
-        if (!known && !left_.contains(member.id)) events.push_back({++after, member, false, false});
+    for (const auto& endpoint : listed) {
+        there.insert(endpoint.id);
+        const auto at = endpoints_.find(endpoint.id);
+        const bool known = at != endpoints_.end() && (at->second.draining || !endpoint.draining);
+        if (!known && !departed_.contains(endpoint.id)) events.push_back({++after, endpoint, false, false});
     }
-    for (const auto& [id, member] : members_)
-        if (!there.contains(id)) events.push_back({++after, member, true, false});
+    for (const auto& [id, endpoint] : endpoints_)
+        if (!there.contains(id)) events.push_back({++after, endpoint, true, false});
     return events;
 }
 
--- a/src/discovery/endpoint_set.hpp
+++ b/src/discovery/endpoint_set.hpp
@@ -27,24 +27,24 @@
 
 struct EndpointEvent {
     std::uint64_t number = 0;
-    Endpoint member;
-    bool gone = false;   // then only the id counts
-    bool aside = false;  // gone, as far as is known: not seen to go
+    Endpoint endpoint;
+    bool removed = false;  // then only the id counts
+    bool suspect = false;  // gone, as far as is known: not seen to go
 };
 
 class EndpointSet {
   public:
     // True where the view has changed.
     bool apply(const EndpointEvent& event);
-    const std::map<std::string, Endpoint>& members() const { return members_; }
-    bool left(const std::string& id) const { return left_.contains(id); }  // was seen gone
+    const std::map<std::string, Endpoint>& endpoints() const { return endpoints_; }
+    bool hasLeft(const std::string& id) const { return departed_.contains(id); }  // was seen gone
 
     // The events that bring this view to what a whole list says, numbered from `after` + 1.
     std::vector<EndpointEvent> eventsTowards(const std::vector<Endpoint>& listed, std::uint64_t after) const;
 
   private:
-    std::map<std::string, Endpoint> members_;
-    std::set<std::string> left_;  // seen gone; ids are never used again
+    std::map<std::string, Endpoint> endpoints_;
+    std::set<std::string> departed_;  // seen gone; ids are never used again
 };
 
 }  // namespace lichenlanding::discovery
--- a/src/hashing/rendezvous.cpp
+++ b/src/hashing/rendezvous.cpp
@@ -16,17 +16,17 @@
     return value ^ (value >> 31);
 }
 
-std::vector<std::string> chosen(const std::vector<std::string>& names, std::string_view about,
-                                std::size_t count) {
+std::vector<std::string> rendezvousSelect(const std::vector<std::string>& names, std::string_view about,
+                                          std::size_t count) {
     return limits::lowest(names, count,
                           [&](const std::string& name) { return std::pair(hash(about, name), name); });
 }
 
-std::vector<std::string> watched(std::vector<std::string> names, const std::string& me) {
+std::vector<std::string> watchedPeers(std::vector<std::string> names, const std::string& me) {
     // Three: with a tenth of all machines gone, one of a thousand has lost all that it watches.
     constexpr std::size_t few = 3;
     std::erase(names, me);
-    return chosen(names, "watch\n" + me, few);
+    return rendezvousSelect(names, "watch\n" + me, few);
 }
 
 }  // namespace lichenlanding::hashing
--- a/src/hashing/rendezvous.hpp
+++ b/src/hashing/rendezvous.hpp
@@ -12,11 +12,11 @@
 std::uint64_t hash(std::string_view about, std::string_view name);
 
 // The `count` names of lowest hash for `about`, lowest first; all if there are no more.
-std::vector<std::string> chosen(const std::vector<std::string>& names, std::string_view about,
-                                std::size_t count);
+std::vector<std::string> rendezvousSelect(const std::vector<std::string>& names, std::string_view about,
+                                          std::size_t count);
 
 // Those of `names` that `me` knows and watches: the same on every machine that knows the same names, and
 // changed by one at most when one comes or goes.
-std::vector<std::string> watched(std::vector<std::string> names, const std::string& me);
+std::vector<std::string> watchedPeers(std::vector<std::string> names, const std::string& me);
 
 }  // namespace lichenlanding::hashing
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -67,7 +67,7 @@
         for (const auto& heard : row->second)
             if (members.contains(heard) && heard != held.holder && heard != self_.address)
                 candidates.push_back(heard);
-    const auto chosen = hashing::chosen(candidates, duty_, candidates.size());
+    const auto chosen = hashing::rendezvousSelect(candidates, duty_, candidates.size());
     const auto rank = std::find(chosen.begin(), chosen.end(), self_.address) - chosen.begin();
     const Nanos wait = held.term == 0 ? 0 : kAbsentFor;  // nobody has had it: nobody is waited for
     return now - absentSince_ >= wait + rank * kStandbyStep;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -125,12 +125,12 @@
 Json write(const consensus::Request& request) {
     Json told{{"kind", static_cast<int>(request.kind)}, {"epoch", request.epoch}};
     if (!request.key.empty()) told["key"] = request.key;
-    if (request.proposalNumber.round > 0) told["ballot"] = messages::write(request.proposalNumber);
+    if (request.proposalNumber.round > 0) told["ballot"] = messages::encode(request.proposalNumber);
     if (request.kind == consensus::Request::Kind::accept)
         told["value"] = messages::encodeBytes(request.value);
-    if (request.held.round > 0) told["held"] = messages::write(request.held);
+    if (request.held.round > 0) told["held"] = messages::encode(request.held);
     for (const auto& [key, proposalNumber] : request.holds)
-        told["holds"][key] = messages::write(proposalNumber);
+        told["holds"][key] = messages::encode(proposalNumber);
     if (request.to) told["to"] = write(*request.to);
     if (request.from) told["from"] = write(*request.from);
     if (request.open) told["open"] = true;
@@ -163,9 +163,9 @@
 
 Json write(const consensus::Reply& reply) {
     Json told{{"refused", reply.refused}, {"taken", reply.taken},   {"epoch", reply.epoch},
-              {"sealed", reply.sealed},   {"writes", reply.writes}, {"cell", messages::write(reply.cell)}};
+              {"sealed", reply.sealed},   {"writes", reply.writes}, {"cell", messages::encode(reply.cell)}};
     if (reply.valueOmitted) told["spared"] = true;
-    for (const auto& [key, cell] : reply.cells) told["cells"][key] = messages::write(cell);
+    for (const auto& [key, cell] : reply.cells) told["cells"][key] = messages::encode(cell);
     return told;
 }
 
--- a/src/messages/codec.cpp
+++ b/src/messages/codec.cpp
@@ -3,8 +3,8 @@
 #include "config/configuration.hpp"
 
 // Member and name of each, once.
-#define MEMBER_FIELDS(X) \
-    X(id, "i")           \
+#define ENDPOINT_FIELDS(X) \
+    X(id, "i")             \
     X(service, "s") X(address, "a") X(zone, "z") X(version, "v") X(slots, "k") X(draining, "d") X(warmup, "w")
 #define ROLLOUT_FIELDS(X) \
     X(service, "service") \
@@ -17,34 +17,34 @@
 
 namespace lichenlanding::messages {
 
-Json write(const discovery::Endpoint& member) {
+Json encode(const discovery::Endpoint& endpoint) {
     Json json;
-#define X(field, name) json[name] = member.field;
-    MEMBER_FIELDS(X)
+#define X(field, name) json[name] = endpoint.field;
+    ENDPOINT_FIELDS(X)
 #undef X
     return json;
 }
 
 discovery::Endpoint decodeEndpoint(const Json& from) {
-    discovery::Endpoint member;
-#define X(field, name) from.at(name).get_to(member.field);
-    MEMBER_FIELDS(X)
+    discovery::Endpoint endpoint;
+#define X(field, name) from.at(name).get_to(endpoint.field);
+    ENDPOINT_FIELDS(X)
 #undef X
-    return member;
+    return endpoint;
 }
 
-discovery::Endpoint listed(const Json& entry) {
-    discovery::Endpoint member;
-    entry.at("instance_id").get_to(member.id);
-    entry.at("service_name").get_to(member.service);
-    entry.at("address").get_to(member.address);
-    entry.at("zone").get_to(member.zone);
-    entry.at("config_version").get_to(member.version);
-    entry.at("capacity_slots").get_to(member.slots);
-    member.draining = entry.at("state").get<std::string>() != "ready";
+discovery::Endpoint decodePlatformEntry(const Json& entry) {
+    discovery::Endpoint endpoint;
+    entry.at("instance_id").get_to(endpoint.id);
+    entry.at("service_name").get_to(endpoint.service);
+    entry.at("address").get_to(endpoint.address);
+    entry.at("zone").get_to(endpoint.zone);
+    entry.at("config_version").get_to(endpoint.version);
+    entry.at("capacity_slots").get_to(endpoint.slots);
+    endpoint.draining = entry.at("state").get<std::string>() != "ready";
     if (const auto left = entry.find("warmup_left"); left != entry.end() && left->is_string())
-        member.warmup = config::span(left->get_ref<const std::string&>());
-    return member;
+        endpoint.warmup = config::parseDuration(left->get_ref<const std::string&>());
+    return endpoint;
 }
 
 Json encodeBytes(const std::string& bytes) {
@@ -56,7 +56,7 @@
     return {bytes.begin(), bytes.end()};
 }
 
-Json write(const consensus::ProposalNumber& proposalNumber) {
+Json encode(const consensus::ProposalNumber& proposalNumber) {
     return Json::array({proposalNumber.round, proposalNumber.writer});
 }
 
@@ -64,15 +64,15 @@
     return {from.at(0).get<std::uint64_t>(), from.at(1).get<std::uint32_t>()};
 }
 
-Json write(const consensus::RegisterState& cell) {
-    return Json::array({write(cell.promised), write(cell.accepted), encodeBytes(cell.value)});
+Json encode(const consensus::RegisterState& state) {
+    return Json::array({encode(state.promised), encode(state.accepted), encodeBytes(state.value)});
 }
 
 consensus::RegisterState decodeRegisterState(const Json& from) {
     return {decodeProposalNumber(from.at(0)), decodeProposalNumber(from.at(1)), decodeBytes(from.at(2))};
 }
 
-Json write(const verdict::Totals& totals) {
+Json encode(const verdict::Totals& totals) {
     Json json = Json::object();
     for (const auto& [route, sides] : totals)
         for (const auto& side : sides) {
@@ -96,7 +96,7 @@
     return totals;
 }
 
-std::string write(const std::vector<Rollout>& rollouts) {
+std::string encode(const std::vector<Rollout>& rollouts) {
     auto list = Json::array();
     for (const auto& rollout : rollouts) {
         Json json;
--- a/src/messages/codec.hpp
+++ b/src/messages/codec.hpp
@@ -14,21 +14,21 @@
 
 using Json = nlohmann::json;
 
-Json write(const discovery::Endpoint& member);
+Json encode(const discovery::Endpoint& endpoint);
 discovery::Endpoint decodeEndpoint(const Json& from);
 // One entry of the platform's list.
-discovery::Endpoint listed(const Json& entry);
+discovery::Endpoint decodePlatformEntry(const Json& entry);
 
 // Bytes that need not be text.
 Json encodeBytes(const std::string& bytes);
 std::string decodeBytes(const Json& from);
 
-Json write(const consensus::ProposalNumber& proposalNumber);
+Json encode(const consensus::ProposalNumber& proposalNumber);
 consensus::ProposalNumber decodeProposalNumber(const Json& from);
-Json write(const consensus::RegisterState& cell);
+Json encode(const consensus::RegisterState& state);
 consensus::RegisterState decodeRegisterState(const Json& from);
 
-Json write(const verdict::Totals& totals);
+Json encode(const verdict::Totals& totals);
 verdict::Totals decodeTotals(const Json& from);
 
 // One order to bring a version in. Stages: 0 a share; 1 a rehearsal, all traffic for a moment; 2 all traffic,
@@ -44,7 +44,7 @@
     bool running() const { return state == "in_progress"; }
 };
 
-std::string write(const std::vector<Rollout>& rollouts);
+std::string encode(const std::vector<Rollout>& rollouts);
 std::vector<Rollout> decodeRollouts(const std::string& text);  // "" is none
 
 }  // namespace lichenlanding::messages
--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -157,7 +157,7 @@
         auto session = std::make_shared<ClientConnection>(std::move(socket), io_);
         session->number = ++arrivals_;
         sessions_[session->number] = session;
-        start(io_, "client", read(session));
+        spawn(io_, "client", read(session));
     }
 }
 
@@ -176,7 +176,7 @@
 }
 
 void HttpServer::sweep(Nanos now) {
-    const Nanos idleTimeout = router_.configuration() ? router_.configuration()->bounds.idleTimeout : 0;
+    const Nanos idleTimeout = router_.configuration() ? router_.configuration()->clientLimits.idleTimeout : 0;
     std::vector<std::shared_ptr<ClientConnection>> late, deaf;
     for (const auto& [_, session] : sessions_) {
         if (session->fetching && now > session->fetchBy) deaf.push_back(session);
@@ -290,7 +290,7 @@
 
 Task<> HttpServer::read(std::shared_ptr<ClientConnection> session) {
     const auto bounds = [&] {
-        return router_.configuration() ? router_.configuration()->bounds : config::ClientLimits{};
+        return router_.configuration() ? router_.configuration()->clientLimits : config::ClientLimits{};
     };
     const auto answer = [&](Response response) {
         auto exchange = std::make_shared<RequestContext>();
@@ -361,7 +361,7 @@
         if (!parser->is_done()) exchange->upload = parser, exchange->last = true;
         exchange->skipBody = exchange->request.method() == http::verb::head;
         session->queue.push_back(exchange);
-        start(io_, "request", play(session, exchange));
+        spawn(io_, "request", play(session, exchange));
         if (exchange->last) break;
         while (session->queue.size() >= kAheadAtMost && !session->dead)
             co_await session->room.wait(now() + kSecond);
@@ -379,7 +379,7 @@
     if (session->writing || !session->queue.front()->ready) return;
     session->writing = true;
     session->writingSince = now();  // before the writer's turn comes: the sweep looks at both
-    start(io_, "answer", write(session));
+    spawn(io_, "answer", write(session));
 }
 
 Task<> HttpServer::write(std::shared_ptr<ClientConnection> session) {
@@ -411,7 +411,7 @@
             break;
         }
         if (session->queue.empty() && router_.configuration())
-            session->rest(now(), router_.configuration()->bounds.idleTimeout);
+            session->rest(now(), router_.configuration()->clientLimits.idleTimeout);
         session->room.notify();
         if (last) {
             ErrorCode ignored;
@@ -541,7 +541,7 @@
                 exchange->calls.push_back(call);
                 looked.push_back(false);
                 hedgeAt = exchange->upload ? way.deadline : router_.hedgeAt(way, now());
-                start(io_, "send", send(session, exchange, call));
+                spawn(io_, "send", send(session, exchange, call));
             } else if (!exchange->upload) {
                 // For want of budget or of pods, and maybe not for long.
                 hedgeAt = router_.nextHedgeCheckAt(way, now());
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -29,15 +29,15 @@
           router(boot, seed),
           upstream(io),
           front(io, router, upstream, [this] { return awake(); }),
-          clients(listen(io, boot.front)),
-          probes(listen(io, boot.readiness)),
-          doors(listen(io, boot.internal(boot.ip))) {
+          clients(listen(io, boot.httpAddress)),
+          probes(listen(io, boot.readinessAddress)),
+          doors(listen(io, boot.peerAddress(boot.ip))) {
         std::random_device draw;
         life = (static_cast<std::uint64_t>(draw()) << 32) | draw();
-        owner = std::make_shared<PeerConnection::Owner>();
-        owner->greet = [this](PeerConnection& link) { return greet(link); };
-        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](PeerConnection& link) { closed(link); };
+        owner = std::make_shared<PeerConnection::Callbacks>();
+        owner->makeHello = [this](PeerConnection& link) { return greet(link); };
+        owner->onMessage = [this](PeerConnection& link, const Json& message) { heard(link, message); };
+        owner->onClosed = [this](PeerConnection& link) { closed(link); };
     }
 
     // ---- Company: links to control nodes and to voters. ----
@@ -46,7 +46,7 @@
         return {{"t", "hello"},
                 {"kind", "foyer"},
                 {"name", boot.name},
-                {"at", boot.internal(boot.ip)},
+                {"at", boot.peerAddress(boot.ip)},
                 {"life", life}};
     }
 
@@ -54,11 +54,11 @@
         auto& dialer = dialers[address];
         if (dialer) return;
         dialer = std::make_shared<Dialer>(io, address, owner);
-        dialer->go();
+        dialer->start();
     }
 
     void dialSeeds() {
-        for (const auto& seedAddress : boot.seeds) dial(boot.internal(hostOf(seedAddress)));
+        for (const auto& seedAddress : boot.seeds) dial(boot.peerAddress(hostOf(seedAddress)));
     }
 
     void heard(PeerConnection& link, const Json& message) {
@@ -68,7 +68,7 @@
             link.kind = message.at("kind").get<std::string>();
             if (link.kind == "prompter")
                 for (const auto& member : message.at("members")) dial(member.get<std::string>());
-            else link.pace(boot.heartbeat);
+            else link.setHeartbeatInterval(boot.heartbeat);
         } else if (kind == "roster") {
             rosters[link.peer] = message.at("foyers").get<std::map<std::string, std::string>>();
             enrol();
@@ -86,47 +86,47 @@
         const bool sure = message.value("sure", true);
         const auto& kind = message.at("t").get_ref<const std::string&>();
         if (kind != "want") {
-            if (controlNode) reached(quorumContact.heard(link.peer, sure, now()));
-            if (!quorumContact.takes(sure, cache.version() > 0, now())) return;
+            if (controlNode) reached(quorumContact.onControlNodeMessage(link.peer, sure, now()));
+            if (!quorumContact.acceptsUpdates(sure, cache.version() > 0, now())) return;
         }
-        cache.heard(message, controlNode ? MessageSource::controlNode : MessageSource::neighbour, now(),
-                    [&](Json reply) {
-                        if (reply.at("t") != "want") reply["sure"] = quorumContact.sure();
-                        link.send(reply);
-                    });
+        cache.handleMessage(message, controlNode ? MessageSource::controlNode : MessageSource::peerProxy,
+                            now(), [&](Json reply) {
+                                if (reply.at("t") != "want") reply["sure"] = quorumContact.isConfirmed();
+                                link.send(reply);
+                            });
         if (sure && cache.version() > 0 &&
             (kind == "configuration" || (kind == "digest" && message.at("configuration") <= cache.version())))
-            quorumContact.holds(true);
+            quorumContact.markConfirmed(true);
         // Proxies that turn from pod to pod together do so by the clock of who tells them the list, not by
         // theirs.
         if (controlNode && kind == "digest" && message.contains("clock"))
             router.common(message.at("clock").get<std::int64_t>() * kMillisecond - now());
-        if (cache.listed()) router.listed();
+        if (cache.endpointsCurrent()) router.listed();
     }
 
     void reached(subscription::QuorumContact::Change change) {
         using Change = subscription::QuorumContact::Change;
         if (change == Change::none) return;
-        log(change == Change::unsure ? "news_unsure" : "news_sure",
+        log(change == Change::unconfirmed ? "news_unsure" : "news_sure",
             {{"step", "news"},
              {"configuration", config::formatVersion(cache.version())},
-             {"held_sure", quorumContact.sure()}});
+             {"held_sure", quorumContact.isConfirmed()}});
     }
 
     Json digest() const {
-        auto told = cache.digest();
-        told["sure"] = quorumContact.sure();
+        auto told = cache.digestMessage();
+        told["sure"] = quorumContact.isConfirmed();
         return told;
     }
 
     void closed(PeerConnection& link) {
-        if (link.kind == "prompter") reached(quorumContact.onPeerDisconnected(link.peer, now()));
+        if (link.kind == "prompter") reached(quorumContact.onControlNodeDisconnected(link.peer, now()));
         if (rosters.erase(link.peer) > 0) enrol();
         for (const auto& name : watching)
             if (const auto at = proxies.find(name);
                 at != proxies.end() && at->second == link.peer && link.kind == "foyer") {
                 log("neighbour_lost", {{"step", "watch"}, {"peer", name}});
-                const auto packed = PeerConnection::pack(Json{{"t", "lost"}, {"name", name}});
+                const auto packed = PeerConnection::encode(Json{{"t", "lost"}, {"name", name}});
                 for (const auto& to : controlNodes()) to->send(packed);
             }
     }
@@ -134,12 +134,12 @@
     void take(const std::string& compressed) {
         try {
             router.take(std::make_shared<const config::Configuration>(
-                config::Configuration::read(decompress(compressed))));
+                config::Configuration::parse(decompress(compressed))));
         } catch (const std::exception& wrong) {
             log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
         }
         const auto version = router.configuration() ? router.configuration()->version : 0;
-        const auto packed = PeerConnection::pack(Json{{"t", "ack"}, {"configuration", version}});
+        const auto packed = PeerConnection::encode(Json{{"t", "ack"}, {"configuration", version}});
         for (const auto& link : controlNodes()) link->send(packed);
     }
 
@@ -147,7 +147,7 @@
         const std::map<std::string, std::shared_ptr<Dialer>>& all, const char* kind) {
         std::vector<std::shared_ptr<PeerConnection>> links;
         for (const auto& [_, dialer] : all)
-            if (auto link = dialer->link(); link && link->kind == kind) links.push_back(link);
+            if (auto link = dialer->connection(); link && link->kind == kind) links.push_back(link);
         return links;
     }
     std::vector<std::shared_ptr<PeerConnection>> controlNodes() const { return open(dialers, "prompter"); }
@@ -156,11 +156,11 @@
     void enrol() {
         if (!rosters.empty() || proxies.empty()) proxies.clear();
         for (const auto& [_, roster] : rosters) proxies.insert(roster.begin(), roster.end());
-        proxies[boot.name] = boot.internal(boot.ip);
+        proxies[boot.name] = boot.peerAddress(boot.ip);
         router.company(proxies.size(), now());
         std::vector<std::string> names;
         for (const auto& [name, _] : proxies) names.push_back(name);
-        watching = hashing::watched(std::move(names), boot.name);
+        watching = hashing::watchedPeers(std::move(names), boot.name);
         keepPeers();
     }
 
@@ -181,7 +181,7 @@
             auto& dialer = peers[address];
             if (dialer) continue;
             dialer = std::make_shared<Dialer>(io, address, owner);
-            dialer->go();
+            dialer->start();
         }
     }
 
@@ -189,10 +189,10 @@
     Task<> watch() {
         for (;;) {
             co_await sleep(boot.heartbeat);
-            const auto packed = PeerConnection::pack(digest());
+            const auto packed = PeerConnection::encode(digest());
             for (const auto& name : watching)
                 if (const auto peer = peers.find(proxies.at(name)); peer != peers.end())
-                    if (const auto link = peer->second->link()) link->send(packed);
+                    if (const auto link = peer->second->connection()) link->send(packed);
         }
     }
 
@@ -201,7 +201,8 @@
     std::vector<std::string> votersOf(const messages::Rollout& rollout) const {
         std::vector<std::string> names;
         for (const auto& [name, _] : proxies) names.push_back(name);
-        return hashing::chosen(names, rollout.service + "\n" + rollout.target, verdict::kVoterCount);
+        return hashing::rendezvousSelect(names, rollout.service + "\n" + rollout.target,
+                                         verdict::kVoterCount);
     }
 
     void watchRollouts() {
@@ -211,7 +212,7 @@
             std::any_of(all.begin(), all.end(), [](const auto& one) { return one.running(); });
         if (!running || counting) return;
         counting = true;
-        start(io, "counts", count());
+        spawn(io, "counts", count());
     }
 
     Task<> count() {
@@ -247,13 +248,13 @@
             const auto peer = peers.find(proxies.at(voter));
             if (peer == peers.end()) continue;
             if (!packed)
-                packed = PeerConnection::pack(Json{{"t", "counts"},
-                                                   {"from", boot.name},
-                                                   {"life", life},
-                                                   {"number", counted},
-                                                   {"rollout", key},
-                                                   {"totals", messages::write(totals)}});
-            if (auto link = peer->second->link()) link->send(packed);
+                packed = PeerConnection::encode(Json{{"t", "counts"},
+                                                     {"from", boot.name},
+                                                     {"life", life},
+                                                     {"number", counted},
+                                                     {"rollout", key},
+                                                     {"totals", messages::encode(totals)}});
+            if (auto link = peer->second->connection()) link->send(packed);
         }
     }
 
@@ -282,7 +283,7 @@
                         {"bad", judged.bad},
                         {"lower", judged.bounds.lowerChance},
                         {"upper", judged.bounds.upperChance}};
-        const auto packed = PeerConnection::pack(vote);
+        const auto packed = PeerConnection::encode(vote);
         for (const auto& link : controlNodes()) link->send(packed);
     }
 
@@ -299,10 +300,10 @@
                 doubtUntil = now() + kWakeWithin;
                 log("woke", {{"stood_ms", gap / kMillisecond}});
             }
-            if (quorumContact.waited(cache.version() > 0, now())) {
+            if (quorumContact.waitElapsed(cache.version() > 0, now())) {
                 log("news_taken_unsure",
-                    {{"step", "news"}, {"waited_ms", quorumContact.unsureWait / kMillisecond}});
-                const auto packed = PeerConnection::pack(digest());
+                    {{"step", "news"}, {"waited_ms", quorumContact.kUnconfirmedWait / kMillisecond}});
+                const auto packed = PeerConnection::encode(digest());
                 for (const auto& link : controlNodes()) link->send(packed);
             }
             front.sweep(now());
@@ -320,10 +321,10 @@
     }
 
     Task<> leave() {
-        const Nanos began = now(), end = began + boot.grace - kLeaveBefore;
+        const Nanos began = now(), end = began + boot.shutdownGrace - kLeaveBefore;
         log("leaving", {{"open", front.open()}});
         front.drain();
-        co_await sleep(std::min(kTakeOnFor, boot.grace / 2));
+        co_await sleep(std::min(kTakeOnFor, boot.shutdownGrace / 2));
         ErrorCode ignored;
         clients.close(ignored);
         while (front.open() > 0 && now() < end) {
@@ -349,20 +350,20 @@
 
     void run() {
         enrol();
-        signals(
+        handleSignals(
             io,
             [this] {
                 if (std::exchange(leaving, true)) return;
-                start(io, "leave", leave());
+                spawn(io, "leave", leave());
             },
             [this] { reload(); });
         log("start", {{"seed", seed}, {"life", life}});
         dialSeeds();
-        start(io, "links", servePeerConnections(io, doors, owner));
-        start(io, "clients", front.serve(clients));
-        start(io, "readiness", serveReadiness(io, probes, [this] { return ready(); }));
-        start(io, "tend", tend());
-        start(io, "watch", watch());
+        spawn(io, "links", servePeerConnections(io, doors, owner));
+        spawn(io, "clients", front.serve(clients));
+        spawn(io, "readiness", serveReadiness(io, probes, [this] { return ready(); }));
+        spawn(io, "tend", tend());
+        spawn(io, "watch", watch());
         io.run();
     }
 
@@ -374,7 +375,7 @@
     UpstreamClient upstream;
     HttpServer front;
     tcp::acceptor clients, probes, doors;
-    std::shared_ptr<PeerConnection::Owner> owner;
+    std::shared_ptr<PeerConnection::Callbacks> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers, peers;  // by address: control nodes, proxies
     std::map<std::string, std::map<std::string, std::string>>
         rosters;  // by control node: proxies and addresses
--- a/src/proxy/readiness_server.cpp
+++ b/src/proxy/readiness_server.cpp
@@ -18,7 +18,7 @@
     for (;;) {
         http::request<http::empty_body> request;
         ErrorCode code;
-        stream.expires_after(span(within));
+        stream.expires_after(toDuration(within));
         co_await http::async_read(stream, buffer, request, withErrorCode(code));
         if (code) co_return;
         http::response<http::empty_body> response(
@@ -43,7 +43,7 @@
             co_await sleep(20 * kMillisecond);
             continue;
         }
-        start(io, "readiness", probe(std::move(socket), ready, within));
+        spawn(io, "readiness", probe(std::move(socket), ready, within));
     }
 }
 
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -149,7 +149,7 @@
         if (actor.lines >= maxConnections) co_return;  // unreached
         line = std::make_shared<UpstreamConnection>(io_, call->attempt->actor());
         call->line = line;
-        co_await line->socket.async_connect(endpoint(actor.listed.address), withErrorCode(code));
+        co_await line->socket.async_connect(parseAddress(actor.listed.address), withErrorCode(code));
         if (code || call->aborted) {
             call->line.reset();
             co_return;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -92,11 +92,11 @@
 
 Router::Router(const config::BootstrapSettings& boot, std::uint64_t seed)
     : zone_(boot.zone),
-      ratio_(boot.budgetRatio),
-      slack_(boot.budgetSlack),
+      ratio_(boot.retryBudgetRatio),
+      slack_(boot.retrySlack),
       share_(boot.exposureShare),
       beyond_(boot.exposureSlack),
-      window_(boot.budgetWindow),
+      window_(boot.retryBudgetWindow),
       chance_(seed) {}
 
 void Router::take(std::shared_ptr<const config::Configuration> configuration) {
@@ -106,9 +106,9 @@
 }
 
 void Router::apply(const discovery::EndpointEvent& event, Nanos now) {
-    const auto& id = event.member.id;
+    const auto& id = event.endpoint.id;
     auto at = hosts_.find(id);
-    if (event.gone) {
+    if (event.removed) {
         if (at == hosts_.end()) return;
         at->second->gone = true;
         std::erase(byService_[at->second->listed.service], at->second);
@@ -117,16 +117,17 @@
     }
     if (at == hosts_.end()) {
         auto actor = std::make_shared<UpstreamHost>();
-        actor->listed = event.member, actor->since = now, actor->slowStartUntil = now + event.member.warmup;
+        actor->listed = event.endpoint, actor->since = now,
+        actor->slowStartUntil = now + event.endpoint.warmup;
         at = hosts_.emplace(id, actor).first;
-        byService_[event.member.service].push_back(actor);
-        auto& settled = settled_[event.member.service];
+        byService_[event.endpoint.service].push_back(actor);
+        auto& settled = settled_[event.endpoint.service];
         const bool ordered = std::any_of(rollouts_.begin(), rollouts_.end(), [&](const auto& rollout) {
-            return rollout.service == event.member.service && rollout.target == event.member.version;
+            return rollout.service == event.endpoint.service && rollout.target == event.endpoint.version;
         });
-        if (settled.empty() && !ordered) settled.insert(event.member.version);
+        if (settled.empty() && !ordered) settled.insert(event.endpoint.version);
     }
-    at->second->listed.draining = event.member.draining;
+    at->second->listed.draining = event.endpoint.draining;
 }
 
 void Router::rollouts(std::vector<messages::Rollout> rollouts, Nanos now) {
@@ -237,11 +238,11 @@
 
 bool Router::begin(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
                    Nanos clientTime) {
-    request.route = configuration_ ? configuration_->find(host, path) : nullptr;
+    request.route = configuration_ ? configuration_->findRoute(host, path) : nullptr;
     if (!request.route) return false;
     const auto& route = *request.route;
-    request.service =
-        route.service(static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.weights)));
+    request.service = route.serviceForDraw(
+        static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.totalWeight)));
     request.arrived = now;
     request.deadline = now + std::min(clientTime, route.timeout);
     budget(request.service).cell(now).first += 1;
@@ -276,7 +277,7 @@
     for (const auto* place : {&near, &far})
         for (const auto* actor : *place) names.push_back((*actor)->listed.id);
     const auto turn = (now + offset_) / kFocusFor;
-    const auto chosen = hashing::chosen(names, target + std::to_string(turn), count);
+    const auto chosen = hashing::rendezvousSelect(names, target + std::to_string(turn), count);
     for (auto* place : {&near, &far})
         std::erase_if(*place, [&](const auto* actor) {
             return std::find(chosen.begin(), chosen.end(), (*actor)->listed.id) == chosen.end();
@@ -444,7 +445,7 @@
 }
 
 int Router::maxConnections(const UpstreamHost& actor) const {
-    const auto* service = configuration_ ? configuration_->service(actor.listed.service) : nullptr;
+    const auto* service = configuration_ ? configuration_->findService(actor.listed.service) : nullptr;
     const double share =
         service ? static_cast<double>(service->maxConnections) * kLinesPart / static_cast<double>(proxies_)
                 : 2;
--- a/src/scale_test/hollow.cpp
+++ b/src/scale_test/hollow.cpp
@@ -71,19 +71,19 @@
 
     void open() {
         const auto self = shared_from_this();
-        owner_ = std::make_shared<PeerConnection::Owner>();
-        owner_->greet = [self](PeerConnection& link) { return self->greet(link); };
-        owner_->heard = [self](PeerConnection& link, const Json& message) {
+        owner_ = std::make_shared<PeerConnection::Callbacks>();
+        owner_->makeHello = [self](PeerConnection& link) { return self->greet(link); };
+        owner_->onMessage = [self](PeerConnection& link, const Json& message) {
             if (!self->left_) self->heard(link, message);
         };
-        owner_->closed = [self](PeerConnection& link) {
+        owner_->onClosed = [self](PeerConnection& link) {
             if (!self->left_) self->closed(link);
         };
         door_ = std::make_unique<tcp::acceptor>(listen(room_.io, at(ip_)));
         enrol();
         for (const auto& seed : room_.told.at("seeds")) dial(seed.get<std::string>());
-        start(room_.io, "links", servePeerConnections(room_.io, *door_, owner_));
-        start(room_.io, "watch", watch(self));
+        spawn(room_.io, "links", servePeerConnections(room_.io, *door_, owner_));
+        spawn(room_.io, "watch", watch(self));
     }
 
     void leave() {
@@ -120,7 +120,7 @@
         auto& dialer = dialers_[address];
         if (dialer || left_) return;
         dialer = std::make_shared<Dialer>(room_.io, address, owner_);
-        dialer->go();
+        dialer->start();
     }
 
     void heard(PeerConnection& link, const Json& message) {
@@ -131,7 +131,7 @@
                 fact("link", {{"name", name_}, {"to", link.peer}, {"open", true}});
                 for (const auto& member : message.at("members")) dial(member.get<std::string>());
             } else {
-                link.pace(room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
+                link.setHeartbeatInterval(room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
             }
         }
         count(room_.tally.heard, link, message);
@@ -142,9 +142,9 @@
             news(link, message, kind);
         }
         if (std::exchange(configurationNew_, false)) took();
-        if (!ready_ && cache_.listed() && cache_.version() > 0 && rolloutsKnown_) {
+        if (!ready_ && cache_.endpointsCurrent() && cache_.version() > 0 && rolloutsKnown_) {
             ready_ = true;
-            fact("ready", {{"name", name_}, {"pods", cache_.endpoints().members().size()}});
+            fact("ready", {{"name", name_}, {"pods", cache_.endpoints().endpoints().size()}});
         }
     }
 
@@ -152,22 +152,22 @@
         using MessageSource = subscription::ConfigurationCache::MessageSource;
         const bool controlNode = link.kind == "prompter", sure = message.value("sure", true);
         if (kind != "want") {
-            if (controlNode) confidence_.heard(link.peer, sure, now());
-            if (!confidence_.takes(sure, cache_.version() > 0, now())) return;
+            if (controlNode) confidence_.onControlNodeMessage(link.peer, sure, now());
+            if (!confidence_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
         }
-        cache_.heard(message, controlNode ? MessageSource::controlNode : MessageSource::neighbour, now(),
-                     [&](Json reply) {
-                         if (reply.at("t") != "want") reply["sure"] = confidence_.sure();
-                         send(link, reply);
-                     });
+        cache_.handleMessage(message, controlNode ? MessageSource::controlNode : MessageSource::peerProxy,
+                             now(), [&](Json reply) {
+                                 if (reply.at("t") != "want") reply["sure"] = confidence_.isConfirmed();
+                                 send(link, reply);
+                             });
         if (sure && cache_.version() > 0 &&
             (kind == "configuration" ||
              (kind == "digest" && message.at("configuration") <= cache_.version())))
-            confidence_.holds(true);
+            confidence_.markConfirmed(true);
     }
 
     void closed(PeerConnection& link) {
-        if (link.kind == "prompter") confidence_.onPeerDisconnected(link.peer, now());
+        if (link.kind == "prompter") confidence_.onControlNodeDisconnected(link.peer, now());
         if (link.kind == "prompter") fact("link", {{"name", name_}, {"to", link.peer}, {"open", false}});
         if (rosters_.erase(link.peer) > 0) enrol();
         if (link.kind != "foyer") return;
@@ -177,7 +177,8 @@
 
     void tell(const Json& message) {
         for (const auto& [_, dialer] : dialers_)
-            if (const auto link = dialer->link(); link && link->kind == "prompter") send(*link, message);
+            if (const auto link = dialer->connection(); link && link->kind == "prompter")
+                send(*link, message);
     }
 
     void took() {
@@ -200,7 +201,7 @@
         for (const auto& [name, _] : proxies) names.push_back(name);
         watching_.clear();
         std::set<std::string> wanted;
-        for (const auto& name : hashing::watched(std::move(names), name_))
+        for (const auto& name : hashing::watchedPeers(std::move(names), name_))
             wanted.insert(watching_[name] = proxies.at(name));
         std::erase_if(peers_, [&](const auto& peer) {
             const bool drop = !wanted.contains(peer.first);
@@ -211,26 +212,26 @@
             auto& dialer = peers_[address];
             if (dialer || left_) continue;
             dialer = std::make_shared<Dialer>(room_.io, address, owner_);
-            dialer->go();
+            dialer->start();
         }
     }
 
     static Task<> watch(std::shared_ptr<HollowProxy> self) {
         while (!self->left_) {
             co_await sleep(self->room_.told.at("heartbeat_ms").get<Nanos>() * kMillisecond);
-            auto digest = self->cache_.digest();
-            digest["sure"] = self->confidence_.sure();
-            if (self->confidence_.waited(self->cache_.version() > 0, now())) self->tell(digest);
+            auto digest = self->cache_.digestMessage();
+            digest["sure"] = self->confidence_.isConfirmed();
+            if (self->confidence_.waitElapsed(self->cache_.version() > 0, now())) self->tell(digest);
             for (const auto& [_, address] : self->watching_)
                 if (const auto peer = self->peers_.find(address); peer != self->peers_.end())
-                    if (const auto link = peer->second->link()) self->send(*link, digest);
+                    if (const auto link = peer->second->connection()) self->send(*link, digest);
         }
     }
 
     Room& room_;
     const std::string name_, ip_;
     const std::uint64_t life_ = room_.chance() >> 12;
-    std::shared_ptr<PeerConnection::Owner> owner_;
+    std::shared_ptr<PeerConnection::Callbacks> owner_;
     std::unique_ptr<tcp::acceptor> door_;
     std::map<std::string, std::shared_ptr<Dialer>> dialers_, peers_;
     std::map<std::string, std::shared_ptr<const Roster>> rosters_;  // by control node
@@ -239,12 +240,13 @@
     std::map<std::string, std::string> watching_;  // proxies and addresses
     std::vector<std::weak_ptr<PeerConnection>> links_;
     bool ready_ = false, rolloutsKnown_ = false, left_ = false, configurationNew_ = false;
-    subscription::ConfigurationCache cache_{{[this](const std::string&) { configurationNew_ = true; },
-                                             [this](const std::string&) { rolloutsKnown_ = true; },
-                                             [this](const discovery::EndpointEvent& event) {
-                                                 if (ready_ && (event.gone || event.member.draining))
-                                                     fact("pod", {{"name", name_}, {"id", event.member.id}});
-                                             }}};
+    subscription::ConfigurationCache cache_{
+        {[this](const std::string&) { configurationNew_ = true; },
+         [this](const std::string&) { rolloutsKnown_ = true; },
+         [this](const discovery::EndpointEvent& event) {
+             if (ready_ && (event.removed || event.endpoint.draining))
+                 fact("pod", {{"name", name_}, {"id", event.endpoint.id}});
+         }}};
 };
 
 Task<> tallies(Room& room) {
@@ -276,7 +278,7 @@
         std::string word, name;
         stream >> word >> name;
         stream.ignore(1);
-        if (word == "restart") start(room.io, "restart", restart(room, proxies, name));
+        if (word == "restart") spawn(room.io, "restart", restart(room, proxies, name));
     }
     room.io.stop();
 }
@@ -300,8 +302,8 @@
         proxy->open();
         proxies[hollowName(n)] = {n, proxy};
     }
-    start(io, "tally", tallies(room));
-    start(io, "orders", orders(room, proxies));
+    spawn(io, "tally", tallies(room));
+    spawn(io, "orders", orders(room, proxies));
     io.run();
     std::fflush(stderr);
     _exit(0);  // what is left open ends with the process
--- a/src/scale_test/platform.cpp
+++ b/src/scale_test/platform.cpp
@@ -16,7 +16,7 @@
 Platform::Platform(asio::io_context& io, const ScenarioConfig& plan)
     : io_(io), plan_(plan), door_(listen(io, "127.0.0.1:0")), left_(static_cast<double>(plan.calls)) {
     while (made_ < plan_.pods) pods_.push_back(pod(plan_, made_++));
-    start(io_, "platform", accept());
+    spawn(io_, "platform", accept());
 }
 
 std::string Platform::address() const { return "127.0.0.1:" + std::to_string(door_.local_endpoint().port()); }
@@ -66,7 +66,7 @@
         ErrorCode code;
         auto socket = co_await door_.async_accept(withErrorCode(code));
         if (code) co_return;
-        start(io_, "platform", serve(std::move(socket)));
+        spawn(io_, "platform", serve(std::move(socket)));
     }
 }
 
--- a/src/scale_test/scale_test.cpp
+++ b/src/scale_test/scale_test.cpp
@@ -68,9 +68,9 @@
     bool run() {
         print({{"phase", "plan"}, {"settings", plan_.describe()}, {"port", port_}, {"load", load()}});
         print({{"phase", "sizes"}, {"of", sizes(plan_)}});
-        start(io_, "scale", guarded());
-        start(io_, "limit", limit());
-        start(io_, "memory", watchMemory());
+        spawn(io_, "scale", guarded());
+        spawn(io_, "limit", limit());
+        spawn(io_, "memory", watchMemory());
         io_.run();
         for (auto& [_, process] : processes_) stop(process);
         print({{"phase", "end"},
@@ -193,7 +193,7 @@
         process.id = id, process.role = role, process.words = std::move(words), process.settings = settings;
         process.out = std::make_unique<asio::posix::stream_descriptor>(io_, out[0]);
         process.in = std::make_unique<asio::posix::stream_descriptor>(io_, in[1]);
-        start(io_, "lines", lines(name, process.out.get()));
+        spawn(io_, "lines", lines(name, process.out.get()));
     }
 
     static void stop(Process& process) {
@@ -267,9 +267,9 @@
 
     Task<int> call(std::string address, http::request<http::string_body> request) {
         beast::tcp_stream stream(io_);
-        stream.expires_after(span(kCallWithin));
+        stream.expires_after(toDuration(kCallWithin));
         ErrorCode code;
-        co_await stream.async_connect(endpoint(address), withErrorCode(code));
+        co_await stream.async_connect(parseAddress(address), withErrorCode(code));
         if (code) co_return 0;
         request.set(http::field::host, request[http::field::host].empty() ? beast::string_view(address)
                                                                           : request[http::field::host]);
@@ -524,7 +524,7 @@
             co_await replace(change);
             asked.emplace_back(sent, now());
             for (std::int64_t n = 0; n < plan_.realProxies; ++n)
-                ++open, start(io_, "route",
+                ++open, spawn(io_, "route",
                               askRoute(n, change, &real[static_cast<std::size_t>(change - 1)], &open));
             const Nanos next = began + change * plan_.changeEvery * kMillisecond;
             if (now() < next) co_await sleep(next - now());
@@ -577,7 +577,7 @@
         int open = 0;
         for (std::int64_t n = 0; n < plan_.podChanges; ++n) {
             ++open;
-            start(io_, "pod", [](Scale& self, std::vector<Nanos>& into, int& left) -> Task<> {
+            spawn(io_, "pod", [](Scale& self, std::vector<Nanos>& into, int& left) -> Task<> {
                 const auto last = co_await self.podChange();
                 if (last > 0) into.push_back(last);
                 --left;
--- a/src/scale_test/sizes.cpp
+++ b/src/scale_test/sizes.cpp
@@ -44,10 +44,10 @@
     auto& told = all["configuration"] =
         weighed({{"t", "configuration"}, {"version", 1}, {"squeezed", messages::encodeBytes(compressed)}});
     told["squeeze_ms"] = squeezing, told["body_bytes"] = body.size();
-    told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = config::Configuration::read(body); });
+    told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = config::Configuration::parse(body); });
 
     Json list = Json::array();
-    for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(messages::write(pod(plan, n)));
+    for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(messages::encode(pod(plan, n)));
     all["list"] =
         weighed({{"t", "pods"}, {"change", 1}, {"stamp", 1}, {"set", list}, {"gone", Json::array()}});
     if (plan.pods > 0)
@@ -78,7 +78,7 @@
                              {"life", 1},
                              {"number", 1},
                              {"rollout", "s1\nv2"},
-                             {"totals", messages::write(totals)}});
+                             {"totals", messages::encode(totals)}});
     return all;
 }
 
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr char kFormat = 1;
-constexpr char kCellMark = 'c', kNoteMark = 'n';
+constexpr char kStateMark = 'c', kNoteMark = 'n';
 
 void check(int code, const char* step, const std::string& folder) {
     if (code != 0)
@@ -37,12 +37,12 @@
 }
 
 template <typename T>
-void add(std::string& bytes, T number) {
+void append(std::string& bytes, T number) {
     bytes.append(reinterpret_cast<const char*>(&number), sizeof number);
 }
 
 template <typename T>
-T cut(std::string_view& bytes) {
+T consume(std::string_view& bytes) {
     T number{};
     if (bytes.size() < sizeof number) throw StorageError("promptbook: a record is cut short");
     std::memcpy(&number, bytes.data(), sizeof number);
@@ -50,35 +50,36 @@
     return number;
 }
 
-std::string sealed(std::string bytes) {
+std::string withChecksum(std::string bytes) {
     bytes.insert(bytes.begin(), kFormat);
-    add(bytes, checksum(bytes));
+    append(bytes, checksum(bytes));
     return bytes;
 }
 
-std::string_view opened(std::string_view bytes, const std::string& key) {
+std::string_view verified(std::string_view bytes, const std::string& key) {
     if (bytes.size() < 5 || bytes.front() != kFormat)
         throw StorageError("promptbook: record " + key + " is of another format");
     auto sum = bytes.substr(bytes.size() - 4);
     bytes.remove_suffix(4);
-    if (cut<std::uint32_t>(sum) != checksum(bytes))
+    if (consume<std::uint32_t>(sum) != checksum(bytes))
         throw StorageError("promptbook: record " + key + " fails its checksum");
     return bytes.substr(1);
 }
 
-std::string bytesOf(const consensus::RegisterState& cell) {
+std::string encodeState(const consensus::RegisterState& state) {
     std::string bytes;
-    for (const auto& proposalNumber : {cell.promised, cell.accepted})
-        add(bytes, proposalNumber.round), add(bytes, proposalNumber.writer);
-    return bytes + cell.value;
+    for (const auto& proposalNumber : {state.promised, state.accepted})
+        append(bytes, proposalNumber.round), append(bytes, proposalNumber.writer);
+    return bytes + state.value;
 }
 
-consensus::RegisterState cellOf(std::string_view bytes) {
-    consensus::RegisterState cell;
-    for (auto* proposalNumber : {&cell.promised, &cell.accepted})
-        proposalNumber->round = cut<std::uint64_t>(bytes), proposalNumber->writer = cut<std::uint32_t>(bytes);
-    cell.value = bytes;
-    return cell;
+consensus::RegisterState decodeState(std::string_view bytes) {
+    consensus::RegisterState state;
+    for (auto* proposalNumber : {&state.promised, &state.accepted})
+        proposalNumber->round = consume<std::uint64_t>(bytes),
+        proposalNumber->writer = consume<std::uint32_t>(bytes);
+    state.value = bytes;
+    return state;
 }
 
 }  // namespace
@@ -89,12 +90,12 @@
     MDB_dbi dbi = 0;
 
     // One transaction, ended whichever way the scope is left.
-    struct Deed {
+    struct Transaction {
         MDB_txn* txn = nullptr;
-        Deed(const Parts& parts, unsigned flags) {
+        Transaction(const Parts& parts, unsigned flags) {
             check(mdb_txn_begin(parts.env, nullptr, flags, &txn), "begin", parts.folder);
         }
-        ~Deed() {
+        ~Transaction() {
             if (txn) mdb_txn_abort(txn);
         }
         int commit() { return mdb_txn_commit(std::exchange(txn, nullptr)); }
@@ -108,9 +109,9 @@
         if (code != 0) mdb_env_close(std::exchange(env, nullptr));
         check(code, "open", folder);
         try {
-            Deed deed(*this, 0);
-            check(mdb_dbi_open(deed.txn, nullptr, 0, &dbi), "open table", folder);
-            check(deed.commit(), "commit", folder);
+            Transaction transaction(*this, 0);
+            check(mdb_dbi_open(transaction.txn, nullptr, 0, &dbi), "open table", folder);
+            check(transaction.commit(), "commit", folder);
             syncFolder(folder);
             syncFolder(std::filesystem::absolute(folder).parent_path().string());
         } catch (...) {
@@ -123,7 +124,7 @@
     }
 
     void put(MDB_txn* txn, char mark, const std::string& name, const std::string& bytes) const {
-        auto key = mark + name, record = sealed(bytes);
+        auto key = mark + name, record = withChecksum(bytes);
         MDB_val at{key.size(), key.data()}, what{record.size(), record.data()};
         check(mdb_put(txn, dbi, &at, &what, 0), "put", folder);
     }
@@ -137,16 +138,16 @@
 
     template <typename Take>
     void each(char mark, Take take) const {
-        Deed deed(*this, MDB_RDONLY);
+        Transaction transaction(*this, MDB_RDONLY);
         MDB_cursor* cursor = nullptr;
-        check(mdb_cursor_open(deed.txn, dbi, &cursor), "cursor", folder);
+        check(mdb_cursor_open(transaction.txn, dbi, &cursor), "cursor", folder);
         const std::unique_ptr<MDB_cursor, decltype(&mdb_cursor_close)> owned(cursor, &mdb_cursor_close);
         MDB_val at, what;
         int code = 0;
         while ((code = mdb_cursor_get(cursor, &at, &what, MDB_NEXT)) == 0) {
             const std::string key(static_cast<const char*>(at.mv_data), at.mv_size);
             if (key.empty() || key[0] != mark) continue;
-            take(key.substr(1), opened({static_cast<const char*>(what.mv_data), what.mv_size}, key));
+            take(key.substr(1), verified({static_cast<const char*>(what.mv_data), what.mv_size}, key));
         }
         if (code != MDB_NOTFOUND) check(code, "read", folder);
     }
@@ -156,10 +157,10 @@
     : parts_(std::make_unique<Parts>(folder, bytes)) {}
 LmdbReplicaStore::~LmdbReplicaStore() = default;
 
-std::map<std::string, consensus::RegisterState> LmdbReplicaStore::cells() const {
+std::map<std::string, consensus::RegisterState> LmdbReplicaStore::states() const {
     std::map<std::string, consensus::RegisterState> all;
-    parts_->each(kCellMark,
-                 [&](const std::string& key, std::string_view bytes) { all[key] = cellOf(bytes); });
+    parts_->each(kStateMark,
+                 [&](const std::string& key, std::string_view bytes) { all[key] = decodeState(bytes); });
     return all;
 }
 
@@ -171,14 +172,14 @@
     return text;
 }
 
-void LmdbReplicaStore::write(const std::map<std::string, consensus::RegisterState>& cells,
+void LmdbReplicaStore::write(const std::map<std::string, consensus::RegisterState>& states,
                              const std::map<std::string, std::string>& notes) {
-    Parts::Deed deed(*parts_, 0);
-    for (const auto& [key, cell] : cells)
-        if (cell == consensus::RegisterState{}) parts_->drop(deed.txn, kCellMark, key);
-        else parts_->put(deed.txn, kCellMark, key, bytesOf(cell));
-    for (const auto& [key, text] : notes) parts_->put(deed.txn, kNoteMark, key, text);
-    check(deed.commit(), "commit", parts_->folder);
+    Parts::Transaction transaction(*parts_, 0);
+    for (const auto& [key, state] : states)
+        if (state == consensus::RegisterState{}) parts_->drop(transaction.txn, kStateMark, key);
+        else parts_->put(transaction.txn, kStateMark, key, encodeState(state));
+    for (const auto& [key, text] : notes) parts_->put(transaction.txn, kNoteMark, key, text);
+    check(transaction.commit(), "commit", parts_->folder);
     // LMDB writes its last page through a descriptor that is opened for synchronous writing. Where that means
     // nothing, only a sync of the file makes the commit last.
     mdb_filehandle_t file;
--- a/src/storage/replica_store.hpp
+++ b/src/storage/replica_store.hpp
@@ -1,4 +1,4 @@
-// The control node's disk: cells of the register by key, in LMDB. A call returns when what it wrote is
+// The control node's disk: states of the register by key, in LMDB. A call returns when what it wrote is
 // synced.
 //
 // Each record carries its format's number and a checksum (CRC-32), since LMDB keeps none. A book that cannot
@@ -14,7 +14,7 @@
 
 namespace lichenlanding::storage {
 
-// Notes beside the cells: the identity of the disk, its standing among the epochs (JSON), and the members as
+// Notes beside the states: the identity of the disk, its standing among the epochs (JSON), and the members as
 // a book from before there were epochs names them.
 inline const std::string kDiskNote = "disk", kStandingNote = "standing", kOldMembersNote = "members";
 
@@ -27,11 +27,11 @@
 class ReplicaStore {
   public:
     virtual ~ReplicaStore() = default;
-    virtual std::map<std::string, consensus::RegisterState> cells()
+    virtual std::map<std::string, consensus::RegisterState> states()
         const = 0;  // throws DiskError where a record is damaged
     virtual std::string note(const std::string& name) const = 0;  // "" if there is none
     // All of it is synced on return; on a throw nothing of it counts. A cell as it is when new is taken off.
-    virtual void write(const std::map<std::string, consensus::RegisterState>& cells,
+    virtual void write(const std::map<std::string, consensus::RegisterState>& states,
                        const std::map<std::string, std::string>& notes) = 0;
 };
 
@@ -41,9 +41,9 @@
     LmdbReplicaStore(const std::string& folder, std::size_t bytes);
     ~LmdbReplicaStore() override;
 
-    std::map<std::string, consensus::RegisterState> cells() const override;
+    std::map<std::string, consensus::RegisterState> states() const override;
     std::string note(const std::string& name) const override;
-    void write(const std::map<std::string, consensus::RegisterState>& cells,
+    void write(const std::map<std::string, consensus::RegisterState>& states,
                const std::map<std::string, std::string>& notes) override;
 
   private:
--- a/src/subscription/quorum_contact.cpp
+++ b/src/subscription/quorum_contact.cpp
@@ -5,12 +5,13 @@
 
 namespace lichenlanding::subscription {
 
-QuorumContact::Change QuorumContact::heard(const std::string& controlNode, bool sure, Nanos now) {
-    controlNodes_[controlNode] = sure;
+QuorumContact::Change QuorumContact::onControlNodeMessage(const std::string& controlNode, bool confirmed,
+                                                          Nanos now) {
+    controlNodes_[controlNode] = confirmed;
     return changed(now);
 }
 
-QuorumContact::Change QuorumContact::onPeerDisconnected(const std::string& controlNode, Nanos now) {
+QuorumContact::Change QuorumContact::onControlNodeDisconnected(const std::string& controlNode, Nanos now) {
     controlNodes_.erase(controlNode);
     return changed(now);
 }
@@ -22,23 +23,24 @@
 
 QuorumContact::Change QuorumContact::changed(Nanos now) {
     if (reached()) {
-        aloneSince_ = -1, asked_ = false;
-        return std::exchange(doubted_, false) ? Change::sure : Change::none;
+        unconfirmedSince_ = -1, fallbackRequested_ = false;
+        return std::exchange(reportedUnconfirmed_, false) ? Change::confirmed : Change::none;
     }
     if (controlNodes_.empty()) return Change::none;
-    if (aloneSince_ < 0) aloneSince_ = now;
-    return std::exchange(doubted_, true) ? Change::none : Change::unsure;
+    if (unconfirmedSince_ < 0) unconfirmedSince_ = now;
+    return std::exchange(reportedUnconfirmed_, true) ? Change::none : Change::unconfirmed;
 }
 
-bool QuorumContact::takes(bool sure, bool holding, Nanos now) {
-    if (sure || holding) return true;
-    if (aloneSince_ < 0 && !reached()) aloneSince_ = now;  // a neighbour's, with no control node in reach
-    return waitOver(now);
+bool QuorumContact::acceptsUpdates(bool confirmed, bool holding, Nanos now) {
+    if (confirmed || holding) return true;
+    if (unconfirmedSince_ < 0 && !reached())
+        unconfirmedSince_ = now;  // a neighbour's, with no control node in reach
+    return hasWaitedLongEnough(now);
 }
 
-bool QuorumContact::waited(bool holding, Nanos now) {
-    if (asked_ || holding || !waitOver(now)) return false;
-    return asked_ = true;
+bool QuorumContact::waitElapsed(bool holding, Nanos now) {
+    if (fallbackRequested_ || holding || !hasWaitedLongEnough(now)) return false;
+    return fallbackRequested_ = true;
 }
 
 }  // namespace lichenlanding::subscription
--- a/src/subscription/quorum_contact.hpp
+++ b/src/subscription/quorum_contact.hpp
@@ -17,33 +17,35 @@
 class QuorumContact {
   public:
     // For a control node in contact, from when news that are not sure could first be had.
-    static constexpr Nanos unsureWait = 1'500'000'000;
-    enum class Change { none, unsure, sure };  // of whether anybody in contact is in reach
+    static constexpr Nanos kUnconfirmedWait = 1'500'000'000;
+    enum class Change { none, unconfirmed, confirmed };  // of whether anybody in contact is in reach
 
     // A control node's word of itself.
-    Change heard(const std::string& controlNode, bool sure, Nanos now);
-    Change onPeerDisconnected(const std::string& controlNode, Nanos now);
+    Change onControlNodeMessage(const std::string& controlNode, bool confirmed, Nanos now);
+    Change onControlNodeDisconnected(const std::string& controlNode, Nanos now);
     // Whether news are looked at, of a control node or a neighbour that says so of itself, by a proxy that
     // has news already
     // (`holding`) or not.
-    bool takes(bool sure, bool holding, Nanos now);
+    bool acceptsUpdates(bool confirmed, bool holding, Nanos now);
     // What is held has come, or was confirmed, by such a word.
-    void holds(bool sure) { sure_ = sure_ || sure; }
+    void markConfirmed(bool confirmed) { confirmed_ = confirmed_ || confirmed; }
     // True once, when the wait is over: those in reach are to be asked again.
-    bool waited(bool holding, Nanos now);
-    bool sure() const { return sure_; }
+    bool waitElapsed(bool holding, Nanos now);
+    bool isConfirmed() const { return confirmed_; }
 
   private:
     Change changed(Nanos now);
-    bool waitOver(Nanos now) const { return aloneSince_ >= 0 && now - aloneSince_ >= unsureWait; }
+    bool hasWaitedLongEnough(Nanos now) const {
+        return unconfirmedSince_ >= 0 && now - unconfirmedSince_ >= kUnconfirmedWait;
+    }
 
     bool reached() const;
 
     std::map<std::string, bool> controlNodes_;  // in reach, and whether each is in contact
-    bool sure_ = false;                         // what is held was told by one in contact
-    bool doubted_ = false;                      // as last told
-    bool asked_ = false;
-    Nanos aloneSince_ = -1;  // since when only unsure news could be had
+    bool confirmed_ = false;                    // what is held was told by one in contact
+    bool reportedUnconfirmed_ = false;          // as last told
+    bool fallbackRequested_ = false;
+    Nanos unconfirmedSince_ = -1;  // since when only unsure news could be had
 };
 
 }  // namespace lichenlanding::subscription
--- a/src/transport/chunks.cpp
+++ b/src/transport/chunks.cpp
@@ -18,40 +18,40 @@
         crc32(0, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
 }
 
-std::uint32_t piecesOf(std::size_t bytes) {
-    return static_cast<std::uint32_t>((bytes + kPieceBytes - 1) / kPieceBytes);
+std::uint32_t chunkCount(std::size_t bytes) {
+    return static_cast<std::uint32_t>((bytes + kChunkBytes - 1) / kChunkBytes);
 }
 
 }  // namespace
 
 void SendQueue::push(EncodedMessage message) {
     bytes_ += message->size();
-    (message->size() > kWholeAtMost ? large_ : small_).push_back(std::move(message));
+    (message->size() > kMaxUnchunkedBytes ? large_ : small_).push_back(std::move(message));
 }
 
 EncodedMessage SendQueue::next() {
-    if (!small_.empty() && (large_.empty() || sincePiece_ < kPieceBytes)) {
+    if (!small_.empty() && (large_.empty() || bytesSinceChunk_ < kChunkBytes)) {
         auto frame = std::move(small_.front());
         small_.pop_front();
-        bytes_ -= frame->size(), sincePiece_ += frame->size();
+        bytes_ -= frame->size(), bytesSinceChunk_ += frame->size();
         return frame;
     }
     const auto& whole = *large_.front();
     if (index_ == 0) ++number_, sum_ = sumOf(whole);
-    const auto count = piecesOf(whole.size());
+    const auto count = chunkCount(whole.size());
     std::string frame(1, kKind);
     for (const auto number : {number_, index_, count, sum_})
         for (int byte = 0; byte < 4; ++byte) frame += static_cast<char>(number >> (8 * byte) & 0xff);
-    frame.append(whole, index_ * kPieceBytes, kPieceBytes);
+    frame.append(whole, index_ * kChunkBytes, kChunkBytes);
     if (++index_ == count) {
         bytes_ -= whole.size(), index_ = 0;
         large_.pop_front();
     }
-    sincePiece_ = 0;
+    bytesSinceChunk_ = 0;
     return std::make_shared<const std::string>(std::move(frame));
 }
 
-std::optional<std::string> ChunkReassembler::take(std::string_view frame) {
+std::optional<std::string> ChunkReassembler::addFrame(std::string_view frame) {
     if (frame.empty() || frame.front() != kKind) return std::string(frame);
     if (frame.size() < kHeadBytes) throw std::runtime_error("piece: no head");
     std::array<std::uint32_t, 4> head{};
@@ -61,14 +61,14 @@
     frame.remove_prefix(kHeadBytes);
     if (index == 0) {
         if (index_ != 0) throw std::runtime_error("piece: the message before it is not whole");
-        if (number != number_ + 1 || count == 0 || count > piecesOf(kMessageAtMost))
+        if (number != number_ + 1 || count == 0 || count > chunkCount(kMaxMessageBytes))
             throw std::runtime_error("piece: of no message that can come");
         number_ = number, count_ = count, sum_ = sum;
     } else if (number != number_ || index != index_ || count != count_ || sum != sum_) {
         throw std::runtime_error("piece: not the next one");
     }
     const bool last = index + 1 == count;
-    if (last ? frame.empty() || frame.size() > kPieceBytes : frame.size() != kPieceBytes)
+    if (last ? frame.empty() || frame.size() > kChunkBytes : frame.size() != kChunkBytes)
         throw std::runtime_error("piece: of a wrong length");
     bytes_.append(frame);
     index_ = last ? 0 : index + 1;
--- a/src/transport/chunks.hpp
+++ b/src/transport/chunks.hpp
@@ -15,9 +15,9 @@
 
 namespace lichenlanding::transport {
 
-constexpr std::size_t kWholeAtMost = 64 << 10;    // bytes of a message that goes as it is
-constexpr std::size_t kPieceBytes = 32 << 10;     // of the message in each piece but the last
-constexpr std::size_t kMessageAtMost = 80 << 20;  // bytes of any message
+constexpr std::size_t kMaxUnchunkedBytes = 64 << 10;  // bytes of a message that goes as it is
+constexpr std::size_t kChunkBytes = 32 << 10;         // of the message in each piece but the last
+constexpr std::size_t kMaxMessageBytes = 80 << 20;    // bytes of any message
 
 using EncodedMessage = std::shared_ptr<const std::string>;
 
@@ -34,7 +34,7 @@
     std::deque<EncodedMessage> small_, large_;
     std::size_t bytes_ = 0;
     std::uint32_t number_ = 0, index_ = 0, sum_ = 0;  // of the large message at the front
-    std::size_t sincePiece_ = 0;                      // bytes of small messages
+    std::size_t bytesSinceChunk_ = 0;                 // bytes of small messages
 };
 
 // Puts pieces together again, in the order that an Outbox gives them. Holds no more than what has come, and
@@ -43,7 +43,7 @@
   public:
     // A whole message, or nothing as yet. Throws std::runtime_error where a piece is missing, doubled or
     // spoilt: nothing that came by this link can be trusted then.
-    std::optional<std::string> take(std::string_view frame);
+    std::optional<std::string> addFrame(std::string_view frame);
 
   private:
     std::string bytes_;
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -11,7 +11,7 @@
 
 namespace lichenlanding::transport {
 
-tcp::endpoint endpoint(const std::string& address) {
+tcp::endpoint parseAddress(const std::string& address) {
     const auto colon = address.rfind(':');
     ErrorCode code;
     unsigned short port = 0;
@@ -32,7 +32,7 @@
 }
 
 tcp::acceptor listen(asio::io_context& io, const std::string& address) {
-    const auto at = endpoint(address);
+    const auto at = parseAddress(address);
     tcp::acceptor acceptor(io);
     acceptor.open(at.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -41,13 +41,13 @@
     return acceptor;
 }
 
-Task<> sleep(Nanos time) {
-    asio::steady_timer timer(co_await asio::this_coro::executor, span(time));
+Task<> sleep(Nanos duration) {
+    asio::steady_timer timer(co_await asio::this_coro::executor, toDuration(duration));
     ErrorCode code;
     co_await timer.async_wait(withErrorCode(code));
 }
 
-void start(asio::io_context& io, const char* step, Task<> task) {
+void spawn(asio::io_context& io, const char* step, Task<> task) {
     asio::co_spawn(io, std::move(task), [step](std::exception_ptr failure) {
         if (!failure) return;
         try {
@@ -65,7 +65,7 @@
 
 Task<bool> AsyncEvent::wait(Nanos until) {
     if (!notified_) {
-        timer_.expires_at(point(until));
+        timer_.expires_at(toTimePoint(until));
         ErrorCode code;
         co_await timer_.async_wait(withErrorCode(code));
     }
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-void signals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload) {
+void handleSignals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload) {
     std::signal(SIGPIPE, SIG_IGN);
     static std::unique_ptr<asio::signal_set> set;
     set = std::make_unique<asio::signal_set>(io, SIGTERM, SIGINT, SIGHUP);
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -37,15 +37,15 @@
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
-inline std::chrono::nanoseconds span(Nanos nanos) { return std::chrono::nanoseconds(nanos); }
-inline std::chrono::steady_clock::time_point point(Nanos at) {
+inline std::chrono::nanoseconds toDuration(Nanos nanos) { return std::chrono::nanoseconds(nanos); }
+inline std::chrono::steady_clock::time_point toTimePoint(Nanos at) {
     return std::chrono::steady_clock::time_point(std::chrono::nanoseconds(at));
 }
 
 inline auto withErrorCode(ErrorCode& code) { return asio::redirect_error(asio::use_awaitable, code); }
 
 // "10.1.0.13:8161". Throws std::invalid_argument.
-tcp::endpoint endpoint(const std::string& address);
+tcp::endpoint parseAddress(const std::string& address);
 std::string hostOf(const std::string& address);
 
 // Small writes go at once; a peer that has gone silent ends the connection after `silence`.
@@ -54,10 +54,10 @@
 tcp::acceptor listen(asio::io_context& io, const std::string& address);
 
 // Waits; an end of the wait by cancel() is no error.
-Task<> sleep(Nanos span);
+Task<> sleep(Nanos duration);
 
 // A coroutine that is on its own: what it throws is logged with `step`.
-void start(asio::io_context& io, const char* step, Task<> task);
+void spawn(asio::io_context& io, const char* step, Task<> task);
 
 // One waits, others wake it. A wake before the wait is kept.
 class AsyncEvent {
@@ -72,6 +72,6 @@
 };
 
 // SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`; SIGPIPE is ignored.
-void signals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload);
+void handleSignals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload);
 
 }  // namespace lichenlanding::transport
--- a/tests/admin/configuration_record.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -243,7 +243,7 @@
     for (const auto& one : all) number = std::max(number, one.number);
     for (auto& one : all)
         if (one.target == target && one.running()) one.state = state, one.number = number + 1;
-    return messages::write(all);
+    return messages::encode(all);
 }
 
 }  // namespace
--- a/tests/config/configuration.cpp
+++ b/tests/config/configuration.cpp
@@ -28,7 +28,7 @@
 
 std::string errors(const std::string& body) {
     try {
-        return "taken, version " + formatVersion(Configuration::read(body).version) + "\n";
+        return "taken, version " + formatVersion(Configuration::parse(body).version) + "\n";
     } catch (const ValidationError& refusal) {
         std::string text;
         for (const auto& mistake : refusal.errors) text += "  " + mistake + "\n";
@@ -83,7 +83,7 @@
     }
 
     void routes() {
-        const auto configuration = Configuration::read(whole(
+        const auto configuration = Configuration::parse(whole(
             route("short", "/a/", times + toA) + "," + route("long", "/a/b/", times + toA) + "," +
             route(
                 "root", "/",
@@ -92,14 +92,14 @@
         std::string seen;
         for (const auto* path :
              {"/a/1", "/a/b/1", "/a/b", "/a/b/?q=/a/", "/ab/1", "/", "/?x", "/a/b/c/d/e", "", "a/"}) {
-            const auto* found = configuration.find("H.example:80", path);
+            const auto* found = configuration.findRoute("H.example:80", path);
             seen += std::string("'") + path + "' -> " + (found ? found->name : "none") + "\n";
         }
-        seen += std::string("other host -> ") + (configuration.find("i.example", "/a/1") ? "some" : "none") +
-                "\n";
-        const auto* root = configuration.find("h.example", "/");
+        seen += std::string("other host -> ") +
+                (configuration.findRoute("i.example", "/a/1") ? "some" : "none") + "\n";
+        const auto* root = configuration.findRoute("h.example", "/");
         seen += "draws 0, 89, 90, 99 -> ";
-        for (int draw : {0, 89, 90, 99}) seen += root->service(draw) + " ";
+        for (int draw : {0, 89, 90, 99}) seen += root->serviceForDraw(draw) + " ";
         approve("configuration-routes", seen + "\n");
     }
 
@@ -108,10 +108,11 @@
         for (int at = 0; at < 520; ++at)
             all += (at ? "," : "") +
                    route("r" + std::to_string(at), "/p" + std::to_string(at) + "/", times + toA);
-        const auto configuration = Configuration::read(whole(all));
+        const auto configuration = Configuration::parse(whole(all));
         for (int at = 0; at < 520; ++at)
-            CPPUNIT_ASSERT_EQUAL("r" + std::to_string(at),
-                                 configuration.find("h.example", "/p" + std::to_string(at) + "/x")->name);
+            CPPUNIT_ASSERT_EQUAL(
+                "r" + std::to_string(at),
+                configuration.findRoute("h.example", "/p" + std::to_string(at) + "/x")->name);
     }
 
     void settings() {
@@ -132,9 +133,9 @@
                  {"heartbeat of nothing", R"({"node_name":"n","heartbeat":"0ms",)" + rest + "}"},
                  {"no JSON", "node_name=n"}}) {
             try {
-                const auto boot = BootstrapSettings::read(text);
-                seen += what + ": slack " + std::to_string(boot.budgetSlack) + ", drain " +
-                        std::to_string(boot.drain) + " ns, at " + boot.internal(boot.ip) + "\n";
+                const auto boot = BootstrapSettings::parse(text);
+                seen += what + ": slack " + std::to_string(boot.retrySlack) + ", drain " +
+                        std::to_string(boot.drainTime) + " ns, at " + boot.peerAddress(boot.ip) + "\n";
             } catch (const std::runtime_error& wrong) {
                 seen += what + ": " + wrong.what() + "\n";
             }
--- a/tests/control_plane/admin_api_contract.cpp
+++ b/tests/control_plane/admin_api_contract.cpp
@@ -28,7 +28,7 @@
 
 std::string tell(const Json& configuration) {
     try {
-        config::Configuration::read(configuration.dump());
+        config::Configuration::parse(configuration.dump());
         return "taken";
     } catch (const config::ValidationError& refusal) {
         std::string all;
--- a/tests/control_plane/replica_node.cpp
+++ b/tests/control_plane/replica_node.cpp
@@ -60,13 +60,13 @@
     void droppedAtOnce() {
         asio::io_context io{1};
         tcp::acceptor door(listen(io, "127.0.0.1:0"));
-        auto owner = std::make_shared<PeerConnection::Owner>();
+        auto owner = std::make_shared<PeerConnection::Callbacks>();
         std::weak_ptr<Dialer> seen;
         {
             const auto address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
             auto dialer = std::make_shared<Dialer>(io, address, owner);
             seen = dialer;
-            dialer->go(), dialer->stop();
+            dialer->start(), dialer->stop();
         }
         CPPUNIT_ASSERT(!seen.expired());  // its turn is still to come
         io.run_for(std::chrono::seconds(8));
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -28,14 +28,15 @@
 
 void configuration(std::string_view bytes) {
     try {
-        const auto read = config::Configuration::read(bytes);
+        const auto read = config::Configuration::parse(bytes);
         for (const auto& route : read.routes) {
-            insist(read.find(route.host, route.prefix + "x") != nullptr ||
+            insist(read.findRoute(route.host, route.prefix + "x") != nullptr ||
                    route.host.find(':') != std::string::npos);
-            insist(route.weights > 0 && !route.shares.empty());
-            for (std::int64_t at : {std::int64_t{0}, route.weights - 1})
-                insist(std::any_of(route.shares.begin(), route.shares.end(),
-                                   [&](const auto& share) { return share.service == route.service(at); }));
+            insist(route.totalWeight > 0 && !route.shares.empty());
+            for (std::int64_t at : {std::int64_t{0}, route.totalWeight - 1})
+                insist(std::any_of(route.shares.begin(), route.shares.end(), [&](const auto& share) {
+                    return share.service == route.serviceForDraw(at);
+                }));
         }
     } catch (const config::ValidationError& refusal) {
         insist(!refusal.errors.empty());
@@ -44,7 +45,7 @@
 
 void settings(std::string_view bytes) {
     try {
-        insist(!config::BootstrapSettings::read(bytes).internalPorts.empty());
+        insist(!config::BootstrapSettings::parse(bytes).internalPorts.empty());
     } catch (const std::runtime_error&) {
     }
 }
@@ -59,12 +60,13 @@
     if (json.is_discarded()) return;
     try {
         const auto totals = messages::decodeTotals(json);
-        insist(messages::write(messages::decodeTotals(messages::write(totals))) == messages::write(totals));
+        insist(messages::encode(messages::decodeTotals(messages::encode(totals))) ==
+               messages::encode(totals));
     } catch (const Json::exception&) {
     }
     try {
         const auto cell = messages::decodeRegisterState(json);
-        insist(messages::decodeRegisterState(messages::write(cell)) == cell);
+        insist(messages::decodeRegisterState(messages::encode(cell)) == cell);
     } catch (const Json::exception&) {
     }
 }
@@ -73,8 +75,8 @@
     const auto json = Json::parse(bytes, nullptr, false);
     if (json.is_discarded()) return;
     try {
-        const auto member = messages::listed(json);
-        insist(messages::decodeEndpoint(messages::write(member)) == member);
+        const auto member = messages::decodePlatformEntry(json);
+        insist(messages::decodeEndpoint(messages::encode(member)) == member);
     } catch (const std::exception&) {
     }
 }
@@ -82,7 +84,7 @@
 void rollouts(std::string_view bytes) {
     try {
         const auto read = messages::decodeRollouts(std::string(bytes));
-        insist(messages::decodeRollouts(messages::write(read)).size() == read.size());
+        insist(messages::decodeRollouts(messages::encode(read)).size() == read.size());
     } catch (const Json::exception&) {
     }
 }
@@ -103,24 +105,26 @@
     for (const auto& message : messages) {
         try {
             if (message.is_object())
-                cache.heard(message, ConfigurationCache::MessageSource::controlNode, now += 1'000'000'000,
-                            [](const Json&) {});
+                cache.handleMessage(message, ConfigurationCache::MessageSource::controlNode,
+                                    now += 1'000'000'000, [](const Json&) {});
         } catch (const Json::exception&) {  // a link ends there
         }
         insist(cache.version() >= version);
         version = cache.version();
-        for (const auto& [id, _] : cache.endpoints().members()) insist(!cache.endpoints().left(id));
+        for (const auto& [id, _] : cache.endpoints().endpoints()) insist(!cache.endpoints().hasLeft(id));
     }
     ConfigurationCache other{{}};
     std::vector<Json> wants;
-    other.heard(cache.digest(), ConfigurationCache::MessageSource::controlNode, now,
-                [&](Json want) { wants.push_back(want); });
+    other.handleMessage(cache.digestMessage(), ConfigurationCache::MessageSource::controlNode, now,
+                        [&](Json want) { wants.push_back(want); });
     for (const auto& want : wants)
-        cache.heard(want, ConfigurationCache::MessageSource::follower, now, [&](const Json& answer) {
-            other.heard(answer, ConfigurationCache::MessageSource::controlNode, now, [](const Json&) {});
-        });
+        cache.handleMessage(want, ConfigurationCache::MessageSource::subscriber, now,
+                            [&](const Json& answer) {
+                                other.handleMessage(answer, ConfigurationCache::MessageSource::controlNode,
+                                                    now, [](const Json&) {});
+                            });
     insist(other.version() == cache.version());
-    if (cache.listed()) insist(other.digest() == cache.digest());
+    if (cache.endpointsCurrent()) insist(other.digestMessage() == cache.digestMessage());
 }
 
 void compressed(std::string_view bytes) {
@@ -144,13 +148,13 @@
             const auto frame = left.substr(0, length);
             left.remove_prefix(frame.size());
             given += frame.size();
-            if (const auto whole = in.take(frame)) insist(whole->size() <= given);
+            if (const auto whole = in.addFrame(frame)) insist(whole->size() <= given);
         }
     } catch (const std::runtime_error&) {
     }
     if (bytes.empty()) return;
     std::string large;
-    while (large.size() <= transport::kWholeAtMost + bytes.size()) large += bytes;
+    while (large.size() <= transport::kMaxUnchunkedBytes + bytes.size()) large += bytes;
     transport::SendQueue out;
     out.push(std::make_shared<const std::string>(large));
     out.push(std::make_shared<const std::string>(large));
@@ -161,7 +165,7 @@
         for (int frames = 0; !out.empty(); ++frames) {
             auto frame = *out.next();
             if (first && frames % 3 == spoilt) frame[frame.size() - 1] ^= 1;
-            const auto whole = back.take(frame);
+            const auto whole = back.addFrame(frame);
             if (whole && !first) insist(*whole == large);
             insist(!whole || !first || *whole == large);
             if (whole) first = whole;
@@ -307,21 +311,21 @@
     verdict::Totals totals;
     totals["r"][0].count(1000, 1000, false);
     std::string cbor;
-    Json::to_cbor(messages::write(totals), cbor);
+    Json::to_cbor(messages::encode(totals), cbor);
     std::string cell;
-    Json::to_cbor(messages::write(consensus::RegisterState{{3, 1}, {2, 9}, "value"}), cell);
+    Json::to_cbor(messages::encode(consensus::RegisterState{{3, 1}, {2, 9}, "value"}), cell);
     subscription::ConfigurationCache cache{{}};
-    cache.configuration(7, "seven");
-    cache.rollouts(3, "[]");
+    cache.setConfiguration(7, "seven");
+    cache.setRollouts(3, "[]");
     Json told = Json::array();
     const auto pod = [](const char* id, bool draining) {
         return discovery::Endpoint{id, "s", "1.1.1.1:1", "z", "v1", 2, draining, 0};
     };
-    told.push_back(cache.list({pod("i-1", false), pod("i-2", true)}, 1));
-    told.push_back(cache.digest());
+    told.push_back(cache.updateEndpoints({pod("i-1", false), pod("i-2", true)}, 1));
+    told.push_back(cache.digestMessage());
     told.push_back({{"t", "configuration"}, {"version", 7}, {"squeezed", messages::encodeBytes("seven")}});
-    told.push_back(cache.order());
-    told.push_back(cache.list({pod("i-2", true), pod("i-3", false)}, 1));
+    told.push_back(cache.rolloutsMessage());
+    told.push_back(cache.updateEndpoints({pod("i-2", true), pod("i-3", false)}, 1));
     std::string heard;
     Json::to_cbor(told, heard);
     messages::Rollout order;
@@ -357,7 +361,7 @@
         seed(
             3,
             R"({"service_name":"s","address":"1.1.1.1:1","zone":"z","config_version":"v1","capacity_slots":2,"state":"ready","warmup_left":"10ms","instance_id":"i"})"),
-        seed(4, messages::write(std::vector{order})),
+        seed(4, messages::encode(std::vector{order})),
         seed(7, heard),
         seed(8, std::string("\0\x14k\1\0\0\0\0\0\0\0\1\0\0\0\xc2\x41\x24\x35"
                             "abc",
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -112,7 +112,7 @@
 
 Json proposalNumbers(Json all) {
     for (auto& [_, proposalNumber] : all.items())
-        proposalNumber = messages::write(messages::decodeProposalNumber(proposalNumber));
+        proposalNumber = messages::encode(messages::decodeProposalNumber(proposalNumber));
     return all;
 }
 Json epoch(const Json& told) { return membership::write(membership::decodeEpoch(told)); }
@@ -128,15 +128,15 @@
         told["about"]["held"] = proposalNumbers(told["about"]["held"]);
     if (kind == "pong") told["held"] = proposalNumbers(told["held"]);
     if (kind == "known") told["ballots"] = proposalNumbers(told["ballots"]);
-    if (kind == "learn") told["ballot"] = messages::write(messages::decodeProposalNumber(told["ballot"]));
+    if (kind == "learn") told["ballot"] = messages::encode(messages::decodeProposalNumber(told["ballot"]));
     if (kind == "reg") told["request"] = membership::write(membership::decodeRequest(told["request"]));
     if (kind == "reply") told["reply"] = membership::write(membership::decodeReply(told["reply"]));
-    if (kind == "counts") told["totals"] = messages::write(messages::decodeTotals(told["totals"]));
+    if (kind == "counts") told["totals"] = messages::encode(messages::decodeTotals(told["totals"]));
     if (kind == "configuration")
         told["squeezed"] = messages::encodeBytes(messages::decodeBytes(told["squeezed"]));
-    if (kind == "rollouts") told["list"] = messages::write(messages::decodeRollouts(told["list"]));
+    if (kind == "rollouts") told["list"] = messages::encode(messages::decodeRollouts(told["list"]));
     if (kind == "pods")
-        for (auto& pod : told["set"]) pod = messages::write(messages::decodeEndpoint(pod));
+        for (auto& pod : told["set"]) pod = messages::encode(messages::decodeEndpoint(pod));
     return told;
 }
 
@@ -180,7 +180,7 @@
     const auto held = admin::read(value);
     CPPUNIT_ASSERT_EQUAL(version, held.version);
     const auto body = admin::body(value);
-    CPPUNIT_ASSERT_EQUAL(version, config::Configuration::read(body).version);
+    CPPUNIT_ASSERT_EQUAL(version, config::Configuration::parse(body).version);
     std::vector<std::uint32_t> numbers;
     for (const auto& one : held.history) numbers.push_back(one.number);
     CPPUNIT_ASSERT(history == numbers);
@@ -216,8 +216,8 @@
 // One end of links, played by the test: greets as it is told and keeps what it hears.
 struct Played {
     explicit Played(Json greeting_) : greeting(std::move(greeting_)) {
-        owner->greet = [this](PeerConnection&) { return greeting; };
-        owner->heard = [this](PeerConnection& link, const Json& told) {
+        owner->makeHello = [this](PeerConnection&) { return greeting; };
+        owner->onMessage = [this](PeerConnection& link, const Json& told) {
             last = link.shared_from_this(), heard.push_back(told);
             try {
                 sameFields(told);
@@ -226,7 +226,7 @@
             }
             if (told.at("t") == "hello") onHello = last;
         };
-        owner->closed = [](PeerConnection&) {};
+        owner->onClosed = [](PeerConnection&) {};
     }
     const Json* find(const std::string& kind, const std::function<bool(const Json&)>& fits = {}) const {
         CPPUNIT_ASSERT_MESSAGE(wrong, wrong.empty());
@@ -239,7 +239,7 @@
     }
 
     Json greeting;
-    std::shared_ptr<PeerConnection::Owner> owner = std::make_shared<PeerConnection::Owner>();
+    std::shared_ptr<PeerConnection::Callbacks> owner = std::make_shared<PeerConnection::Callbacks>();
     std::shared_ptr<PeerConnection> last, onHello;
     std::deque<Json> heard;
     std::string wrong;
@@ -329,7 +329,7 @@
             const auto opened = copied(store);
             const auto earlier = records(opened);
             LmdbReplicaStore book(opened, 8 << 20);
-            const auto cells = book.cells();
+            const auto cells = book.states();
             CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cells.size());
             std::set<std::string> names, expected{"disk", "standing", "writes", "witness"};
             if (before) expected = {"members"};
@@ -343,8 +343,8 @@
             isConfiguration(cells.at(control_plane::kConfigurationKey).value, before ? 0x11 : 0x14,
                             before ? std::vector<std::uint32_t>{0x10, 0x11, 0x0f} : storedHistory);
             const auto rollouts = cells.at(control_plane::kRolloutsKey).value;
-            CPPUNIT_ASSERT_EQUAL(rollouts, messages::write(messages::decodeRollouts(rollouts)));
-            if (!before) CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
+            CPPUNIT_ASSERT_EQUAL(rollouts, messages::encode(messages::decodeRollouts(rollouts)));
+            if (!before) CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
             const auto duties = leases::read(cells.at(control_plane::kDutiesKey).value);
             CPPUNIT_ASSERT_EQUAL(before ? "127.0.1.2:7720" : std::string("127.0.1.3:7720"),
                                  duties.at("list").holder);
@@ -378,8 +378,8 @@
             const LmdbReplicaStore book(copied("promptbook/" + store), 8 << 20);
             const auto& address = storedMembers[copies.size()].address;
             auto& copy = copies.emplace_back(address, book.note(storage::kDiskNote));
-            copy.put(
-                {book.cells(), membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
+            copy.put({book.states(),
+                      membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
             CPPUNIT_ASSERT(copy.counts());
         }
         const consensus::Epoch& epoch = copies[0].standing().epoch;
@@ -403,7 +403,7 @@
                 key, [](const std::string& held) { return held; }, true);
         };
         isConfiguration(read(control_plane::kConfigurationKey), 0x14, storedHistory);
-        CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), read(control_plane::kRolloutsKey));
+        CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), read(control_plane::kRolloutsKey));
         // Orders by the register's rules, on what was there.
         const auto outcome = [](const std::string& value, const char* target, std::int64_t term) {
             messages::Rollout order;
@@ -449,7 +449,7 @@
                                  held);
             CPPUNIT_ASSERT(!replica.votes());
             for (const auto& member : storedMembers) {
-                if (member.address == told.internal(told.ip)) continue;
+                if (member.address == told.peerAddress(told.ip)) continue;
                 auto pong = message("pong");
                 pong["at"] = member.address, pong["disk"] = member.disk, pong["of"] = disk;
                 pong["seen"] = 1, pong["epoch"] = 4, pong["held"] = held, pong["seated"] = true;
@@ -464,7 +464,7 @@
     void storeBeforeEpochs() {
         const std::string store = "promptbook_before_epochs", me = "127.0.1.1:7720";
         const auto opened = copied(store);
-        const auto cells = LmdbReplicaStore(opened, 8 << 20).cells();
+        const auto cells = LmdbReplicaStore(opened, 8 << 20).states();
         const auto told = boot("127.0.1.1", store);
         for (int life = 0; life < 2; ++life) {
             asio::io_context io;
@@ -478,7 +478,7 @@
             CPPUNIT_ASSERT_EQUAL("first-" + me, replica.describe().at("disk").get<std::string>());
         }
         const LmdbReplicaStore book(opened, 8 << 20);
-        CPPUNIT_ASSERT(cells == book.cells());
+        CPPUNIT_ASSERT(cells == book.states());
         CPPUNIT_ASSERT_EQUAL("first-" + me, book.note("disk"));
         const auto standing = membership::decodeEpochState(Json::parse(book.note("standing")));
         CPPUNIT_ASSERT(standing.open);
@@ -495,8 +495,8 @@
         const auto next = admin::change(earlier, admin::order(0x15, "next"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, admin::read(next).history.size());
         const auto rollouts = bytesOf("values/rollouts.json"), duties = bytesOf("values/duties.json");
-        CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
-        CPPUNIT_ASSERT_EQUAL(rollouts, messages::write(messages::decodeRollouts(rollouts)));
+        CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
+        CPPUNIT_ASSERT_EQUAL(rollouts, messages::encode(messages::decodeRollouts(rollouts)));
         CPPUNIT_ASSERT_EQUAL(duties, leases::write(leases::read(duties)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7569427027645875800u}, leases::read(duties).at("list").life);
         // A disk whose epoch is sealed, and that was not told of its opening.
@@ -513,14 +513,14 @@
         std::set<std::string> kinds;
         for (const auto& [name, frame] : frames()) {
             const auto told = decoded(frame);
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::pack(told) == frame);
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(told) == frame);
             if (name == "heartbeat") {
                 CPPUNIT_ASSERT(told.is_null());
                 continue;
             }
             kinds.insert(told.at("t").get<std::string>());
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, told, rewritten(told));
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::pack(rewritten(told)) == frame);
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(rewritten(told)) == frame);
         }
         CPPUNIT_ASSERT(kinds ==
                        (std::set<std::string>{"ack", "configuration", "counts", "digest", "hello", "known",
@@ -563,13 +563,13 @@
         for (const auto* index : {"0", "1", "2"}) {
             CPPUNIT_ASSERT(!whole);
             all.push_back(bytesOf(std::string("pieces/configuration.") + index + ".bin"));
-            whole = assembly.take(all.back());
+            whole = assembly.addFrame(all.back());
         }
         CPPUNIT_ASSERT(whole.has_value());
         const auto told = decoded(*whole);
         CPPUNIT_ASSERT_EQUAL(std::string("configuration"), told.at("t").get<std::string>());
         const auto body = decompress(messages::decodeBytes(told.at("squeezed")));
-        CPPUNIT_ASSERT_EQUAL(0x20u, config::Configuration::read(body).version);
+        CPPUNIT_ASSERT_EQUAL(0x20u, config::Configuration::parse(body).version);
         SendQueue outbox;
         outbox.push(std::make_shared<const std::string>(*whole));
         for (const auto& frame : all) CPPUNIT_ASSERT(*outbox.next() == frame);
@@ -586,7 +586,7 @@
         std::vector<Json> replies;
         const auto hear = [&](ConfigurationCache& by, const Json& told, MessageSource from) {
             replies.clear();
-            CPPUNIT_ASSERT(by.heard(told, from, kSecond, [&](Json reply) {
+            CPPUNIT_ASSERT(by.handleMessage(told, from, kSecond, [&](Json reply) {
                 sameFields(reply.at("t") == "want" ? reply : sure(reply));
                 replies.push_back(std::move(reply));
             }));
@@ -601,30 +601,30 @@
             CPPUNIT_ASSERT(replies.empty());
         }
         CPPUNIT_ASSERT_EQUAL(decompress(compressed), admin::body(bytesOf("values/configuration.bin")));
-        CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{12}, cache.endpoints().members().size());
-        CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(cache.body()));
-        CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(cache.order()));
-        CPPUNIT_ASSERT_EQUAL(message("pods_whole"), sure(cache.whole()));
-        auto mine = sure(cache.digest());
+        CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
+        CPPUNIT_ASSERT_EQUAL(std::size_t{12}, cache.endpoints().endpoints().size());
+        CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(cache.configurationMessage()));
+        CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(cache.rolloutsMessage()));
+        CPPUNIT_ASSERT_EQUAL(message("pods_whole"), sure(cache.fullEndpointsMessage()));
+        auto mine = sure(cache.digestMessage());
         mine["clock"] = digest.at("clock");
         CPPUNIT_ASSERT_EQUAL(digest, mine);
         // What others ask for.
-        hear(cache, message("want_configuration"), MessageSource::follower);
+        hear(cache, message("want_configuration"), MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(replies.at(0)));
-        hear(cache, message("want_rollouts"), MessageSource::follower);
+        hear(cache, message("want_rollouts"), MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(replies.at(0)));
         auto want = message("want_held");
-        hear(cache, want, MessageSource::follower);
+        hear(cache, want, MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(digest.at("sums"), replies.at(0).at("sums"));
         want["of"] = digest.at("edition");
-        hear(cache, want, MessageSource::follower);
+        hear(cache, want, MessageSource::subscriber);
         CPPUNIT_ASSERT(!replies.at(0).at("set").empty());
         hear(cache, message("digest_of_prompter"), MessageSource::controlNode);  // a higher configuration
         CPPUNIT_ASSERT_EQUAL(32, replies.at(0).at("configuration").get<int>());
-        hear(cache, message("digest_of_foyer_with_sums"), MessageSource::follower);  // an earlier edition
+        hear(cache, message("digest_of_foyer_with_sums"), MessageSource::subscriber);  // an earlier edition
         CPPUNIT_ASSERT(replies.empty());  // the same pods: nothing to mend
-        hear(cache, message("digest_back"), MessageSource::neighbour);
+        hear(cache, message("digest_back"), MessageSource::peerProxy);
         CPPUNIT_ASSERT_EQUAL(message("digest_back").at("edition"), replies.at(0).at("of"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replies.size());
         // Changes one after the other, and a copy mended.
@@ -633,21 +633,21 @@
         ConfigurationCache follower({});
         hear(follower, first, MessageSource::controlNode);
         hear(follower, message("pods_change_draining"), MessageSource::controlNode);
-        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().members().at("i-0").draining);
-        CPPUNIT_ASSERT(!follower.endpoints().members().at("i-12").draining);
+        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().endpoints().at("i-0").draining);
+        CPPUNIT_ASSERT(!follower.endpoints().endpoints().at("i-12").draining);
         hear(follower, message("pods_change_gone"), MessageSource::controlNode);
-        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().left("i-0"));
+        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().hasLeft("i-0"));
         discovery::EndpointEvent aside;
-        aside.member.id = "i-99";
+        aside.endpoint.id = "i-99";
         auto held = message("pods_change_gone");
         held["gone"] = Json::array(), held["after"] = {1, 3}, held["edition"] = {1, 4};
         held["set"] = message("pods_change_draining").at("set");
         held["set"][0]["i"] = "i-99", held["set"][0]["d"] = false;
         hear(follower, held, MessageSource::controlNode);
-        CPPUNIT_ASSERT(follower.endpoints().members().contains("i-99"));
+        CPPUNIT_ASSERT(follower.endpoints().endpoints().contains("i-99"));
         hear(follower, message("pods_mended_aside"), MessageSource::controlNode);
-        CPPUNIT_ASSERT(follower.endpoints().left("i-3") && !follower.endpoints().left("i-99"));
-        CPPUNIT_ASSERT(!follower.endpoints().members().contains("i-99"));
+        CPPUNIT_ASSERT(follower.endpoints().hasLeft("i-3") && !follower.endpoints().hasLeft("i-99"));
+        CPPUNIT_ASSERT(!follower.endpoints().endpoints().contains("i-99"));
     }
 
     // The holder of the list tells a change as the earlier version told it.
@@ -667,11 +667,11 @@
             return all;
         };
         ConfigurationCache cache({});
-        CPPUNIT_ASSERT(cache.list(list(), 1).is_null());
+        CPPUNIT_ASSERT(cache.updateEndpoints(list(), 1).is_null());
         pods[leaves.id] = leaves, pods[comes.id] = comes;
-        CPPUNIT_ASSERT_EQUAL(message("pods_change_draining"), sure(cache.list(list(), 1)));
+        CPPUNIT_ASSERT_EQUAL(message("pods_change_draining"), sure(cache.updateEndpoints(list(), 1)));
         pods.erase(leaves.id);
-        CPPUNIT_ASSERT_EQUAL(message("pods_change_gone"), sure(cache.list(list(), 1)));
+        CPPUNIT_ASSERT_EQUAL(message("pods_change_gone"), sure(cache.updateEndpoints(list(), 1)));
     }
 
     // Whatever keepers of the register say to each other has the fields that it had: a write, a founding, and
@@ -706,12 +706,12 @@
         core["standing"]["epoch"]["number"] = 0;  // of no members that would take the place of its own
         Played proxy(message("hello_of_foyer")), neighbour(second_), controlNode(core);
         tcp::acceptor door(listen(io, at(other, internal)));
-        start(io, "links", servePeerConnections(io, door, controlNode.owner));
+        spawn(io, "links", servePeerConnections(io, door, controlNode.owner));
         const Program program("prompter", settings("c1", ip, ip, internal, from), scratch + "/settings");
         std::vector<std::shared_ptr<Dialer>> dialers;
         for (auto* played : {&proxy, &neighbour}) {
             dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), played->owner));
-            dialers.back()->go();
+            dialers.back()->start();
         }
         until(io, "both are greeted and enrolled", [&] {
             return proxy.find("hello") && proxy.find("digest") &&
@@ -747,12 +747,12 @@
         proxy.say("digest_of_foyer_with_sums");
         // As another control node.
         dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), controlNode.owner));
-        dialers.back()->go();
+        dialers.back()->start();
         until(io, "it dials, pings and says what it knows", [&] {
             return controlNode.find("hello") && controlNode.find("ping") && controlNode.find("known");
         });
         const auto send = [&](Json told) {
-            if (const auto link = dialers.back()->link()) link->send(told);
+            if (const auto link = dialers.back()->connection()) link->send(told);
         };
         auto ping = message("ping_whole"), known = message("known_with_ages");
         ping["at"] = ping["about"]["at"] = at(other, internal);
@@ -783,8 +783,8 @@
         neighbour["name"] = "f9", neighbour["at"] = at(third, internal);
         Played controlNode(hello), proxy(neighbour);
         tcp::acceptor first(listen(io, at(core, internal))), second_(listen(io, at(third, internal)));
-        start(io, "links", servePeerConnections(io, first, controlNode.owner));
-        start(io, "links", servePeerConnections(io, second_, proxy.owner));
+        spawn(io, "links", servePeerConnections(io, first, controlNode.owner));
+        spawn(io, "links", servePeerConnections(io, second_, proxy.owner));
         const Program program("foyer", settings("e1", ip, core, internal, from), scratch + "/settings");
         until(io, "it says hello", [&] { return controlNode.find("hello"); });
         CPPUNIT_ASSERT_EQUAL(std::string("e1"), controlNode.find("hello")->at("name").get<std::string>());
@@ -827,7 +827,7 @@
         asio::io_context io;
         beast::tcp_stream stream(io);
         ErrorCode code;
-        stream.socket().connect(endpoint(address), code);
+        stream.socket().connect(parseAddress(address), code);
         if (code) return "";
         http::request<http::string_body> request(http::verb::post, "/api/rpc?call=" + call, 11);
         request.set(http::field::host, "h");
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -176,54 +176,56 @@
     // A holder that has not noticed that its duty went to another: whatever it tells late changes nothing.
     void lowerTermDropped() {
         ConfigurationCache old{{}}, next{{}}, proxy{{}}, neighbour{{}};
-        old.list({pod("a"), pod("b")}, 1);
-        tell(old, proxy, old.digest());
-        tell(proxy, neighbour, proxy.digest(), ConfigurationCache::MessageSource::neighbour);
-        next.list({pod("b", true), pod("c")}, 2);
-        tell(next, proxy, next.digest());
-        CPPUNIT_ASSERT(proxy.endpoints().members() == next.endpoints().members());
+        old.updateEndpoints({pod("a"), pod("b")}, 1);
+        tell(old, proxy, old.digestMessage());
+        tell(proxy, neighbour, proxy.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
+        next.updateEndpoints({pod("b", true), pod("c")}, 2);
+        tell(next, proxy, next.digestMessage());
+        CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
         for (int step = 0; step < 3; ++step) {  // many changes in a lower term are lower still
-            tell(old, proxy, old.list({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
-            tell(old, proxy, old.digest());
+            tell(old, proxy, old.updateEndpoints({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
+            tell(old, proxy, old.digestMessage());
         }
-        CPPUNIT_ASSERT(proxy.endpoints().members() == next.endpoints().members());
+        CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
         CPPUNIT_ASSERT(proxy.endpointListVersion() == (subscription::EndpointListVersion{2, 1}));
         // It hears of the higher term in a proxy's digest, and tells no list any more.
-        CPPUNIT_ASSERT(!old.digest().contains("edition"));
-        CPPUNIT_ASSERT(old.list({pod("e")}, 1).is_null() && !old.digest().contains("edition"));
+        CPPUNIT_ASSERT(!old.digestMessage().contains("edition"));
+        CPPUNIT_ASSERT(old.updateEndpoints({pod("e")}, 1).is_null() &&
+                       !old.digestMessage().contains("edition"));
         // Neighbours go by the same order, whichever of them speaks first.
-        tell(neighbour, proxy, neighbour.digest(), ConfigurationCache::MessageSource::neighbour);
-        CPPUNIT_ASSERT(neighbour.endpoints().members() == next.endpoints().members());
-        CPPUNIT_ASSERT(proxy.endpoints().members() == next.endpoints().members());
+        tell(neighbour, proxy, neighbour.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
+        CPPUNIT_ASSERT(neighbour.endpoints().endpoints() == next.endpoints().endpoints());
+        CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
     }
 
     // A copy of a higher term may be asked for sooner than one of the term before: a pod that only that one
     // knows is set aside, not taken for gone, and serves again as soon as the new holder lists it.
     void newerThanTheEdition() {
         ConfigurationCache old{{}}, next{{}}, proxy{{}};
-        next.list({pod("a")}, 2);  // asked for, and late on its way
-        old.list({pod("a"), pod("new")}, 1);
-        tell(old, proxy, old.digest());
-        CPPUNIT_ASSERT(proxy.endpoints().members().contains("new"));
-        tell(next, proxy, next.digest());
-        CPPUNIT_ASSERT(!proxy.endpoints().members().contains("new") && !proxy.endpoints().left("new"));
-        tell(next, proxy, next.list({pod("a"), pod("new")}, 2));
-        CPPUNIT_ASSERT(proxy.endpoints().members().contains("new"));
-        tell(next, proxy, next.list({pod("new")}, 2));  // seen to go by the holder itself: for good
-        CPPUNIT_ASSERT(proxy.endpoints().left("a"));
+        next.updateEndpoints({pod("a")}, 2);  // asked for, and late on its way
+        old.updateEndpoints({pod("a"), pod("new")}, 1);
+        tell(old, proxy, old.digestMessage());
+        CPPUNIT_ASSERT(proxy.endpoints().endpoints().contains("new"));
+        tell(next, proxy, next.digestMessage());
+        CPPUNIT_ASSERT(!proxy.endpoints().endpoints().contains("new") && !proxy.endpoints().hasLeft("new"));
+        tell(next, proxy, next.updateEndpoints({pod("a"), pod("new")}, 2));
+        CPPUNIT_ASSERT(proxy.endpoints().endpoints().contains("new"));
+        tell(next, proxy,
+             next.updateEndpoints({pod("new")}, 2));  // seen to go by the holder itself: for good
+        CPPUNIT_ASSERT(proxy.endpoints().hasLeft("a"));
     }
 
     // A proxy that has missed a change is mended from the holder's copy of the very edition it follows.
     void missedInOneEdition() {
         ConfigurationCache holder{{}}, proxy{{}}, other{{}};
-        holder.list({pod("a"), pod("b")}, 1);
-        for (auto* one : {&proxy, &other}) tell(holder, *one, holder.digest());
-        tell(holder, other, holder.list({pod("b"), pod("c")}, 1));
-        const auto last = holder.list({pod("b"), pod("d")}, 1);
+        holder.updateEndpoints({pod("a"), pod("b")}, 1);
+        for (auto* one : {&proxy, &other}) tell(holder, *one, holder.digestMessage());
+        tell(holder, other, holder.updateEndpoints({pod("b"), pod("c")}, 1));
+        const auto last = holder.updateEndpoints({pod("b"), pod("d")}, 1);
         tell(holder, proxy, last);  // the change before it never came
         tell(holder, other, last);
         for (const auto* one : {&proxy, &other}) {
-            CPPUNIT_ASSERT(one->endpoints().members() == holder.endpoints().members());
+            CPPUNIT_ASSERT(one->endpoints().endpoints() == holder.endpoints().endpoints());
             CPPUNIT_ASSERT(one->endpointListVersion() == holder.endpointListVersion());
         }
     }
@@ -231,21 +233,21 @@
     // What a copy without pods asks for is the same for all of them; any other is answered on its own.
     void askedByMany() {
         ConfigurationCache holder{{}}, empty{{}}, other{{}};
-        holder.list({pod("a"), pod("b", true), pod("c")}, 3);
+        holder.updateEndpoints({pod("a"), pod("b", true), pod("c")}, 3);
         Json want;
-        empty.heard(holder.digest(), ConfigurationCache::MessageSource::controlNode, kSecond,
-                    [&](Json reply) { want = reply; });
+        empty.handleMessage(holder.digestMessage(), ConfigurationCache::MessageSource::controlNode, kSecond,
+                            [&](Json reply) { want = reply; });
         CPPUNIT_ASSERT(holder.wantsFullList(want));
-        empty.heard(holder.whole(), ConfigurationCache::MessageSource::controlNode, kSecond,
-                    [](const Json&) {});
-        CPPUNIT_ASSERT(empty.endpoints().members() == holder.endpoints().members());
-        CPPUNIT_ASSERT(empty.digest() == holder.digest());
-        other.list({pod("z")}, 1);
+        empty.handleMessage(holder.fullEndpointsMessage(), ConfigurationCache::MessageSource::controlNode,
+                            kSecond, [](const Json&) {});
+        CPPUNIT_ASSERT(empty.endpoints().endpoints() == holder.endpoints().endpoints());
+        CPPUNIT_ASSERT(empty.digestMessage() == holder.digestMessage());
+        other.updateEndpoints({pod("z")}, 1);
         Json partly;
-        other.heard(holder.digest(), ConfigurationCache::MessageSource::controlNode, kSecond,
-                    [&](Json reply) { partly = reply; });
+        other.handleMessage(holder.digestMessage(), ConfigurationCache::MessageSource::controlNode, kSecond,
+                            [&](Json reply) { partly = reply; });
         CPPUNIT_ASSERT(!holder.wantsFullList(partly));
-        holder.list({pod("c")}, 3);
+        holder.updateEndpoints({pod("c")}, 3);
         CPPUNIT_ASSERT(!holder.wantsFullList(want));  // of an edition that has passed
     }
 
@@ -284,7 +286,7 @@
         CPPUNIT_ASSERT(read[0].running() && read[0].stage == 1 && read[0].age == 0 && read[0].inStage == 0);
         auto order = read[0];
         order.age = 1234, order.inStage = 200;
-        const auto again = messages::decodeRollouts(messages::write({order}));
+        const auto again = messages::decodeRollouts(messages::encode({order}));
         CPPUNIT_ASSERT(again[0].age == 1234 && again[0].inStage == 200 && again[0].number == 4);
     }
 
@@ -293,46 +295,47 @@
         std::string seen;
         Nanos now = 10 * kSecond;
         const auto word = [](QuorumContact::Change change) {
-            return std::string(change == QuorumContact::Change::none     ? ""
-                               : change == QuorumContact::Change::unsure ? ", logs news_unsure"
-                                                                         : ", logs news_sure");
+            return std::string(change == QuorumContact::Change::none          ? ""
+                               : change == QuorumContact::Change::unconfirmed ? ", logs news_unsure"
+                                                                              : ", logs news_sure");
         };
         bool holding = false;
         const auto line = [&](QuorumContact& proxy, const std::string& what, QuorumContact::Change change) {
-            const bool asks = proxy.waited(holding, now);
+            const bool asks = proxy.waitElapsed(holding, now);
             seen += "  " + std::to_string(now / kMillisecond) + " ms, " + what + word(change) +
-                    ": looks at " + (proxy.takes(false, holding, now) ? "all news" : "sure news alone") +
+                    ": looks at " +
+                    (proxy.acceptsUpdates(false, holding, now) ? "all news" : "sure news alone") +
                     (asks ? ", asks again" : "") + "\n";
         };
         {
             QuorumContact proxy;
             seen += "an empty foyer on the cut-off side\n";
-            line(proxy, "c1 unsure", proxy.heard("c1", false, now));
+            line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
             now += 1499 * kMillisecond;
-            line(proxy, "c1 unsure", proxy.heard("c1", false, now));
+            line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
             now += kMillisecond;
             line(proxy, "time", QuorumContact::Change::none);
-            holding = true, proxy.holds(false);
+            holding = true, proxy.markConfirmed(false);
             line(proxy, "holds c1's", QuorumContact::Change::none);
-            CPPUNIT_ASSERT(!proxy.sure());
-            line(proxy, "c2 sure", proxy.heard("c2", true, now));
-            proxy.holds(true);
-            CPPUNIT_ASSERT(proxy.sure());
-            line(proxy, "c2 parted", proxy.onPeerDisconnected("c2", now));
+            CPPUNIT_ASSERT(!proxy.isConfirmed());
+            line(proxy, "c2 sure", proxy.onControlNodeMessage("c2", true, now));
+            proxy.markConfirmed(true);
+            CPPUNIT_ASSERT(proxy.isConfirmed());
+            line(proxy, "c2 parted", proxy.onControlNodeDisconnected("c2", now));
             now += 10 * kSecond;
             line(proxy, "ten seconds on", QuorumContact::Change::none);
-            line(proxy, "c1 sure", proxy.heard("c1", true, now));
+            line(proxy, "c1 sure", proxy.onControlNodeMessage("c1", true, now));
         }
         holding = false;
         {
             QuorumContact proxy;
             seen += "an empty foyer, one prompter cut off, one not\n";
-            line(proxy, "c1 unsure", proxy.heard("c1", false, now));
+            line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
             now += kSecond;
-            line(proxy, "c2 sure", proxy.heard("c2", true, now));
+            line(proxy, "c2 sure", proxy.onControlNodeMessage("c2", true, now));
             now += 5 * kSecond;
             line(proxy, "c2 has nothing to tell", QuorumContact::Change::none);
-            line(proxy, "c2 parted", proxy.onPeerDisconnected("c2", now));
+            line(proxy, "c2 parted", proxy.onControlNodeDisconnected("c2", now));
             now += 1400 * kMillisecond;
             line(proxy, "a wait anew", QuorumContact::Change::none);
             now += 100 * kMillisecond;
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -342,7 +342,7 @@
         Cast cast(4);
         cast.tolerance = [](config::BootstrapSettings& boot) {
             boot.machinesLost = 1;
-            boot.controlReplace = 5 * kSecond;  // also on a machine that is busy with other things
+            boot.controlReplaceAfter = 5 * kSecond;  // also on a machine that is busy with other things
         };
         for (int at = 0; at < 4; ++at) cast.launch(at, true);
         cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3}); });
@@ -434,7 +434,7 @@
         while (!cast.replica(leaver).votes()) ++leaver;
         const auto leave = [&](Cast& of, int at) {
             bool left = false;
-            start(of.io, "leave", [](ReplicaNode& replica, bool& left_) -> Task<> {
+            spawn(of.io, "leave", [](ReplicaNode& replica, bool& left_) -> Task<> {
                 co_await replica.leave();
                 left_ = true;
             }(of.replica(at), left));
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -377,7 +377,7 @@
             done = true;
         };
         call->abort();
-        start(house.proxyLoop, "send", send(house, call, request, back));
+        spawn(house.proxyLoop, "send", send(house, call, request, back));
         house.until([&] { return back; });
         CPPUNIT_ASSERT_EQUAL(0, house.arrivals["left"]);
         CPPUNIT_ASSERT(call->attempt->state() == routing::AttemptState::unsent);
--- a/tests/proxy/readiness_server.cpp
+++ b/tests/proxy/readiness_server.cpp
@@ -30,7 +30,7 @@
         const rlimit none{0, before.rlim_max};
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &none));
         client.connect(door.local_endpoint());
-        start(io, "readiness", proxy::serveReadiness(io, door, [] { return true; }));
+        spawn(io, "readiness", proxy::serveReadiness(io, door, [] { return true; }));
         const auto turns = io.run_for(std::chrono::milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &before));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(turns) + " turns", turns <= 40);
@@ -42,7 +42,7 @@
 
     // Who asks nothing, or but half a question, is left.
     void silentProbes() {
-        start(io, "readiness",
+        spawn(io, "readiness",
               proxy::serveReadiness(
                   io, door, [] { return false; }, 30 * kMillisecond));
         for (const auto* said : {"", "GET / HT", "GET / HTTP/1.1\r\n\r\n"}) {
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -21,12 +21,12 @@
                 R"(","max_attempts":3}},)";
     text += R"({"resource_type":"service_table","metadata":{"name":"s"},"spec":{"max_connections":100}},)"
             R"({"resource_type":"service_table","metadata":{"name":"t"},"spec":{}}]})";
-    return std::make_shared<config::Configuration>(config::Configuration::read(text));
+    return std::make_shared<config::Configuration>(config::Configuration::parse(text));
 }
 
 struct Room {
     explicit Room(std::size_t pods = 4, double slack = 20) {
-        boot.zone = "z", boot.budgetSlack = slack, boot.budgetRatio = 0.2, boot.exposureShare = 0.1;
+        boot.zone = "z", boot.retrySlack = slack, boot.retryBudgetRatio = 0.2, boot.exposureShare = 0.1;
         room = std::make_unique<Router>(boot, 7);
         room->take(bill("00000001"));
         room->company(1, now - 10 * kSecond);
--- a/tests/scale_test/scale_test.cpp
+++ b/tests/scale_test/scale_test.cpp
@@ -69,15 +69,15 @@
     void configurationsAreValidAndGrow() {
         scale_test::ScenarioConfig plan;
         plan.routes = 300;
-        const auto first = config::Configuration::read(scale_test::configuration(plan, 0));
-        const auto third = config::Configuration::read(scale_test::configuration(plan, 2));
+        const auto first = config::Configuration::parse(scale_test::configuration(plan, 0));
+        const auto third = config::Configuration::parse(scale_test::configuration(plan, 2));
         CPPUNIT_ASSERT_EQUAL(1u, first.version);
         CPPUNIT_ASSERT_EQUAL(3u, third.version);
         CPPUNIT_ASSERT_EQUAL(std::size_t{300}, first.routes.size());
         CPPUNIT_ASSERT_EQUAL(std::size_t{302}, third.routes.size());
         const auto path = scale_test::changedPath(2) + "x";
-        CPPUNIT_ASSERT(!first.find(scale_test::kChangedHost, path));
-        CPPUNIT_ASSERT(third.find(scale_test::kChangedHost, path));
+        CPPUNIT_ASSERT(!first.findRoute(scale_test::kChangedHost, path));
+        CPPUNIT_ASSERT(third.findRoute(scale_test::kChangedHost, path));
     }
 
     void quantilesAreOfTheTimesThemselves() {
--- a/tests/storage/replica_store.cpp
+++ b/tests/storage/replica_store.cpp
@@ -47,7 +47,7 @@
         LmdbReplicaStore book(folder, 8 << 20);
         CPPUNIT_ASSERT_EQUAL(std::string("a,b,c"), book.note("members"));
         CPPUNIT_ASSERT_EQUAL(std::string(), book.note("none"));
-        CPPUNIT_ASSERT(book.cells() == cell(std::string(200'000, 'x'), 2));
+        CPPUNIT_ASSERT(book.states() == cell(std::string(200'000, 'x'), 2));
     }
 
     // A byte of the value changed on disk: the checksum tells, whoever opens it.
@@ -70,7 +70,7 @@
         file.close();
         CPPUNIT_ASSERT(changed > 0);
         LmdbReplicaStore book(folder, 8 << 20);
-        CPPUNIT_ASSERT_THROW(book.cells(), StorageError);
+        CPPUNIT_ASSERT_THROW(book.states(), StorageError);
     }
 
     // The disk takes no more: the write is refused whole, what was there stays, and it goes on when there is
@@ -87,9 +87,9 @@
         CPPUNIT_ASSERT_THROW(book->write(cell(std::string(300'000, 'y'), 2), {}), StorageError);
         setrlimit(RLIMIT_FSIZE, &before);
         book = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
-        CPPUNIT_ASSERT(book->cells() == cell("kept", 1));
+        CPPUNIT_ASSERT(book->states() == cell("kept", 1));
         book->write(cell(std::string(300'000, 'y'), 2), {});
-        CPPUNIT_ASSERT(book->cells() == cell(std::string(300'000, 'y'), 2));
+        CPPUNIT_ASSERT(book->states() == cell(std::string(300'000, 'y'), 2));
     }
 
     // Three hundred configurations leave no more on disk than a few of them.
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -17,7 +17,7 @@
 
 struct Cost {
     std::size_t messages = 0, bytes = 0;
-    void add(const Json& message) { ++messages, bytes += PeerConnection::pack(message)->size(); }
+    void add(const Json& message) { ++messages, bytes += PeerConnection::encode(message)->size(); }
 };
 
 // A value that squeezes to nothing much, of one size whichever change it is.
@@ -51,7 +51,7 @@
 // What a proxy and a control node exchange when it has come up.
 Cost exchange(ConfigurationCache& controlNode, ConfigurationCache& proxy) {
     Cost cost;
-    callboard_stage::tell(controlNode, proxy, controlNode.digest(),
+    callboard_stage::tell(controlNode, proxy, controlNode.digestMessage(),
                           ConfigurationCache::MessageSource::controlNode,
                           [&](const Json& message) { cost.add(message); });
     return cost;
@@ -140,22 +140,22 @@
         std::vector<Cost> empty, old;
         for (const int count : changes) {
             ConfigurationCache controlNode{{}}, away{{}};
-            controlNode.configuration(1, valueOf(0));
-            controlNode.rollouts(0, "[]");
-            controlNode.list(pods(10'000, 10'040), 1);
+            controlNode.setConfiguration(1, valueOf(0));
+            controlNode.setRollouts(0, "[]");
+            controlNode.updateEndpoints(pods(10'000, 10'040), 1);
             exchange(controlNode, away);
             for (int change = 1; change <= count; ++change) {
-                controlNode.configuration(static_cast<std::uint32_t>(change + 1), valueOf(change));
-                controlNode.rollouts(change, "[]");
-                controlNode.list(pods(10'000 + change, 10'040 + change),
-                                 1 + static_cast<std::uint64_t>(change) / 100);
+                controlNode.setConfiguration(static_cast<std::uint32_t>(change + 1), valueOf(change));
+                controlNode.setRollouts(change, "[]");
+                controlNode.updateEndpoints(pods(10'000 + change, 10'040 + change),
+                                            1 + static_cast<std::uint64_t>(change) / 100);
             }
             ConfigurationCache fresh{{}};
             empty.push_back(exchange(controlNode, fresh));
             old.push_back(exchange(controlNode, away));
             for (const auto* one : {&fresh, &away}) {
-                CPPUNIT_ASSERT(one->digest() == controlNode.digest());
-                CPPUNIT_ASSERT(one->endpoints().members() == controlNode.endpoints().members());
+                CPPUNIT_ASSERT(one->digestMessage() == controlNode.digestMessage());
+                CPPUNIT_ASSERT(one->endpoints().endpoints() == controlNode.endpoints().endpoints());
             }
         }
         flat("foyer, empty", empty, 5, 21'000);
@@ -166,14 +166,14 @@
     void largeConfiguration() {
         const auto body = configuration(24'000);
         const auto compressed = compress(body);
-        const auto packed = PeerConnection::pack(
+        const auto packed = PeerConnection::encode(
             Json{{"t", "configuration"}, {"squeezed", messages::encodeBytes(compressed)}});
         std::cerr << "  24,000 routes: " << body.size() << " bytes, squeezed " << compressed.size()
                   << ", as a message " << packed->size() << "\n";
         CPPUNIT_ASSERT(compressed.size() * 8 < body.size());
-        CPPUNIT_ASSERT(packed->size() > kWholeAtMost);  // so it goes in pieces
+        CPPUNIT_ASSERT(packed->size() > kMaxUnchunkedBytes);  // so it goes in pieces
         CPPUNIT_ASSERT_EQUAL(std::size_t(24'000),
-                             config::Configuration::read(decompress(compressed)).routes.size());
+                             config::Configuration::parse(decompress(compressed)).routes.size());
         // Proxies of a zone on lines of 2 Mbit/s have it in this time, beside all else.
         const auto seconds = static_cast<double>(packed->size()) * 8 / 2e6;
         CPPUNIT_ASSERT(seconds < 3);
--- a/tests/subscription/peer_updates.cpp
+++ b/tests/subscription/peer_updates.cpp
@@ -27,7 +27,8 @@
             numbers[names.back()] = at;
         }
         for (std::size_t at = 1; at <= proxies; ++at)
-            for (const auto& name : hashing::watched(all, names[at])) watch.emplace_back(at, numbers[name]);
+            for (const auto& name : hashing::watchedPeers(all, names[at]))
+                watch.emplace_back(at, numbers[name]);
         sent.resize(proxies + 1), bytes.resize(proxies + 1), cut.resize(proxies + 1);
     }
     void send(std::size_t from, std::size_t to, const Json& message) {
@@ -44,7 +45,7 @@
     }
     // One heartbeat: digests between watchers, then everything that follows from them.
     void round() {
-        for (const auto& [from, to] : watch) send(from, to, boards[from].digest());
+        for (const auto& [from, to] : watch) send(from, to, boards[from].digestMessage());
         settle();
         now += heartbeat;
     }
@@ -55,17 +56,17 @@
             way.erase(way.begin());
             now = std::max(now, at.first);
             const auto& [from, to, message] = what;
-            const auto role = to == 0     ? ConfigurationCache::MessageSource::follower
+            const auto role = to == 0     ? ConfigurationCache::MessageSource::subscriber
                               : from == 0 ? ConfigurationCache::MessageSource::controlNode
-                                          : ConfigurationCache::MessageSource::neighbour;
-            boards[to].heard(message, role, now,
-                             [&, from = from, to = to](const Json& reply) { send(to, from, reply); });
+                                          : ConfigurationCache::MessageSource::peerProxy;
+            boards[to].handleMessage(message, role, now,
+                                     [&, from = from, to = to](const Json& reply) { send(to, from, reply); });
         }
     }
     std::size_t agreeing() const {
         std::size_t count = 0;
         for (std::size_t at = 1; at < boards.size(); ++at) {
-            const auto mine = boards[at].digest(), its = boards[0].digest();
+            const auto mine = boards[at].digestMessage(), its = boards[0].digestMessage();
             count += mine["configuration"] == its["configuration"] && mine["rollouts"] == its["rollouts"] &&
                      mine.value("sums", Json()) == its["sums"];
         }
@@ -93,10 +94,10 @@
 };
 
 void begin(Town& town, int count) {
-    town.boards[0].configuration(7, std::string(3000, 'c'));
-    town.boards[0].rollouts(0, "[]");
-    town.boards[0].list(pods(0, count), 1);
-    town.all(town.boards[0].digest());
+    town.boards[0].setConfiguration(7, std::string(3000, 'c'));
+    town.boards[0].setRollouts(0, "[]");
+    town.boards[0].updateEndpoints(pods(0, count), 1);
+    town.all(town.boards[0].digestMessage());
     town.settle();
     CPPUNIT_ASSERT_EQUAL(town.boards.size() - 1, town.agreeing());
 }
@@ -119,12 +120,12 @@
         Town town(12, 1);
         begin(town, 40);
         for (std::size_t at = 1; at <= 12; at += 3) town.cut[at] = true;
-        town.boards[0].configuration(9, "nine");
-        town.all(town.boards[0].cue());
-        town.boards[0].rollouts(3, "[3]");
-        town.all(town.boards[0].order());
+        town.boards[0].setConfiguration(9, "nine");
+        town.all(town.boards[0].versionsMessage());
+        town.boards[0].setRollouts(3, "[3]");
+        town.all(town.boards[0].rolloutsMessage());
         auto listed = pods(2, 44, 6);
-        town.all(town.boards[0].list(listed, 1));
+        town.all(town.boards[0].updateEndpoints(listed, 1));
         town.settle();
         CPPUNIT_ASSERT_EQUAL(std::size_t(8), town.agreeing());
         int rounds = 0;
@@ -133,8 +134,8 @@
         CPPUNIT_ASSERT(rounds <= 2);
         for (std::size_t at = 1; at <= 12; ++at) {
             CPPUNIT_ASSERT_EQUAL(9u, town.boards[at].version());
-            CPPUNIT_ASSERT(town.boards[at].endpoints().left(pod(0).id));
-            CPPUNIT_ASSERT(town.boards[at].endpoints().members().at(pod(4).id).draining);
+            CPPUNIT_ASSERT(town.boards[at].endpoints().hasLeft(pod(0).id));
+            CPPUNIT_ASSERT(town.boards[at].endpoints().endpoints().at(pod(4).id).draining);
         }
     }
 
@@ -147,15 +148,15 @@
             town.loss = 20, town.disorder = true;
             for (int step = 1; step <= 8; ++step) {
                 const int first = step, last = 30 + 2 * step;
-                town.boards[0].configuration(7 + static_cast<std::uint32_t>(step), std::string(100, 'x'));
-                town.all(town.boards[0].cue());
-                town.all(town.boards[0].list(pods(first, last, first + 2), 1 + step / 6));
+                town.boards[0].setConfiguration(7 + static_cast<std::uint32_t>(step), std::string(100, 'x'));
+                town.all(town.boards[0].versionsMessage());
+                town.all(town.boards[0].updateEndpoints(pods(first, last, first + 2), 1 + step / 6));
                 if (step % 2) town.settle();
                 town.round();
             }
             town.loss = 0;
-            town.boards[0].list(pods(8, 46, 10), 2);
-            town.all(town.boards[0].digest());
+            town.boards[0].updateEndpoints(pods(8, 46, 10), 2);
+            town.all(town.boards[0].digestMessage());
             town.settle();
             for (int round = 0; round < 3; ++round) town.round();
             CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(seed), std::size_t(10), town.agreeing());
@@ -167,37 +168,38 @@
         Town town(6, 3);
         begin(town, 10);
         town.cut[1] = true;
-        town.all(town.boards[0].list(pods(3, 12, 5), 1));
+        town.all(town.boards[0].updateEndpoints(pods(3, 12, 5), 1));
         town.settle();
         ConfigurationCache young{
             ConfigurationCache::Subscriber{}};  // has just come up, and hears the old copy first
         std::vector<Json> asked;
-        young.heard(town.boards[1].digest(), ConfigurationCache::MessageSource::neighbour, town.now,
-                    [&](Json reply) { asked.push_back(std::move(reply)); });
+        young.handleMessage(town.boards[1].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
+                            town.now, [&](Json reply) { asked.push_back(std::move(reply)); });
         const auto feed = [&](ConfigurationCache& from, ConfigurationCache::MessageSource role,
                               const std::vector<Json>& messages) {
             std::vector<Json> answers;
             for (const auto& message : messages)
-                from.heard(message, ConfigurationCache::MessageSource::neighbour, town.now,
-                           [&](Json reply) { answers.push_back(std::move(reply)); });
+                from.handleMessage(message, ConfigurationCache::MessageSource::peerProxy, town.now,
+                                   [&](Json reply) { answers.push_back(std::move(reply)); });
             std::vector<Json> next;
             for (const auto& answer : answers)
-                young.heard(answer, role, town.now, [&](Json reply) { next.push_back(std::move(reply)); });
+                young.handleMessage(answer, role, town.now,
+                                    [&](Json reply) { next.push_back(std::move(reply)); });
             return next;
         };
-        feed(town.boards[1], ConfigurationCache::MessageSource::neighbour, asked);
-        CPPUNIT_ASSERT(young.endpoints().members().contains(pod(0).id));  // the old copy's word, as yet
+        feed(town.boards[1], ConfigurationCache::MessageSource::peerProxy, asked);
+        CPPUNIT_ASSERT(young.endpoints().endpoints().contains(pod(0).id));  // the old copy's word, as yet
         asked.clear();
-        young.heard(town.boards[2].digest(), ConfigurationCache::MessageSource::neighbour, town.now,
-                    [&](Json reply) { asked.push_back(std::move(reply)); });
-        feed(town.boards[2], ConfigurationCache::MessageSource::neighbour, asked);
-        CPPUNIT_ASSERT(young.endpoints().members() == town.boards[0].endpoints().members());
+        young.handleMessage(town.boards[2].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
+                            town.now, [&](Json reply) { asked.push_back(std::move(reply)); });
+        feed(town.boards[2], ConfigurationCache::MessageSource::peerProxy, asked);
+        CPPUNIT_ASSERT(young.endpoints().endpoints() == town.boards[0].endpoints().endpoints());
         asked.clear();
-        young.heard(town.boards[1].digest(), ConfigurationCache::MessageSource::neighbour, town.now,
-                    [&](Json reply) { asked.push_back(std::move(reply)); });
-        feed(town.boards[1], ConfigurationCache::MessageSource::neighbour, asked);
-        CPPUNIT_ASSERT(young.endpoints().members() == town.boards[0].endpoints().members());
-        CPPUNIT_ASSERT(!young.endpoints().members().contains(pod(0).id));
+        young.handleMessage(town.boards[1].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
+                            town.now, [&](Json reply) { asked.push_back(std::move(reply)); });
+        feed(town.boards[1], ConfigurationCache::MessageSource::peerProxy, asked);
+        CPPUNIT_ASSERT(young.endpoints().endpoints() == town.boards[0].endpoints().endpoints());
+        CPPUNIT_ASSERT(!young.endpoints().endpoints().contains(pod(0).id));
     }
 
     // What news costs a proxy and the control node, at three sizes: bounds that the design note states.
@@ -218,15 +220,15 @@
             line("all start");
             town.round();
             line("a heartbeat without news");
-            town.all(town.boards[0].list(pods(0, count + 1, 1), 1));
+            town.all(town.boards[0].updateEndpoints(pods(0, count + 1, 1), 1));
             town.settle();
             line("two pods change");
-            town.boards[0].configuration(8, std::string(3000, 'd'));
-            town.all(town.boards[0].cue());
+            town.boards[0].setConfiguration(8, std::string(3000, 'd'));
+            town.all(town.boards[0].versionsMessage());
             town.settle();
             line("a configuration of 3,000 bytes");
             for (std::size_t at = 1; at <= proxies; at += 10) town.cut[at] = true;
-            town.all(town.boards[0].list(pods(5, count + 5, 9), 1));
+            town.all(town.boards[0].updateEndpoints(pods(5, count + 5, 9), 1));
             town.settle();
             town.forget();
             int rounds = 0;
@@ -244,7 +246,7 @@
         std::map<std::string, std::vector<std::string>> before;
         std::map<std::string, int> watchers;
         for (const auto& name : names) {
-            before[name] = hashing::watched(names, name);
+            before[name] = hashing::watchedPeers(names, name);
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), before[name].size());
             for (const auto& other : before[name]) ++watchers[other];
         }
@@ -253,7 +255,7 @@
         std::erase(left, gone);
         int changed = 0;
         for (const auto& name : left) {
-            const auto after = hashing::watched(left, name);
+            const auto after = hashing::watchedPeers(left, name);
             const bool had = std::find(before[name].begin(), before[name].end(), gone) != before[name].end();
             if (!had) CPPUNIT_ASSERT(after == before[name]);
             changed += had;
--- a/tests/support/event_loop_fixture.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -22,7 +22,7 @@
 template <typename Result, typename Until>
 Result result(asio::io_context& io, Task<Result> task, Until until) {
     std::optional<Result> ended;
-    start(io, "task", [](Task<Result> task_, std::optional<Result>& ended_) -> Task<> {
+    spawn(io, "task", [](Task<Result> task_, std::optional<Result>& ended_) -> Task<> {
         ended_ = co_await std::move(task_);
     }(std::move(task), ended));
     until([&] { return ended.has_value(); });
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -30,17 +30,17 @@
 class Stage {
   public:
     explicit Stage(const std::string& routes = "") {
-        boot.zone = "z", boot.budgetSlack = 20;
+        boot.zone = "z", boot.retrySlack = 20;
         router = std::make_unique<routing::Router>(boot, 1);
         router->take(
-            std::make_shared<config::Configuration>(config::Configuration::read(configuration(routes))));
+            std::make_shared<config::Configuration>(config::Configuration::parse(configuration(routes))));
         router->company(1, now() - 10 * kSecond);
         router->rollouts({}, now());
         router->listed();
         upstream = std::make_unique<proxy::UpstreamClient>(io);
         front = std::make_unique<proxy::HttpServer>(io, *router, *upstream, [] { return true; });
         clients = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-        start(io, "clients", front->serve(*clients));
+        spawn(io, "clients", front->serve(*clients));
     }
     ~Stage() {
         ErrorCode ignored;
@@ -66,7 +66,7 @@
     void pod(const std::string& name, std::deque<Act> acts) {
         scripts[name] = std::move(acts);
         doors[name] = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-        start(io, "pod", serve(name));
+        spawn(io, "pod", serve(name));
         list(name, "127.0.0.1:" + std::to_string(doors[name]->local_endpoint().port()));
     }
     void list(const std::string& name, const std::string& address, bool draining = false,
@@ -78,7 +78,7 @@
     std::string client(const std::string& bytes, int answers, bool toEnd = false) {
         std::string seen;
         bool done = false;
-        start(io, "client", talk(bytes, answers, toEnd, seen, done));
+        spawn(io, "client", talk(bytes, answers, toEnd, seen, done));
         until([&] { return done; });
         return seen;
     }
@@ -126,7 +126,7 @@
             auto socket = co_await door.async_accept(withErrorCode(code));
             if (code) co_return;
             ++connections[name];
-            start(io, "pod connection", hear(name, std::move(socket)));
+            spawn(io, "pod connection", hear(name, std::move(socket)));
         }
     }
     Task<> hear(std::string name, tcp::socket socket) {
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -48,7 +48,7 @@
 
 struct ScriptedBook final : storage::ReplicaStore {
     explicit ScriptedBook(Disk& disk_) : disk(disk_) {}
-    std::map<std::string, consensus::RegisterState> cells() const override {
+    std::map<std::string, consensus::RegisterState> states() const override {
         std::lock_guard hold(disk.lock);
         return disk.cells;
     }
@@ -86,30 +86,31 @@
             if (anew) disk.restore({});
             return std::make_unique<ScriptedBook>(disk);
         });
-        owner = std::make_shared<PeerConnection::Owner>();
-        owner->greet = [this](PeerConnection& link) {
+        owner = std::make_shared<PeerConnection::Callbacks>();
+        owner->makeHello = [this](PeerConnection& link) {
             open.push_back(link.weak_from_this());
             auto hello = replica->greeting();
             hello.update({{"t", "hello"}, {"at", at()}});
             return hello;
         };
-        owner->heard = [this](PeerConnection& link, const Json& message) {
+        owner->onMessage = [this](PeerConnection& link, const Json& message) {
             if (away == 0) return heard(link, message);
-            start(io, "on its way",
+            spawn(io, "on its way",
                   [](Member& self, std::shared_ptr<PeerConnection> link_, Json message_) -> Task<> {
                       co_await sleep(self.away);
                       self.heard(*link_, message_);
                   }(*this, link.shared_from_this(), message));
         };
-        owner->closed = [this](PeerConnection& link) {
+        owner->onClosed = [this](PeerConnection& link) {
             const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && !dialer->second->link()) replica->onPeerDisconnected(link.peer);
+            if (dialer != dialers.end() && !dialer->second->connection())
+                replica->onPeerDisconnected(link.peer);
         };
         door = std::make_unique<tcp::acceptor>(listen(io, at()));
         replica->open();
-        start(io, "links", servePeerConnections(io, *door, owner));
-        start(io, "maintain", replica->maintain());
-        for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
+        spawn(io, "links", servePeerConnections(io, *door, owner));
+        spawn(io, "maintain", replica->maintain());
+        for (const auto& seed : boot.seeds) dial(boot.peerAddress(hostOf(seed)));
     }
     void heard(PeerConnection& link, const Json& message) {
         if (cut || gone) return;  // a cut says nothing: links stay up, words are lost
@@ -118,16 +119,16 @@
         if (overheard) overheard(link, message);
         if (!hello) return void(replica->heard(link, message));
         const auto dialer = dialers.find(link.peer);
-        if (dialer != dialers.end() && dialer->second->link().get() == &link)
+        if (dialer != dialers.end() && dialer->second->connection().get() == &link)
             replica->joined(link.peer, link.shared_from_this());
         replica->onHello(message);
         for (const auto& address : message.at("members")) dial(address.get<std::string>());
     }
-    std::string at() const { return boot.internal(boot.ip); }
+    std::string at() const { return boot.peerAddress(boot.ip); }
     void dial(const std::string& address) {
         if (gone || address == at() || dialers.contains(address)) return;
         dialers[address] = std::make_shared<Dialer>(io, address, owner);
-        dialers[address]->go();
+        dialers[address]->start();
     }
     void kill() {
         gone = true;
@@ -146,7 +147,7 @@
     std::function<void(const PeerConnection&, const Json&)>
         overheard;  // of each message, once its sender is known
     std::unique_ptr<ReplicaNode> replica;
-    std::shared_ptr<PeerConnection::Owner> owner;
+    std::shared_ptr<PeerConnection::Callbacks> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;
     std::vector<std::weak_ptr<PeerConnection>> open;
     std::unique_ptr<tcp::acceptor> door;
@@ -173,7 +174,7 @@
         config::BootstrapSettings boot;
         boot.ip = "127.0.3." + std::to_string(at + 1), boot.name = boot.ip, boot.internalPorts = {port};
         boot.zone = zone(at), boot.region = "r", boot.bootstrap = bootstrap, boot.quorumMember = true;
-        boot.controlReplace = 700 * kMillisecond;
+        boot.controlReplaceAfter = 700 * kMillisecond;
         tolerance(boot);
         for (int seed = 0; seed < 3 && seed < static_cast<int>(members.size()); ++seed)
             boot.seeds.push_back("127.0.3." + std::to_string(seed + 1) + ":1");
--- a/tests/support/subscription_fixture.hpp
+++ b/tests/support/subscription_fixture.hpp
@@ -30,14 +30,14 @@
     const std::function<void(const Json&)>& each = [](const Json&) {}) {
     if (message.is_null()) return;
     const auto other = role == ConfigurationCache::MessageSource::controlNode
-                           ? ConfigurationCache::MessageSource::follower
-                           : ConfigurationCache::MessageSource::neighbour;
+                           ? ConfigurationCache::MessageSource::subscriber
+                           : ConfigurationCache::MessageSource::peerProxy;
     std::vector<Json> way{std::move(message)};
     for (bool forth = true; !way.empty(); forth = !forth) {
         std::vector<Json> back;
         for (const auto& one : way) {
             each(one);
-            (forth ? to : from).heard(one, forth ? role : other, 1'000'000'000, [&](Json reply) {
+            (forth ? to : from).handleMessage(one, forth ? role : other, 1'000'000'000, [&](Json reply) {
                 back.push_back(std::move(reply));
             });
         }
