--- a/tests/transport/chunks.cpp
+++ b/tests/transport/chunks.cpp
@@ -51,7 +51,7 @@
             const auto frame = out.next();
             time += static_cast<Nanos>(static_cast<double>(frame->size()) * nanosPerByte);
             longestGap = std::max(longestGap, time - std::exchange(lastHeard, time));
-            const auto whole = in.take(*frame);
+            const auto whole = in.addFrame(*frame);
             if (!whole) continue;
             if (const auto at = pushed.find(*whole); at != pushed.end()) {
                 longestWait = std::max(longestWait, time - at->second);
@@ -68,8 +68,8 @@
 
     void anySize() {
         for (const std::size_t size :
-             {std::size_t{0}, std::size_t{1}, kWholeAtMost, kWholeAtMost + 1, 3 * kPieceBytes - 1,
-              3 * kPieceBytes, 3 * kPieceBytes + 1, std::size_t{5'000'000}}) {
+             {std::size_t{0}, std::size_t{1}, kMaxUnchunkedBytes, kMaxUnchunkedBytes + 1, 3 * kChunkBytes - 1,
+              3 * kChunkBytes, 3 * kChunkBytes + 1, std::size_t{5'000'000}}) {
             SendQueue out;
             ChunkReassembler in;
             // Two large ones in a row, a small one that overtakes them.
@@ -81,17 +81,17 @@
             while (!out.empty()) {
                 const auto frame = out.next();
                 ++frames;
-                CPPUNIT_ASSERT(frame->size() <= kWholeAtMost);
-                if (auto whole = in.take(*frame)) came.push_back(std::move(*whole));
+                CPPUNIT_ASSERT(frame->size() <= kMaxUnchunkedBytes);
+                if (auto whole = in.addFrame(*frame)) came.push_back(std::move(*whole));
             }
             CPPUNIT_ASSERT_EQUAL(std::size_t(0), out.bytes());
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), came.size());
-            const auto place = size > kWholeAtMost ? 0 : 2;
+            const auto place = size > kMaxUnchunkedBytes ? 0 : 2;
             CPPUNIT_ASSERT_EQUAL(*bytes(7, 'p'), came[static_cast<std::size_t>(place)]);
             came.erase(came.begin() + place);
             CPPUNIT_ASSERT(came[0] == *bytes(size, 'a') && came[1] == *bytes(size, 'b'));
-            CPPUNIT_ASSERT_EQUAL(size > kWholeAtMost ? 1 + 2 * ((size + kPieceBytes - 1) / kPieceBytes) : 3,
-                                 frames);
+            CPPUNIT_ASSERT_EQUAL(
+                size > kMaxUnchunkedBytes ? 1 + 2 * ((size + kChunkBytes - 1) / kChunkBytes) : 3, frames);
         }
     }
 
@@ -99,14 +99,14 @@
     void spoilt() {
         std::vector<std::string> good;
         SendQueue out;
-        out.push(bytes(4 * kPieceBytes, 'x'));
+        out.push(bytes(4 * kChunkBytes, 'x'));
         while (!out.empty()) good.push_back(*out.next());
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), good.size());
         const auto refused = [](const std::vector<std::string>& frames) {
             ChunkReassembler in;
             try {
                 for (const auto& frame : frames)
-                    if (in.take(frame)) return std::string("whole");
+                    if (in.addFrame(frame)) return std::string("whole");
             } catch (const std::runtime_error& wrong) {
                 return std::string(wrong.what());
             }
@@ -153,11 +153,11 @@
         std::mt19937 chance(7);
         for (auto& letter : text) letter = static_cast<char>(chance());  // what can't be squeezed
         std::vector<std::string> came;
-        auto reader = std::make_shared<PeerConnection::Owner>(),
-             writer = std::make_shared<PeerConnection::Owner>();
-        reader->greet = [](PeerConnection&) { return Json(); };
-        reader->closed = writer->closed = [](PeerConnection&) {};
-        reader->heard = [&](PeerConnection&, const Json& message) {
+        auto reader = std::make_shared<PeerConnection::Callbacks>(),
+             writer = std::make_shared<PeerConnection::Callbacks>();
+        reader->makeHello = [](PeerConnection&) { return Json(); };
+        reader->onClosed = writer->onClosed = [](PeerConnection&) {};
+        reader->onMessage = [&](PeerConnection&, const Json& message) {
             const auto kind = message.at("t").get<std::string>();
             came.push_back(kind);
             if (kind == "large") {
@@ -166,15 +166,15 @@
                                           [](auto a, auto b) { return a == static_cast<std::uint8_t>(b); }));
             }
         };
-        writer->heard = [](PeerConnection&, const Json&) {};
-        writer->greet = [&](PeerConnection& link) {
+        writer->onMessage = [](PeerConnection&, const Json&) {};
+        writer->makeHello = [&](PeerConnection& link) {
             link.send(Json{{"t", "large"}, {"bytes", Json::binary({text.begin(), text.end()})}});
             for (int at = 0; at < 20; ++at) link.send(Json{{"t", "small"}});
             return Json();
         };
-        start(io, "links", servePeerConnections(io, door, reader));
+        spawn(io, "links", servePeerConnections(io, door, reader));
         const auto dialer = std::make_shared<Dialer>(io, address, writer);
-        dialer->go();
+        dialer->start();
         while (came.size() < 21) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
         CPPUNIT_ASSERT_EQUAL(std::string("large"), came.back());
         dialer->stop();
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -47,7 +47,7 @@
                   {{"r", {counts(2, 100 * kMillisecond), {}}}});  // its next life counts beside the first
         pool.take("b", 1, 1, {{"r", {counts(4, 100 * kMillisecond), {}}}});
         CPPUNIT_ASSERT_EQUAL(15u, all());
-        const auto back = messages::decodeTotals(messages::write(pool.sum()));
+        const auto back = messages::decodeTotals(messages::encode(pool.sum()));
         CPPUNIT_ASSERT_EQUAL(15u, back.at("r")[0].all());
     }
 
@@ -105,15 +105,16 @@
     void voterReplaced() {
         std::vector<std::string> names;
         for (int at = 0; at < 12; ++at) names.push_back("edge-" + std::to_string(at));
-        const auto before = hashing::chosen(names, "s\nv2", 3);
+        const auto before = hashing::rendezvousSelect(names, "s\nv2", 3);
         std::erase(names, before[1]);
-        const auto after = hashing::chosen(names, "s\nv2", 3);
+        const auto after = hashing::rendezvousSelect(names, "s\nv2", 3);
         CPPUNIT_ASSERT_EQUAL(before[0], after[0]);
         CPPUNIT_ASSERT_EQUAL(before[2], after[1]);
         CPPUNIT_ASSERT(std::find(before.begin(), before.end(), after[2]) == before.end());
         std::map<std::string, int> load;
         for (int at = 0; at < 3000; ++at)
-            for (const auto& name : hashing::chosen(names, "s\nv" + std::to_string(at), 3)) ++load[name];
+            for (const auto& name : hashing::rendezvousSelect(names, "s\nv" + std::to_string(at), 3))
+                ++load[name];
         for (const auto& [name, count] : load) CPPUNIT_ASSERT(count > 700 && count < 950);  // 818 each
     }
 
@@ -123,7 +124,7 @@
         const auto follow = [](discovery::EndpointSet& view, const std::vector<discovery::Endpoint>& listed) {
             std::string seen;
             for (const auto& event : view.eventsTowards(listed, 0)) {
-                seen += (event.gone ? "-" : event.member.draining ? "~" : "+") + event.member.id;
+                seen += (event.removed ? "-" : event.endpoint.draining ? "~" : "+") + event.endpoint.id;
                 view.apply(event);
             }
             return seen;
@@ -137,7 +138,7 @@
         }());
         CPPUNIT_ASSERT_EQUAL(std::string(), follow(ahead, {pod("a"), pod("b"), pod("c")}));
         CPPUNIT_ASSERT_EQUAL(std::string("+b+c"), follow(behind, {pod("b"), pod("c")}));
-        CPPUNIT_ASSERT_EQUAL(ahead.members().size(), behind.members().size());
+        CPPUNIT_ASSERT_EQUAL(ahead.endpoints().size(), behind.endpoints().size());
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(VerdictTest);
