--- a/src/command/gateway.cpp
+++ b/src/command/gateway.cpp
@@ -62,7 +62,7 @@
     check->footer("Example:\n  lichenlanding-gateway config check config.json");
     check->callback([=, &action] {
         action = [=] {
-            const auto read = config::Configuration::read(readInput(*file));
+            const auto read = config::Configuration::parse(readInput(*file));
             std::printf("version %s: %zu routes, %zu services\n", config::formatVersion(read.version).c_str(),
                         read.routes.size(), read.services.size());
         };
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -140,7 +140,7 @@
 Task<AdminApi::Response> AdminApi::replace(const std::string& body) {
     admin::ConfigurationRequest order;
     try {
-        order = admin::makeRequest(config::Configuration::read(body).version, body);
+        order = admin::makeRequest(config::Configuration::parse(body).version, body);
     } catch (const config::ValidationError& refusal) {
         log("configuration_refused", {{"error", refusal.what()}});
         co_return respond(
@@ -177,7 +177,7 @@
     try {
         told.at("service_name").get_to(order.service);
         told.at("target_version").get_to(order.target);
-        order.term = config::span(told.at("deadline").get<std::string>()) / kMillisecond;
+        order.term = config::parseDuration(told.at("deadline").get<std::string>()) / kMillisecond;
     } catch (const std::exception&) {
         co_return wrong(400, "must hold service_name, target_version and deadline (\"12s\")");
     }
@@ -310,7 +310,7 @@
         configureSocket(socket, bounds_.taking);
         const auto its = std::make_shared<Caller>(std::move(socket));
         callers_.push_back(its);
-        start(io_, "caller", caller(its));
+        spawn(io_, "caller", caller(its));
     }
 }
 
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -40,7 +40,7 @@
           replica(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
                   ReplicaNode::onDisk(boot_)),
           control(listen(io, boot.control)),
-          peers(listen(io, boot.internal(boot.ip))),
+          peers(listen(io, boot.peerAddress(boot.ip))),
           leases(
               replica, {me(), randomIncarnation()}, [this] { return hears(); },
               [this] { return cache.highestTermSeen(); }),
@@ -53,7 +53,7 @@
               [this] { return proxyNames(); }),
           operatorCalls(
               io, AdminApi::Register::of(replica), [this] { return status(); }, metrics) {
-        owner = std::make_shared<PeerConnection::Owner>();
+        owner = std::make_shared<PeerConnection::Callbacks>();
         owner->greet = [this](PeerConnection& link) { return greet(link); };
         owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
         owner->closed = [this](PeerConnection& link) { closed(link); };
@@ -61,7 +61,7 @@
 
     // ---- Links. ----
 
-    std::string me() const { return boot.internal(boot.ip); }
+    std::string me() const { return boot.peerAddress(boot.ip); }
 
     Json greet(PeerConnection&) {
         auto hello = replica.greeting();
@@ -77,7 +77,7 @@
     }
 
     void dialSeeds() {
-        for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
+        for (const auto& seed : boot.seeds) dial(boot.peerAddress(hostOf(seed)));
     }
 
     void heard(PeerConnection& link, const Json& message) {
@@ -92,7 +92,7 @@
         } else if (kind == "want") {
             answer(link, message);
         } else if (kind == "digest") {
-            cache.heard(message, subscription::ConfigurationCache::MessageSource::follower, now(),
+            cache.heard(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
                         [&](Json reply) { link.send(word(std::move(reply))); });
         } else if (kind == "lost") {
             const auto at = proxies.find(message.at("name").get<std::string>());
@@ -162,7 +162,7 @@
     };
     template <typename Make>
     static EncodedMessage once(Kept& kept, Json of, Make make) {
-        if (kept.of != of) kept = {std::move(of), PeerConnection::pack(make())};
+        if (kept.of != of) kept = {std::move(of), PeerConnection::encode(make())};
         return kept.packed;
     }
     void answer(PeerConnection& link, Json want) {
@@ -177,19 +177,19 @@
                            [&] { return word(cache.whole()); }));
             want.erase("held");
         }
-        cache.heard(want, subscription::ConfigurationCache::MessageSource::follower, now(),
+        cache.heard(want, subscription::ConfigurationCache::MessageSource::subscriber, now(),
                     [&](Json reply) { link.send(word(std::move(reply))); });
     }
 
     void tellAll(const Json& message) {
-        const auto packed = PeerConnection::pack(word(message));
+        const auto packed = PeerConnection::encode(word(message));
         for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
     }
 
     // One word for all that came and went of late: at a start a whole fleet says hello at once.
     void roster() {
         if (std::exchange(rosterDue, true)) return;
-        start(io, "roster", tellRoster());
+        spawn(io, "roster", tellRoster());
     }
 
     Task<> tellRoster() {
@@ -197,7 +197,7 @@
         rosterDue = false;
         Json names = Json::object();
         for (const auto& [name, proxy] : proxies) names[name] = proxy.address;
-        const auto packed = PeerConnection::pack(Json{{"t", "roster"}, {"foyers", std::move(names)}});
+        const auto packed = PeerConnection::encode(Json{{"t", "roster"}, {"foyers", std::move(names)}});
         for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
     }
 
@@ -249,8 +249,8 @@
         Json proposalNumbers = Json::object();
         for (const auto& key : kKeys)
             if (const auto& known = replica.known(key); known.proposalNumber.round > 0)
-                proposalNumbers[key] = messages::write(known.proposalNumber);
-        const auto packed = PeerConnection::pack(Json{{"t", "known"},
+                proposalNumbers[key] = messages::encode(known.proposalNumber);
+        const auto packed = PeerConnection::encode(Json{{"t", "known"},
                                                       {"ballots", std::move(proposalNumbers)},
                                                       {"hears", leases.hears()},
                                                       {"ages", rollouts.ages()}});
@@ -315,7 +315,7 @@
         signals(
             io,
             [this] {
-                start(io, "leave", [](ControlPlane& self) -> Task<> {
+                spawn(io, "leave", [](ControlPlane& self) -> Task<> {
                     co_await self.replica.leave();
                     log("left", {});
                     self.io.stop();
@@ -334,14 +334,14 @@
         replica.open();
         dialSeeds();
         for (const auto& member : replica.members()) dial(member);
-        start(io, "links", servePeerConnections(io, peers, owner));
-        start(io, "control", operatorCalls.serve(control));
-        start(io, "register", replica.maintain());
-        start(io, "register", readFirst());
-        start(io, "known", tellKnown());
-        start(io, "duties", leases.run());
-        start(io, "list", list.run());
-        start(io, "rollouts", rollouts.run());
+        spawn(io, "links", servePeerConnections(io, peers, owner));
+        spawn(io, "control", operatorCalls.serve(control));
+        spawn(io, "register", replica.maintain());
+        spawn(io, "register", readFirst());
+        spawn(io, "known", tellKnown());
+        spawn(io, "duties", leases.run());
+        spawn(io, "list", list.run());
+        spawn(io, "rollouts", rollouts.run());
         io.run();
     }
 
@@ -349,7 +349,7 @@
     asio::io_context io{1};
     ReplicaNode replica;
     tcp::acceptor control, peers;
-    std::shared_ptr<PeerConnection::Owner> owner;
+    std::shared_ptr<PeerConnection::Callbacks> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;  // by address
     std::map<std::string, ProxyInstance> proxies;            // by name
     subscription::ConfigurationCache cache{{}};
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -58,7 +58,7 @@
             one.age = std::max(one.age, age.order);
             if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
         }
-        return messages::write(all);
+        return messages::encode(all);
     };
     co_await replica_.change(kRolloutsKey, older, kUpdateTimeout);
 }
@@ -91,7 +91,7 @@
 
 Task<> RolloutController::advance(messages::Rollout rollout) {
     const auto key = rollout.service + "\n" + rollout.target;
-    const auto chosen = hashing::chosen(proxyNames_(), key, verdict::kVoterCount);
+    const auto chosen = hashing::rendezvousSelect(proxyNames_(), key, verdict::kVoterCount);
     verdict::VoteCounts votes;
     votes.voters = chosen.size();
     Json said = Json::array();
@@ -131,7 +131,7 @@
                 continue;
             one = to, one.number = number + 1, changed = true;
         }
-        return changed ? messages::write(all) : value;
+        return changed ? messages::encode(all) : value;
     };
     co_await replica_.change(kRolloutsKey, decide, kUpdateTimeout);
 }
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -68,7 +68,7 @@
         for (const auto& heard : row->second)
             if (members.contains(heard) && heard != held.holder && heard != self_.address)
                 candidates.push_back(heard);
-    const auto chosen = hashing::chosen(candidates, lease_, candidates.size());
+    const auto chosen = hashing::rendezvousSelect(candidates, lease_, candidates.size());
     const auto rank = std::find(chosen.begin(), chosen.end(), self_.address) - chosen.begin();
     const Nanos wait = held.term == 0 ? 0 : kUnreachableFor;  // nobody has had it: nobody is waited for
     return now - unreachableSince_ >= wait + rank * kCandidateDelay;
--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -27,7 +27,7 @@
         if (fromControlNode) logContact(quorumContact_.heard(from.peer, sure, now()));
         if (!quorumContact_.takes(sure, cache_.version() > 0, now())) return;
     }
-    const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::neighbour;
+    const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
     cache_.heard(message, source, now(), [&](Json reply) {
         if (typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.sure();
         from.send(reply);
@@ -69,7 +69,7 @@
 void ControlPlaneFeed::onConfiguration(const std::string& compressed) {
     try {
         router_.setConfiguration(std::make_shared<const config::Configuration>(
-            config::Configuration::read(decompress(compressed))));
+            config::Configuration::parse(decompress(compressed))));
     } catch (const std::exception& wrong) {
         log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
     }
--- a/src/proxy/fleet_membership.cpp
+++ b/src/proxy/fleet_membership.cpp
@@ -23,8 +23,8 @@
 void FleetMembership::update() {
     if (!rosters_.empty()) proxies_.clear();
     for (const auto& [_, roster] : rosters_) proxies_.insert(roster.begin(), roster.end());
-    proxies_[settings_.name] = settings_.internal(settings_.ip);
-    watched_ = hashing::watched(names(), settings_.name);
+    proxies_[settings_.name] = settings_.peerAddress(settings_.ip);
+    watched_ = hashing::watchedPeers(names(), settings_.name);
 }
 
 std::vector<std::string> FleetMembership::names() const {
@@ -34,7 +34,7 @@
 }
 
 std::vector<std::string> FleetMembership::votersOf(const messages::Rollout& rollout) const {
-    return hashing::chosen(names(), rollout.service + "\n" + rollout.target, verdict::kVoterCount);
+    return hashing::rendezvousSelect(names(), rollout.service + "\n" + rollout.target, verdict::kVoterCount);
 }
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/peer_connections.cpp
+++ b/src/proxy/peer_connections.cpp
@@ -10,9 +10,9 @@
       settings_(settings),
       life_(life),
       listener_(std::move(listener)),
-      owner_(std::make_shared<PeerConnection::Owner>()) {
+      owner_(std::make_shared<PeerConnection::Callbacks>()) {
     owner_->greet = [this](PeerConnection&) {
-        return encode(ProxyHello{settings_.name, settings_.internal(settings_.ip), life_});
+        return encode(ProxyHello{settings_.name, settings_.peerAddress(settings_.ip), life_});
     };
     owner_->heard = [this](PeerConnection& from, const Json& message) { onMessage(from, message); };
     owner_->closed = [this](PeerConnection& connection) { listener_.closed(connection); };
@@ -34,7 +34,7 @@
     from.kind = peerKindOf(message);
     if (isControlNode(from))
         for (const auto& address : controlNodesOf(message)) dialControlNode(address);
-    else from.pace(settings_.heartbeat);
+    else from.setHeartbeatInterval(settings_.heartbeat);
 }
 
 std::shared_ptr<Dialer> PeerConnections::dial(const std::string& address) const {
@@ -49,7 +49,7 @@
 }
 
 void PeerConnections::dialSeeds() {
-    for (const auto& seed : settings_.seeds) dialControlNode(settings_.internal(hostOf(seed)));
+    for (const auto& seed : settings_.seeds) dialControlNode(settings_.peerAddress(hostOf(seed)));
 }
 
 void PeerConnections::setPeers(const std::set<std::string>& addresses) {
@@ -78,7 +78,7 @@
 }
 
 void PeerConnections::sendToControlNodes(const Json& message) const {
-    const auto packed = PeerConnection::pack(message);
+    const auto packed = PeerConnection::encode(message);
     for (const auto& connection : controlNodes()) connection->send(packed);
 }
 
--- a/src/proxy/peer_connections.hpp
+++ b/src/proxy/peer_connections.hpp
@@ -48,7 +48,7 @@
     const config::BootstrapSettings& settings_;
     const std::uint64_t life_;
     Listener listener_;
-    std::shared_ptr<transport::PeerConnection::Owner> owner_;
+    std::shared_ptr<transport::PeerConnection::Callbacks> owner_;
     std::map<std::string, std::shared_ptr<transport::Dialer>> controlNodes_, peers_;  // by address
 };
 
--- a/src/proxy/peer_messages.cpp
+++ b/src/proxy/peer_messages.cpp
@@ -27,7 +27,7 @@
 Json encode(const OutcomeCounts& counts) {
     return {{"t", wire::kCounts},        {"from", counts.from},
             {"life", counts.life},       {"number", counts.number},
-            {"rollout", counts.rollout}, {"totals", messages::write(counts.totals)}};
+            {"rollout", counts.rollout}, {"totals", messages::encode(counts.totals)}};
 }
 
 OutcomeCounts decodeOutcomeCounts(const Json& message) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -40,7 +40,7 @@
           httpServer_(io_, router_, upstream_, [this] { return awake(); }),
           clientAcceptor_(listen(io_, settings_.front)),
           readinessAcceptor_(listen(io_, settings_.readiness)),
-          peerAcceptor_(listen(io_, settings_.internal(settings_.ip))),
+          peerAcceptor_(listen(io_, settings_.peerAddress(settings_.ip))),
           fleet_(settings_),
           connections_(io_, settings_, life_,
                        {[this](PeerConnection& from, const Json& message) { onMessage(from, message); },
@@ -60,16 +60,16 @@
             io_,
             [this] {
                 if (std::exchange(stopping_, true)) return;
-                start(io_, "leave", drainAndStop());
+                spawn(io_, "leave", drainAndStop());
             },
             [this] { reload(); });
         log("start", {{"seed", seed_}, {"life", life_}});
         connections_.dialSeeds();
-        start(io_, "links", connections_.serve(peerAcceptor_));
-        start(io_, "clients", httpServer_.serve(clientAcceptor_));
-        start(io_, "readiness", serveReadiness(io_, readinessAcceptor_, [this] { return ready(); }));
-        start(io_, "tend", housekeeping());
-        start(io_, "watch", watchPeers());
+        spawn(io_, "links", connections_.serve(peerAcceptor_));
+        spawn(io_, "clients", httpServer_.serve(clientAcceptor_));
+        spawn(io_, "readiness", serveReadiness(io_, readinessAcceptor_, [this] { return ready(); }));
+        spawn(io_, "tend", housekeeping());
+        spawn(io_, "watch", watchPeers());
         io_.run();
     }
 
@@ -121,7 +121,7 @@
     Task<> watchPeers() {
         for (;;) {
             co_await sleep(settings_.heartbeat);
-            const auto packed = PeerConnection::pack(feed_.digest());
+            const auto packed = PeerConnection::encode(feed_.digest());
             for (const auto& name : fleet_.watched())
                 if (const auto connection = connections_.peer(fleet_.proxies().at(name)))
                     connection->send(packed);
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -31,7 +31,7 @@
         std::any_of(all.begin(), all.end(), [](const auto& rollout) { return rollout.running(); });
     if (!running || counting_) return;
     counting_ = true;
-    start(io_, "counts", countWhileRunning());
+    spawn(io_, "counts", countWhileRunning());
 }
 
 // Totals go out every kCountsEvery, and sooner once failures of a canary have come.
@@ -71,7 +71,7 @@
         if (!connection) continue;
         if (!packed)
             packed =
-                PeerConnection::pack(encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
+                PeerConnection::encode(encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
         connection->send(packed);
     }
 }
--- a/src/routing/canary.cpp
+++ b/src/routing/canary.cpp
@@ -191,7 +191,7 @@
     for (const auto* hosts : both)
         for (const auto* host : *hosts) ids.push_back((*host)->endpoint.id);
     const auto turn = (now + clockOffset_) / kFocusFor;
-    const auto chosen = hashing::chosen(ids, version + std::to_string(turn), count);
+    const auto chosen = hashing::rendezvousSelect(ids, version + std::to_string(turn), count);
     for (auto* hosts : both)
         std::erase_if(*hosts, [&](const auto* host) {
             return std::find(chosen.begin(), chosen.end(), (*host)->endpoint.id) == chosen.end();
--- a/src/scale_test/hollow.cpp
+++ b/src/scale_test/hollow.cpp
@@ -59,7 +59,7 @@
         std::string order, name;
         stream >> order >> name;
         stream.ignore(1);
-        if (order == facts::kRestartOrder) start(process.io, "restart", restart(process, proxies, name));
+        if (order == facts::kRestartOrder) spawn(process.io, "restart", restart(process, proxies, name));
     }
     process.io.stop();
 }
@@ -83,8 +83,8 @@
                           settings.at("seeds").get<std::vector<std::string>>()};
     ProxiesByName proxies;
     for (auto n = first; n < first + count; ++n) proxies[hollowName(n)] = {n, openProxy(process, n)};
-    start(io, "tally", tellTallies(process));
-    start(io, "orders", takeOrders(process, proxies));
+    spawn(io, "tally", tellTallies(process));
+    spawn(io, "orders", takeOrders(process, proxies));
     io.run();
     std::fflush(stderr);
     _exit(0);  // what is left open ends with the process
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -46,7 +46,7 @@
 
 void HollowProxy::open() {
     const auto self = shared_from_this();
-    owner_ = std::make_shared<PeerConnection::Owner>();
+    owner_ = std::make_shared<PeerConnection::Callbacks>();
     owner_->greet = [self](PeerConnection& connection) { return self->greet(connection); };
     owner_->heard = [self](PeerConnection& from, const Json& message) {
         if (!self->left_) self->onMessage(from, message);
@@ -57,8 +57,8 @@
     acceptor_ = std::make_unique<tcp::acceptor>(listen(process_.io, addressOf(ip_)));
     updateFleet();
     for (const auto& seed : process_.seeds) dialControlNode(seed);
-    start(process_.io, "links", servePeerConnections(process_.io, *acceptor_, owner_));
-    start(process_.io, "watch", watchPeers(self));
+    spawn(process_.io, "links", servePeerConnections(process_.io, *acceptor_, owner_));
+    spawn(process_.io, "watch", watchPeers(self));
 }
 
 void HollowProxy::leave() {
@@ -117,7 +117,7 @@
 void HollowProxy::onHello(PeerConnection& from, const Json& hello) {
     from.kind = proxy::peerKindOf(hello);
     if (from.kind != wire::kControlNode) {
-        from.pace(process_.heartbeat);
+        from.setHeartbeatInterval(process_.heartbeat);
         return;
     }
     tellFact(facts::kConnection, {{"name", name_}, {"to", from.peer}, {"open", true}});
@@ -144,7 +144,7 @@
         if (fromControlNode) quorumContact_.heard(from.peer, sure, now());
         if (!quorumContact_.takes(sure, cache_.version() > 0, now())) return;
     }
-    const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::neighbour;
+    const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
     cache_.heard(message, source, now(), [&](Json reply) {
         if (proxy::typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.sure();
         send(from, reply);
@@ -182,7 +182,7 @@
     for (const auto& [name, _] : proxies) names.push_back(name);
     watched_.clear();
     std::set<std::string> addresses;
-    for (const auto& name : hashing::watched(std::move(names), name_)) {
+    for (const auto& name : hashing::watchedPeers(std::move(names), name_)) {
         watched_[name] = proxies.at(name);
         addresses.insert(proxies.at(name));
     }
--- a/src/scale_test/hollow_proxy.hpp
+++ b/src/scale_test/hollow_proxy.hpp
@@ -72,7 +72,7 @@
     HollowProcess& process_;
     const std::string name_, ip_;
     const std::uint64_t life_;
-    std::shared_ptr<PeerConnection::Owner> owner_;
+    std::shared_ptr<PeerConnection::Callbacks> owner_;
     std::unique_ptr<transport::tcp::acceptor> acceptor_;
     std::map<std::string, std::shared_ptr<transport::Dialer>> controlNodes_, peers_;  // by address
     std::vector<std::weak_ptr<PeerConnection>> connections_;
--- a/src/scale_test/processes.cpp
+++ b/src/scale_test/processes.cpp
@@ -76,7 +76,7 @@
     process.role = role;
     process.out = std::make_unique<asio::posix::stream_descriptor>(io_, out.readEnd);
     process.in = std::make_unique<asio::posix::stream_descriptor>(io_, in.writeEnd);
-    start(io_, "lines", readLines(name, process.out.get()));
+    spawn(io_, "lines", readLines(name, process.out.get()));
 }
 
 void Processes::stop(Process& process) {
--- a/src/scale_test/scale_run.cpp
+++ b/src/scale_test/scale_run.cpp
@@ -80,9 +80,9 @@
                        {"port", layout_.port()},
                        {"load", loadAverages()}});
     CostReport::print({{"phase", "sizes"}, {"of", sizes(plan_)}});
-    start(io_, "scale", runPhases());
-    start(io_, "limit", stopAtLimit());
-    start(io_, "memory", watchMemory());
+    spawn(io_, "scale", runPhases());
+    spawn(io_, "limit", stopAtLimit());
+    spawn(io_, "memory", watchMemory());
     io_.run();
     processes_.stopAll();
     CostReport::print({{"phase", "end"},
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -112,7 +112,7 @@
 
 Json proposalNumbers(Json all) {
     for (auto& [_, proposalNumber] : all.items())
-        proposalNumber = messages::write(messages::decodeProposalNumber(proposalNumber));
+        proposalNumber = messages::encode(messages::decodeProposalNumber(proposalNumber));
     return all;
 }
 Json epoch(const Json& told) { return membership::write(membership::decodeEpoch(told)); }
@@ -128,15 +128,15 @@
         told["about"]["held"] = proposalNumbers(told["about"]["held"]);
     if (kind == "pong") told["held"] = proposalNumbers(told["held"]);
     if (kind == "known") told["ballots"] = proposalNumbers(told["ballots"]);
-    if (kind == "learn") told["ballot"] = messages::write(messages::decodeProposalNumber(told["ballot"]));
+    if (kind == "learn") told["ballot"] = messages::encode(messages::decodeProposalNumber(told["ballot"]));
     if (kind == "reg") told["request"] = membership::write(membership::decodeRequest(told["request"]));
     if (kind == "reply") told["reply"] = membership::write(membership::decodeReply(told["reply"]));
-    if (kind == "counts") told["totals"] = messages::write(messages::decodeTotals(told["totals"]));
+    if (kind == "counts") told["totals"] = messages::encode(messages::decodeTotals(told["totals"]));
     if (kind == "configuration")
         told["squeezed"] = messages::encodeBytes(messages::decodeBytes(told["squeezed"]));
-    if (kind == "rollouts") told["list"] = messages::write(messages::decodeRollouts(told["list"]));
+    if (kind == "rollouts") told["list"] = messages::encode(messages::decodeRollouts(told["list"]));
     if (kind == "pods")
-        for (auto& pod : told["set"]) pod = messages::write(messages::decodeEndpoint(pod));
+        for (auto& pod : told["set"]) pod = messages::encode(messages::decodeEndpoint(pod));
     return told;
 }
 
@@ -180,7 +180,7 @@
     const auto held = admin::decodeRecord(value);
     CPPUNIT_ASSERT_EQUAL(version, held.version);
     const auto body = admin::body(value);
-    CPPUNIT_ASSERT_EQUAL(version, config::Configuration::read(body).version);
+    CPPUNIT_ASSERT_EQUAL(version, config::Configuration::parse(body).version);
     std::vector<std::uint32_t> numbers;
     for (const auto& one : held.history) numbers.push_back(one.number);
     CPPUNIT_ASSERT(history == numbers);
@@ -241,7 +241,7 @@
     }
 
     Json greeting;
-    std::shared_ptr<PeerConnection::Owner> owner = std::make_shared<PeerConnection::Owner>();
+    std::shared_ptr<PeerConnection::Callbacks> owner = std::make_shared<PeerConnection::Callbacks>();
     std::shared_ptr<PeerConnection> last, onHello;
     std::deque<Json> heard;
     std::string wrong;
@@ -345,8 +345,8 @@
             isConfiguration(cells.at(control_plane::kConfigurationKey).value, before ? 0x11 : 0x14,
                             before ? std::vector<std::uint32_t>{0x10, 0x11, 0x0f} : storedHistory);
             const auto rollouts = cells.at(control_plane::kRolloutsKey).value;
-            CPPUNIT_ASSERT_EQUAL(rollouts, messages::write(messages::decodeRollouts(rollouts)));
-            if (!before) CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
+            CPPUNIT_ASSERT_EQUAL(rollouts, messages::encode(messages::decodeRollouts(rollouts)));
+            if (!before) CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
             const auto duties = leases::decodeLeases(cells.at(control_plane::kLeasesKey).value);
             CPPUNIT_ASSERT_EQUAL(before ? "127.0.1.2:7720" : std::string("127.0.1.3:7720"),
                                  duties.at("list").holder);
@@ -405,7 +405,7 @@
                 key, [](const std::string& held) { return held; }, true);
         };
         isConfiguration(read(control_plane::kConfigurationKey), 0x14, storedHistory);
-        CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), read(control_plane::kRolloutsKey));
+        CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), read(control_plane::kRolloutsKey));
         // Orders by the register's rules, on what was there.
         const auto outcome = [](const std::string& value, const char* target, std::int64_t term) {
             messages::Rollout order;
@@ -451,7 +451,7 @@
                                  held);
             CPPUNIT_ASSERT(!replica.votes());
             for (const auto& member : storedMembers) {
-                if (member.address == told.internal(told.ip)) continue;
+                if (member.address == told.peerAddress(told.ip)) continue;
                 auto pong = message("pong");
                 pong["at"] = member.address, pong["disk"] = member.disk, pong["of"] = disk;
                 pong["seen"] = 1, pong["epoch"] = 4, pong["held"] = held, pong["seated"] = true;
@@ -497,8 +497,8 @@
         const auto next = admin::applyRequest(earlier, admin::makeRequest(0x15, "next"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, admin::decodeRecord(next).history.size());
         const auto rollouts = bytesOf("values/rollouts.json"), duties = bytesOf("values/duties.json");
-        CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
-        CPPUNIT_ASSERT_EQUAL(rollouts, messages::write(messages::decodeRollouts(rollouts)));
+        CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
+        CPPUNIT_ASSERT_EQUAL(rollouts, messages::encode(messages::decodeRollouts(rollouts)));
         CPPUNIT_ASSERT_EQUAL(duties, leases::encodeLeases(leases::decodeLeases(duties)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7569427027645875800u},
                              leases::decodeLeases(duties).at("list").incarnation);
@@ -516,14 +516,14 @@
         std::set<std::string> kinds;
         for (const auto& [name, frame] : frames()) {
             const auto told = decoded(frame);
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::pack(told) == frame);
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(told) == frame);
             if (name == "heartbeat") {
                 CPPUNIT_ASSERT(told.is_null());
                 continue;
             }
             kinds.insert(told.at("t").get<std::string>());
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, told, rewritten(told));
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::pack(rewritten(told)) == frame);
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(rewritten(told)) == frame);
         }
         CPPUNIT_ASSERT(kinds ==
                        (std::set<std::string>{"ack", "configuration", "counts", "digest", "hello", "known",
@@ -573,7 +573,7 @@
         const auto told = decoded(*whole);
         CPPUNIT_ASSERT_EQUAL(std::string("configuration"), told.at("t").get<std::string>());
         const auto body = decompress(messages::decodeBytes(told.at("squeezed")));
-        CPPUNIT_ASSERT_EQUAL(0x20u, config::Configuration::read(body).version);
+        CPPUNIT_ASSERT_EQUAL(0x20u, config::Configuration::parse(body).version);
         SendQueue outbox;
         outbox.push(std::make_shared<const std::string>(*whole));
         for (const auto& frame : all) CPPUNIT_ASSERT(*outbox.next() == frame);
@@ -605,7 +605,7 @@
             CPPUNIT_ASSERT(replies.empty());
         }
         CPPUNIT_ASSERT_EQUAL(decompress(compressed), admin::body(bytesOf("values/configuration.bin")));
-        CPPUNIT_ASSERT_EQUAL(messages::write(storedRollouts()), rollouts);
+        CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
         CPPUNIT_ASSERT_EQUAL(std::size_t{12}, cache.endpoints().members().size());
         CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(cache.body()));
         CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(cache.order()));
@@ -614,21 +614,21 @@
         mine["clock"] = digest.at("clock");
         CPPUNIT_ASSERT_EQUAL(digest, mine);
         // What others ask for.
-        hear(cache, message("want_configuration"), MessageSource::follower);
+        hear(cache, message("want_configuration"), MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(replies.at(0)));
-        hear(cache, message("want_rollouts"), MessageSource::follower);
+        hear(cache, message("want_rollouts"), MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(replies.at(0)));
         auto want = message("want_held");
-        hear(cache, want, MessageSource::follower);
+        hear(cache, want, MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(digest.at("sums"), replies.at(0).at("sums"));
         want["of"] = digest.at("edition");
-        hear(cache, want, MessageSource::follower);
+        hear(cache, want, MessageSource::subscriber);
         CPPUNIT_ASSERT(!replies.at(0).at("set").empty());
         hear(cache, message("digest_of_prompter"), MessageSource::controlNode);  // a higher configuration
         CPPUNIT_ASSERT_EQUAL(32, replies.at(0).at("configuration").get<int>());
-        hear(cache, message("digest_of_foyer_with_sums"), MessageSource::follower);  // an earlier edition
+        hear(cache, message("digest_of_foyer_with_sums"), MessageSource::subscriber);  // an earlier edition
         CPPUNIT_ASSERT(replies.empty());  // the same pods: nothing to mend
-        hear(cache, message("digest_back"), MessageSource::neighbour);
+        hear(cache, message("digest_back"), MessageSource::peerProxy);
         CPPUNIT_ASSERT_EQUAL(message("digest_back").at("edition"), replies.at(0).at("of"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replies.size());
         // Changes one after the other, and a copy mended.
@@ -710,7 +710,7 @@
         core["standing"]["epoch"]["number"] = 0;  // of no members that would take the place of its own
         Played proxy(message("hello_of_foyer")), neighbour(second_), controlNode(core);
         tcp::acceptor door(listen(io, at(other, internal)));
-        start(io, "links", servePeerConnections(io, door, controlNode.owner));
+        spawn(io, "links", servePeerConnections(io, door, controlNode.owner));
         const Program program("prompter", settings("c1", ip, ip, internal, from), scratch + "/settings");
         std::vector<std::shared_ptr<Dialer>> dialers;
         for (auto* played : {&proxy, &neighbour}) {
@@ -787,8 +787,8 @@
         neighbour["name"] = "f9", neighbour["at"] = at(third, internal);
         Played controlNode(hello), proxy(neighbour);
         tcp::acceptor first(listen(io, at(core, internal))), second_(listen(io, at(third, internal)));
-        start(io, "links", servePeerConnections(io, first, controlNode.owner));
-        start(io, "links", servePeerConnections(io, second_, proxy.owner));
+        spawn(io, "links", servePeerConnections(io, first, controlNode.owner));
+        spawn(io, "links", servePeerConnections(io, second_, proxy.owner));
         const Program program("foyer", settings("e1", ip, core, internal, from), scratch + "/settings");
         until(io, "it says hello", [&] { return controlNode.find("hello"); });
         CPPUNIT_ASSERT_EQUAL(std::string("e1"), controlNode.find("hello")->at("name").get<std::string>());
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -124,7 +124,7 @@
 void House::limit(int headerBytes, int bodyBytes) {
     const auto version = router->configuration() ? static_cast<int>(router->configuration()->version) + 1 : 1;
     router->setConfiguration(std::make_shared<config::Configuration>(
-        config::Configuration::read(configuration(version, headerBytes, bodyBytes))));
+        config::Configuration::parse(configuration(version, headerBytes, bodyBytes))));
 }
 
 int House::inFlight() const {
