--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -50,7 +50,7 @@
 
 void printFoundPreview(const storage::LmdbReplicaStore& store) {
     std::printf("on this disk: %s\n", formatMembers(store).c_str());
-    for (const auto& [key, cell] : store.cells()) {
+    for (const auto& [key, cell] : store.states()) {
         if (isConfiguration(key, cell))
             std::printf("configuration %s, requests remembered%s\n",
                         config::formatVersion(admin::version(cell.value)).c_str(),
@@ -91,18 +91,18 @@
 /// Opens the store, which checks each record's checksum.
 void check(const std::string& folder) {
     const auto store = openStore(folder);
-    std::printf("%zu keys, all checksums right, %s\n", store.cells().size(), formatMembers(store).c_str());
+    std::printf("%zu keys, all checksums right, %s\n", store.states().size(), formatMembers(store).c_str());
 }
 
 /// The configuration as it was sent.
 void exportConfiguration(const std::string& folder) {
-    for (const auto& [key, cell] : openStore(folder).cells())
+    for (const auto& [key, cell] : openStore(folder).states())
         if (isConfiguration(key, cell)) std::printf("%s\n", admin::body(cell.value).c_str());
 }
 
 void show(const std::string& folder) {
     const auto store = openStore(folder);
-    for (const auto& [key, cell] : store.cells()) {
+    for (const auto& [key, cell] : store.states()) {
         const bool configuration = isConfiguration(key, cell);
         const auto value = configuration ? admin::body(cell.value) : cell.value;
         std::printf("%s: accepted %s, promised %s, %zu bytes on disk", key.c_str(),
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -244,7 +244,7 @@
         ErrorCode code;
         its.enter(Phase::idle);
         if (buffer.size() == 0) {
-            stream.expires_after(span(bounds_.idle));
+            stream.expires_after(toDuration(bounds_.idle));
             const auto bytes =
                 co_await stream.async_read_some(buffer.prepare(kReadAtOnce), withErrorCode(code));
             if (code) co_return;
@@ -254,7 +254,7 @@
         http::request_parser<http::string_body> parser;
         parser.body_limit(kBodyAtMost);
         parser.header_limit(kHeadAtMost);
-        stream.expires_after(span(bounds_.head));
+        stream.expires_after(toDuration(bounds_.head));
         co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
         if (!code && !parser.is_done()) {
             stream.expires_after(span(bounds_.body));
@@ -289,7 +289,7 @@
 Task<> AdminApi::turnAway(Caller& its, Response response) {
     ErrorCode code;
     its.enter(Phase::taking);
-    its.stream.expires_after(span(kTurnedAwayWithin));
+    its.stream.expires_after(toDuration(kTurnedAwayWithin));
     response.keep_alive(false), response.prepare_payload();
     co_await http::async_write(its.stream, response, withErrorCode(code));
     its.stream.socket().shutdown(tcp::socket::shutdown_send, code);
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -39,7 +39,7 @@
         : boot(boot_),
           replica(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
                   ReplicaNode::onDisk(boot_)),
-          control(listen(io, boot.control)),
+          controlPlaneAddress(listen(io, boot.controlPlaneAddress)),
           peers(listen(io, boot.peerAddress(boot.ip))),
           leases(
               replica, {me(), randomIncarnation()}, [this] { return hears(); },
@@ -54,9 +54,9 @@
           operatorCalls(
               io, AdminApi::Register::of(replica), [this] { return status(); }, metrics) {
         owner = std::make_shared<PeerConnection::Callbacks>();
-        owner->greet = [this](PeerConnection& link) { return greet(link); };
-        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](PeerConnection& link) { closed(link); };
+        owner->makeHello = [this](PeerConnection& link) { return greet(link); };
+        owner->onMessage = [this](PeerConnection& link, const Json& message) { heard(link, message); };
+        owner->onClosed = [this](PeerConnection& link) { closed(link); };
     }
 
     // ---- Links. ----
@@ -73,7 +73,7 @@
         auto& dialer = dialers[address];
         if (dialer || address == me()) return;
         dialer = std::make_shared<Dialer>(io, address, owner);
-        dialer->go();
+        dialer->start();
     }
 
     void dialSeeds() {
@@ -92,7 +92,7 @@
         } else if (kind == "want") {
             answer(link, message);
         } else if (kind == "digest") {
-            cache.heard(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
+            cache.handleMessage(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
                         [&](Json reply) { link.send(word(std::move(reply))); });
         } else if (kind == "lost") {
             const auto at = proxies.find(message.at("name").get<std::string>());
@@ -111,9 +111,9 @@
         if (link.kind == "prompter") {
             link.peer = at;
             const auto dialer = dialers.find(at);
-            if (dialer != dialers.end() && dialer->second && dialer->second->link().get() == &link)
+            if (dialer != dialers.end() && dialer->second && dialer->second->connection().get() == &link)
                 replica.joined(at, link.shared_from_this());
-            else if (dialer != dialers.end() && dialer->second && !dialer->second->link())
+            else if (dialer != dialers.end() && dialer->second && !dialer->second->connection())
                 dialer->second
                     ->retryNow();  // after a loss of all, those that are up first wait for the others
             replica.onHello(message);
@@ -123,7 +123,7 @@
         }
         link.peer = message.at("name").get<std::string>();
         proxies[link.peer] = {link.shared_from_this(), at, message.at("life").get<std::uint64_t>(), 0, {}};
-        link.send(word(cache.digest()));
+        link.send(word(cache.digestMessage()));
         roster();
     }
 
@@ -131,13 +131,13 @@
     void moved() {
         for (const auto& member : replica.members()) dial(member);
         for (const auto& [_, proxy] : proxies) proxy.link->send(greet(*proxy.link));
-        tellAll(cache.digest());
+        tellAll(cache.digestMessage());
     }
 
     void closed(PeerConnection& link) {
         if (link.kind == "prompter") {
             const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && dialer->second && !dialer->second->link())
+            if (dialer != dialers.end() && dialer->second && !dialer->second->connection())
                 replica.onPeerDisconnected(link.peer), sayKnown();
         } else if (const auto at = proxies.find(link.peer);
                    at != proxies.end() && at->second.link.get() == &link) {
@@ -168,16 +168,16 @@
     void answer(PeerConnection& link, Json want) {
         const bool sure = replica.hasQuorumContact();
         if (want.contains("configuration") && cache.version() > 0) {
-            link.send(once(keptBody, {cache.version(), sure}, [&] { return word(cache.body()); }));
+            link.send(once(keptBody, {cache.version(), sure}, [&] { return word(cache.configurationMessage()); }));
             want.erase("configuration");
         }
         if (cache.wantsFullList(want)) {
             const auto& endpointListVersion = cache.endpointListVersion();
             link.send(once(keptList, {endpointListVersion.term, endpointListVersion.sequence, sure},
-                           [&] { return word(cache.whole()); }));
+                           [&] { return word(cache.fullEndpointsMessage()); }));
             want.erase("held");
         }
-        cache.heard(want, subscription::ConfigurationCache::MessageSource::subscriber, now(),
+        cache.handleMessage(want, subscription::ConfigurationCache::MessageSource::subscriber, now(),
                     [&](Json reply) { link.send(word(std::move(reply))); });
     }
 
@@ -205,11 +205,11 @@
         const auto& value = replica.known(key).value;
         if (key == kConfigurationKey && !value.empty()) {
             try {
-                cache.configuration(admin::version(value), std::string(admin::compressed(value)));
+                cache.setConfiguration(admin::version(value), std::string(admin::compressed(value)));
             } catch (const admin::ParseError& error) {  // of a later text, say; what is held stays
                 return log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
             }
-            tellAll(cache.cue());
+            tellAll(cache.versionsMessage());
         } else if (key == kRolloutsKey) {
             rollouts.onValueLearned();
             if (startedReading) pinRollouts();
@@ -220,7 +220,7 @@
         const auto& text = replica.known(kRolloutsKey).value;
         std::int64_t number = 0;
         for (const auto& rollout : messages::decodeRollouts(text)) number = std::max(number, rollout.number);
-        if (cache.rollouts(number, text)) tellAll(cache.order());  // not where ages alone have changed
+        if (cache.setRollouts(number, text)) tellAll(cache.rolloutsMessage());  // not where ages alone have changed
     }
 
     // Before rollouts have been read from a majority nothing is said of them.
@@ -256,7 +256,7 @@
                                                       {"ages", rollouts.ages()}});
         for (const auto& [address, dialer] : dialers)
             if (dialer)
-                if (auto link = dialer->link()) link->send(packed);
+                if (auto link = dialer->connection()) link->send(packed);
     }
 
     // ---- Duties, each by one control node. ----
@@ -264,7 +264,7 @@
     std::set<std::string> hears() const {
         std::set<std::string> all;
         for (const auto& [address, dialer] : dialers)
-            if (dialer && dialer->link() && replica.hears(address)) all.insert(address);
+            if (dialer && dialer->connection() && replica.hears(address)) all.insert(address);
         return all;
     }
 
@@ -302,7 +302,7 @@
                                     {"life", proxy.life},
                                     {"missed_by", proxy.missedBy.size()},
                                     {"configuration", config::formatVersion(proxy.applied)}};
-        for (const auto& [_, member] : cache.endpoints().members()) {
+        for (const auto& [_, member] : cache.endpoints().endpoints()) {
             auto& counts = told["pods"][member.service][member.version];
             if (counts.is_null()) counts = {0, 0};
             auto& count = counts[member.draining ? 1 : 0];
@@ -312,7 +312,7 @@
     }
 
     void run() {
-        signals(
+        handleSignals(
             io,
             [this] {
                 spawn(io, "leave", [](ControlPlane& self) -> Task<> {
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -28,7 +28,7 @@
 
 // Between two calls, if they are to stay within the platform's rate for all.
 Nanos EndpointDiscovery::callGap() const {
-    return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * kListPart)) : 0;
+    return boot_.platformCallsPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.platformCallsPerSecond * kListPart)) : 0;
 }
 
 Task<> EndpointDiscovery::run() {
@@ -51,15 +51,15 @@
         Nanos pause = firstPause;
         try {
             for (int page = 0; page < 1000; ++page) {
-                stream->expires_after(span(kPollWithin));
+                stream->expires_after(toDuration(kPollWithin));
                 if (!connected) {
-                    co_await stream->async_connect(endpoint(boot_.list), asio::use_awaitable);
+                    co_await stream->async_connect(parseAddress(boot_.platformAddress), asio::use_awaitable);
                     configureSocket(stream->socket(), 2 * kSecond);
                     connected = true, buffer.clear();
                 }
                 http::request<http::empty_body> request(
                     http::verb::get, token.empty() ? "/instances" : "/instances?page_token=" + token, 11);
-                request.set(http::field::host, boot_.list);
+                request.set(http::field::host, boot_.platformAddress);
                 co_await http::async_write(*stream, request, asio::use_awaitable);
                 http::response_parser<http::string_body> parser;
                 parser.body_limit(kBodyAtMost);
@@ -69,7 +69,7 @@
                 ++pages, ++requests_;
                 if (response.result_int() == 429) {
                     ++rateLimited_;  // the same page again, when there is room
-                    log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", 429}});
+                    log("list_refused", {{"step", "platformAddress"}, {"peer", boot_.platformAddress}, {"status", 429}});
                     co_await sleep(pause);
                     pause = std::max(firstPause, std::min(pause * 2, kRefusedAtMost));
                     if (term_() != term) break;  // the duty has gone, or was had anew
@@ -85,7 +85,7 @@
                 if (response.result_int() != 200)
                     throw std::runtime_error("status " + std::to_string(response.result_int()));
                 const auto body = Json::parse(response.body());
-                for (const auto& entry : body.at("instance_list")) members.push_back(messages::listed(entry));
+                for (const auto& entry : body.at("instance_list")) members.push_back(messages::decodePlatformEntry(entry));
                 const auto next = body.find("next_token");
                 whole = next == body.end() || next->is_null();
                 if (whole) break;
@@ -93,7 +93,7 @@
                 co_await sleep(callGap() / 2);
             }
         } catch (const std::exception& error) {
-            log("list_failed", {{"step", "list"}, {"peer", boot_.list}, {"error", error.what()}});
+            log("list_failed", {{"step", "platformAddress"}, {"peer", boot_.platformAddress}, {"error", error.what()}});
             stream->close();
             stream = std::make_shared<beast::tcp_stream>(io_);
             connected = false, whole = false;
@@ -106,14 +106,14 @@
 }
 
 void EndpointDiscovery::onListRead(const std::vector<discovery::Endpoint>& members, std::uint64_t term) {
-    const bool first = !cache_.listed() || cache_.endpointListVersion().term != term;
-    const auto change = cache_.list(members, term);
-    if (!cache_.listed()) return;  // a higher term has been heard of
+    const bool first = !cache_.endpointsCurrent() || cache_.endpointListVersion().term != term;
+    const auto change = cache_.updateEndpoints(members, term);
+    if (!cache_.endpointsCurrent()) return;  // a higher term has been heard of
     if (!change.is_null()) tell_(change);
     // Now and then all of it is compared: what was missed by any way is mended.
     if (!first && now() - compared_ < kCompareEvery) return;
     compared_ = now();
-    tell_(cache_.digest());
+    tell_(cache_.digestMessage());
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -70,7 +70,7 @@
 }
 
 config::ClientLimits ClientConnection::limits() const {
-    return server_.router.configuration() ? server_.router.configuration()->bounds : config::ClientLimits{};
+    return server_.router.configuration() ? server_.router.configuration()->clientLimits : config::ClientLimits{};
 }
 
 void ClientConnection::startIdle(Nanos idleTimeout) {
@@ -103,7 +103,7 @@
         }
         const auto request = self->accept(incoming);
         const auto handler = std::make_shared<RequestHandler>(self->server_, self, request);
-        start(self->server_.io, "request", RequestHandler::handle(handler));
+        spawn(self->server_.io, "request", RequestHandler::handle(handler));
         if (request->closesConnection) break;
         while (self->requests_.size() >= kPipelineLimit && !self->closed_)
             co_await self->requestAnswered_.wait(now() + kSecond);
--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -24,45 +24,45 @@
     const bool sure = message.value(wire::kSure, true);
     const auto& type = typeOf(message);
     if (type != wire::kWant) {
-        if (fromControlNode) logContact(quorumContact_.heard(from.peer, sure, now()));
-        if (!quorumContact_.takes(sure, cache_.version() > 0, now())) return;
+        if (fromControlNode) logContact(quorumContact_.onControlNodeMessage(from.peer, sure, now()));
+        if (!quorumContact_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
     }
     const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
-    cache_.heard(message, source, now(), [&](Json reply) {
-        if (typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.sure();
+    cache_.handleMessage(message, source, now(), [&](Json reply) {
+        if (typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.isConfirmed();
         from.send(reply);
     });
     const bool confirms = type == wire::kConfiguration ||
                           (type == wire::kDigest && message.at("configuration") <= cache_.version());
-    if (sure && cache_.version() > 0 && confirms) quorumContact_.holds(true);
+    if (sure && cache_.version() > 0 && confirms) quorumContact_.markConfirmed(true);
     // Proxies that turn from host to host together do so by the clock of who tells them the list, not by
     // theirs.
     if (fromControlNode && type == wire::kDigest && message.contains("clock"))
         router_.setSharedClockOffset(message.at("clock").get<std::int64_t>() * kMillisecond - now());
-    if (cache_.listed()) router_.setEndpointsKnown();
+    if (cache_.endpointsCurrent()) router_.setEndpointsKnown();
 }
 
 void ControlPlaneFeed::onControlNodeLost(const std::string& controlNode) {
-    logContact(quorumContact_.onPeerDisconnected(controlNode, now()));
+    logContact(quorumContact_.onControlNodeDisconnected(controlNode, now()));
 }
 
 void ControlPlaneFeed::logContact(ContactChange change) const {
     if (change == ContactChange::none) return;
-    log(change == ContactChange::unsure ? "news_unsure" : "news_sure",
+    log(change == ContactChange::unconfirmed ? "news_unsure" : "news_sure",
         {{"step", "news"},
          {"configuration", config::formatVersion(cache_.version())},
-         {"held_sure", quorumContact_.sure()}});
+         {"held_sure", quorumContact_.isConfirmed()}});
 }
 
 Json ControlPlaneFeed::digest() const {
-    auto digest = cache_.digest();
-    digest[wire::kSure] = quorumContact_.sure();
+    auto digestMessage = cache_.digestMessage();
+    digest[wire::kSure] = quorumContact_.isConfirmed();
     return digest;
 }
 
 bool ControlPlaneFeed::isWaitOver() {
-    if (!quorumContact_.waited(cache_.version() > 0, now())) return false;
-    log("news_taken_unsure", {{"step", "news"}, {"waited_ms", quorumContact_.unsureWait / kMillisecond}});
+    if (!quorumContact_.waitElapsed(cache_.version() > 0, now())) return false;
+    log("news_taken_unsure", {{"step", "news"}, {"waited_ms", quorumContact_.kUnconfirmedWait / kMillisecond}});
     return true;
 }
 
--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -51,7 +51,7 @@
 
 void HttpServer::enforceTimeouts(Nanos now) {
     const auto& configuration = context_.router.configuration();
-    const Nanos idleTimeout = configuration ? configuration->bounds.idleTimeout : 0;
+    const Nanos idleTimeout = configuration ? configuration->clientLimits.idleTimeout : 0;
     std::vector<std::shared_ptr<ClientConnection>> stalled, overdue;
     for (const auto& [_, connection] : connections_) {
         if (connection->isStalled(now)) stalled.push_back(connection);
--- a/src/proxy/peer_connections.cpp
+++ b/src/proxy/peer_connections.cpp
@@ -11,11 +11,11 @@
       life_(life),
       listener_(std::move(listener)),
       owner_(std::make_shared<PeerConnection::Callbacks>()) {
-    owner_->greet = [this](PeerConnection&) {
+    owner_->makeHello = [this](PeerConnection&) {
         return encode(ProxyHello{settings_.name, settings_.peerAddress(settings_.ip), life_});
     };
-    owner_->heard = [this](PeerConnection& from, const Json& message) { onMessage(from, message); };
-    owner_->closed = [this](PeerConnection& connection) { listener_.closed(connection); };
+    owner_->onMessage = [this](PeerConnection& from, const Json& message) { onMessage(from, message); };
+    owner_->onClosed = [this](PeerConnection& connection) { listener_.closed(connection); };
 }
 
 Task<> PeerConnections::serve(tcp::acceptor& acceptor) { return servePeerConnections(io_, acceptor, owner_); }
@@ -39,7 +39,7 @@
 
 std::shared_ptr<Dialer> PeerConnections::dial(const std::string& address) const {
     auto dialer = std::make_shared<Dialer>(io_, address, owner_);
-    dialer->go();
+    dialer->start();
     return dialer;
 }
 
@@ -67,14 +67,14 @@
 std::vector<std::shared_ptr<PeerConnection>> PeerConnections::controlNodes() const {
     std::vector<std::shared_ptr<PeerConnection>> connections;
     for (const auto& [_, dialer] : controlNodes_)
-        if (auto connection = dialer->link(); connection && isControlNode(*connection))
+        if (auto connection = dialer->connection(); connection && isControlNode(*connection))
             connections.push_back(std::move(connection));
     return connections;
 }
 
 std::shared_ptr<PeerConnection> PeerConnections::peer(const std::string& address) const {
     const auto at = peers_.find(address);
-    return at == peers_.end() ? nullptr : at->second->link();
+    return at == peers_.end() ? nullptr : at->second->connection();
 }
 
 void PeerConnections::sendToControlNodes(const Json& message) const {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -38,8 +38,8 @@
           router_(settings_, seed_),
           upstream_(io_),
           httpServer_(io_, router_, upstream_, [this] { return awake(); }),
-          clientAcceptor_(listen(io_, settings_.front)),
-          readinessAcceptor_(listen(io_, settings_.readiness)),
+          clientAcceptor_(listen(io_, settings_.httpAddress)),
+          readinessAcceptor_(listen(io_, settings_.readinessAddress)),
           peerAcceptor_(listen(io_, settings_.peerAddress(settings_.ip))),
           fleet_(settings_),
           connections_(io_, settings_, life_,
@@ -56,7 +56,7 @@
 
     void run() {
         onFleetChanged();
-        signals(
+        handleSignals(
             io_,
             [this] {
                 if (std::exchange(stopping_, true)) return;
@@ -166,10 +166,10 @@
     // ---- Signals. ----
 
     Task<> drainAndStop() {
-        const Nanos end = now() + settings_.grace - kExitBeforeGrace;
+        const Nanos end = now() + settings_.shutdownGrace - kExitBeforeGrace;
         log("leaving", {{"open", httpServer_.openConnections()}});
         httpServer_.drain();
-        co_await sleep(std::min(kAcceptFor, settings_.grace / 2));
+        co_await sleep(std::min(kAcceptFor, settings_.shutdownGrace / 2));
         ErrorCode ignored;
         clientAcceptor_.close(ignored);
         while (httpServer_.openConnections() > 0 && now() < end) {
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -29,7 +29,7 @@
 
 Router::Router(const config::BootstrapSettings& settings, std::uint64_t seed)
     : chance_(seed),
-      retryBudget_(settings.budgetRatio, settings.budgetSlack, settings.budgetWindow),
+      retryBudget_(settings.retryBudgetRatio, settings.retrySlack, settings.retryBudgetWindow),
       canaries_(settings.exposureShare, settings.exposureSlack),
       selection_(settings.zone) {}
 
@@ -41,9 +41,9 @@
 }
 
 void Router::applyEndpointEvent(const discovery::EndpointEvent& event, Nanos now) {
-    const auto& endpoint = event.member;
+    const auto& endpoint = event.endpoint;
     auto at = hosts_.find(endpoint.id);
-    if (event.gone) {
+    if (event.removed) {
         if (at == hosts_.end()) return;
         at->second->gone = true;
         std::erase(hostsByService_[at->second->endpoint.service], at->second);
@@ -70,11 +70,11 @@
 
 bool Router::startRequest(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
                           Nanos clientTimeout) {
-    request.route = configuration_ ? configuration_->find(host, path) : nullptr;
+    request.route = configuration_ ? configuration_->findRoute(host, path) : nullptr;
     if (!request.route) return false;
     const auto& route = *request.route;
     request.service =
-        route.service(static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.weights)));
+        route.serviceForDraw(static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.totalWeight)));
     request.arrived = now;
     request.deadline = now + std::min(clientTimeout, route.timeout);
     retryBudget_.countRequest(request.service, now);
@@ -170,7 +170,7 @@
 }
 
 int Router::maxConnections(const UpstreamHost& host) const {
-    const auto* service = configuration_ ? configuration_->service(host.endpoint.service) : nullptr;
+    const auto* service = configuration_ ? configuration_->findService(host.endpoint.service) : nullptr;
     const double share = service ? static_cast<double>(service->maxConnections) * kConnectionsPart /
                                        static_cast<double>(retryBudget_.proxyCount())
                                  : kDefaultConnections;
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -40,18 +40,18 @@
       cache_({[this](const std::string&) { newConfiguration_ = true; },
               [this](const std::string&) { rolloutsKnown_ = true; },
               [this](const discovery::EndpointEvent& event) {
-                  if (ready_ && (event.gone || event.member.draining))
-                      tellFact(facts::kEndpoint, {{"name", name_}, {"id", event.member.id}});
+                  if (ready_ && (event.removed || event.endpoint.draining))
+                      tellFact(facts::kEndpoint, {{"name", name_}, {"id", event.endpoint.id}});
               }}) {}
 
 void HollowProxy::open() {
     const auto self = shared_from_this();
     owner_ = std::make_shared<PeerConnection::Callbacks>();
-    owner_->greet = [self](PeerConnection& connection) { return self->greet(connection); };
-    owner_->heard = [self](PeerConnection& from, const Json& message) {
+    owner_->makeHello = [self](PeerConnection& connection) { return self->greet(connection); };
+    owner_->onMessage = [self](PeerConnection& from, const Json& message) {
         if (!self->left_) self->onMessage(from, message);
     };
-    owner_->closed = [self](PeerConnection& connection) {
+    owner_->onClosed = [self](PeerConnection& connection) {
         if (!self->left_) self->onClosed(connection);
     };
     acceptor_ = std::make_unique<tcp::acceptor>(listen(process_.io, addressOf(ip_)));
@@ -84,7 +84,7 @@
 
 void HollowProxy::sendToControlNodes(const Json& message) {
     for (const auto& [_, dialer] : controlNodes_)
-        if (const auto connection = dialer->link(); connection && connection->kind == wire::kControlNode)
+        if (const auto connection = dialer->connection(); connection && connection->kind == wire::kControlNode)
             send(*connection, message);
 }
 
@@ -98,12 +98,12 @@
     auto& dialer = controlNodes_[address];
     if (dialer || left_) return;
     dialer = std::make_shared<Dialer>(process_.io, address, owner_);
-    dialer->go();
+    dialer->start();
 }
 
 void HollowProxy::onClosed(PeerConnection& connection) {
     if (connection.kind == wire::kControlNode) {
-        quorumContact_.onPeerDisconnected(connection.peer, now());
+        quorumContact_.onControlNodeDisconnected(connection.peer, now());
         tellFact(facts::kConnection, {{"name", name_}, {"to", connection.peer}, {"open", false}});
     }
     if (rosters_.erase(connection.peer) > 0) updateFleet();
@@ -141,17 +141,17 @@
     const auto& type = proxy::typeOf(message);
     const bool fromControlNode = from.kind == wire::kControlNode, sure = message.value(wire::kSure, true);
     if (type != wire::kWant) {
-        if (fromControlNode) quorumContact_.heard(from.peer, sure, now());
-        if (!quorumContact_.takes(sure, cache_.version() > 0, now())) return;
+        if (fromControlNode) quorumContact_.onControlNodeMessage(from.peer, sure, now());
+        if (!quorumContact_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
     }
     const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
-    cache_.heard(message, source, now(), [&](Json reply) {
-        if (proxy::typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.sure();
+    cache_.handleMessage(message, source, now(), [&](Json reply) {
+        if (proxy::typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.isConfirmed();
         send(from, reply);
     });
     const bool confirms = type == wire::kConfiguration ||
                           (type == wire::kDigest && message.at("configuration") <= cache_.version());
-    if (sure && cache_.version() > 0 && confirms) quorumContact_.holds(true);
+    if (sure && cache_.version() > 0 && confirms) quorumContact_.markConfirmed(true);
 }
 
 void HollowProxy::tellProgress() {
@@ -160,9 +160,9 @@
         tellFact(facts::kConfiguration, {{"name", name_}, {"version", version}});
         sendToControlNodes(encode(proxy::Acknowledgement{version}));
     }
-    if (ready_ || !cache_.listed() || cache_.version() == 0 || !rolloutsKnown_) return;
+    if (ready_ || !cache_.endpointsCurrent() || cache_.version() == 0 || !rolloutsKnown_) return;
     ready_ = true;
-    tellFact(facts::kReady, {{"name", name_}, {"pods", cache_.endpoints().members().size()}});
+    tellFact(facts::kReady, {{"name", name_}, {"pods", cache_.endpoints().endpoints().size()}});
 }
 
 // ---- The fleet. ----
@@ -199,7 +199,7 @@
         auto& dialer = peers_[address];
         if (dialer || left_) continue;
         dialer = std::make_shared<Dialer>(process_.io, address, owner_);
-        dialer->go();
+        dialer->start();
     }
 }
 
@@ -207,13 +207,13 @@
 Task<> HollowProxy::watchPeers(std::shared_ptr<HollowProxy> self) {
     while (!self->left_) {
         co_await sleep(self->process_.heartbeat);
-        auto digest = self->cache_.digest();
-        digest[wire::kSure] = self->quorumContact_.sure();
-        if (self->quorumContact_.waited(self->cache_.version() > 0, now())) self->sendToControlNodes(digest);
+        auto digestMessage = self->cache_.digestMessage();
+        digest[wire::kSure] = self->quorumContact_.isConfirmed();
+        if (self->quorumContact_.waitElapsed(self->cache_.version() > 0, now())) self->sendToControlNodes(digest);
         for (const auto& [_, address] : self->watched_) {
             const auto peer = self->peers_.find(address);
             if (peer == self->peers_.end()) continue;
-            if (const auto connection = peer->second->link()) self->send(*connection, digest);
+            if (const auto connection = peer->second->connection()) self->send(*connection, digest);
         }
     }
 }
--- a/src/scale_test/operator_client.cpp
+++ b/src/scale_test/operator_client.cpp
@@ -21,9 +21,9 @@
 
 Task<int> OperatorClient::call(std::string address, Request request) {
     beast::tcp_stream stream(io_);
-    stream.expires_after(span(kCallWithin));
+    stream.expires_after(toDuration(kCallWithin));
     ErrorCode error;
-    co_await stream.async_connect(endpoint(address), withErrorCode(error));
+    co_await stream.async_connect(parseAddress(address), withErrorCode(error));
     if (error) co_return 0;
     if (request[http::field::host].empty()) request.set(http::field::host, address);
     request.prepare_payload();
