--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -257,7 +257,7 @@
         stream.expires_after(toDuration(bounds_.head));
         co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
         if (!code && !parser.is_done()) {
-            stream.expires_after(span(bounds_.body));
+            stream.expires_after(toDuration(bounds_.body));
             if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
                 const http::response<http::empty_body> goOn(http::status::continue_, 11);
                 co_await http::async_write(stream, goOn, withErrorCode(code));
@@ -278,7 +278,7 @@
         response.keep_alive(request.keep_alive());
         response.prepare_payload();
         its.enter(Phase::taking);
-        stream.expires_after(span(bounds_.taking));
+        stream.expires_after(toDuration(bounds_.taking));
         co_await http::async_write(stream, response, withErrorCode(code));
         if (code || !response.keep_alive()) co_return;
     }
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -39,7 +39,7 @@
         : boot(boot_),
           replica(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
                   ReplicaNode::onDisk(boot_)),
-          controlPlaneAddress(listen(io, boot.controlPlaneAddress)),
+          control(listen(io, boot.controlPlaneAddress)),
           peers(listen(io, boot.peerAddress(boot.ip))),
           leases(
               replica, {me(), randomIncarnation()}, [this] { return hears(); },
--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -55,7 +55,7 @@
 }
 
 Json ControlPlaneFeed::digest() const {
-    auto digestMessage = cache_.digestMessage();
+    auto digest = cache_.digestMessage();
     digest[wire::kSure] = quorumContact_.isConfirmed();
     return digest;
 }
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -141,7 +141,7 @@
     if (host->connections >= maxConnections) co_return false;
     const auto connection = std::make_shared<UpstreamConnection>(io_, host);
     call->connection = connection;
-    const auto address = parseAddress(host->parseAddress.address);
+    const auto address = parseAddress(host->endpoint.address);
     ErrorCode error;
     co_await connection->socket.async_connect(address, withErrorCode(error));
     if (error || call->aborted) {
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -207,7 +207,7 @@
 Task<> HollowProxy::watchPeers(std::shared_ptr<HollowProxy> self) {
     while (!self->left_) {
         co_await sleep(self->process_.heartbeat);
-        auto digestMessage = self->cache_.digestMessage();
+        auto digest = self->cache_.digestMessage();
         digest[wire::kSure] = self->quorumContact_.isConfirmed();
         if (self->quorumContact_.waitElapsed(self->cache_.version() > 0, now())) self->sendToControlNodes(digest);
         for (const auto& [_, address] : self->watched_) {
