--- a/src/proxy/peer_messages.cpp
+++ b/src/proxy/peer_messages.cpp
@@ -21,7 +21,7 @@
 }
 
 std::map<std::string, std::string> decodeRoster(const Json& roster) {
-    return roster.at("foyers").get<std::map<std::string, std::string>>();
+    return roster.at(wire::kRosterProxies).get<std::map<std::string, std::string>>();
 }
 
 Json encode(const OutcomeCounts& counts) {
@@ -44,9 +44,9 @@
             {"target", vote.target},
             {"stage", vote.stage},
             {"verdict", static_cast<int>(judgement.verdict)},
-            {"fresh", judgement.fresh},
-            {"earlier", judgement.earlier},
-            {"bad", judgement.bad},
+            {"fresh", judgement.canaryOutcomes},
+            {"earlier", judgement.stableOutcomes},
+            {"bad", judgement.canaryFailures},
             {"lower", judgement.bounds.lowerChance},
             {"upper", judgement.bounds.upperChance}};
 }
--- a/src/proxy/peer_messages.hpp
+++ b/src/proxy/peer_messages.hpp
@@ -29,6 +29,8 @@
 inline constexpr const char* kWant = "want";
 inline constexpr const char* kConfiguration = "configuration";
 inline constexpr const char* kDigest = "digest";
+// The proxies of a roster: addresses by name.
+inline constexpr const char* kRosterProxies = "foyers";
 // Of messages and of replies: the sender speaks, or was told, for a majority of the control nodes.
 inline constexpr const char* kSure = "sure";
 }  // namespace wire
--- a/src/routing/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -98,7 +98,7 @@
     if (answer.status == 421) return AttemptEvent::misdirected;
     if (answer.notExecuted)
         return answer.status >= 400 ? AttemptEvent::rejectedByHost : AttemptEvent::malformed;
-    // REFUSED: what promises that nothing ran is passed on only with the pod's word for it.
+    // REFUSED: what promises that nothing ran is passed on only with the host's word for it.
     if (answer.status == 408 || answer.status == 429 || answer.status == 503) return AttemptEvent::malformed;
     return AttemptEvent::answered;
 }
--- a/src/scale_test/cost_report.cpp
+++ b/src/scale_test/cost_report.cpp
@@ -140,7 +140,7 @@
     const auto eachKilobytes = [&](std::uint64_t bytes) { return each(static_cast<double>(bytes)) / 1e3; };
     Json line{{"phase", phase.name},
               {"role", nameOf(Role::hollowProxies)},
-              {"foyers", hollowProxies_},
+              {"proxies", hollowProxies_},
               {"seconds", roundedSeconds(phase.to.reading.at - phase.from.reading.at)},
               {"cpu_s", static_cast<double>(hollow.cpu) / 1e9},
               {"memory_mb", roundedMegabytes(hollow.memory)},
@@ -160,7 +160,7 @@
         sent += out;
     }
     print(line);
-    costs_.push_back({phase.name + ", hollow foyer (mean)", nullptr, eachKilobytes(sum.in),
+    costs_.push_back({phase.name + ", hollow proxy (mean)", nullptr, eachKilobytes(sum.in),
                       eachKilobytes(sum.out), each(heard), each(sent),
                       static_cast<double>(sum.open) / proxies, roundedMegabytes(hollow.memory) / proxies,
                       nullptr});
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -4,6 +4,7 @@
 
 #include "hashing/rendezvous.hpp"
 #include "scale_test/facts.hpp"
+#include "scale_test/processes.hpp"
 #include "transport/log.hpp"
 
 namespace lichenlanding::scale_test {
@@ -12,6 +13,16 @@
 namespace wire = proxy::wire;
 using MessageSource = subscription::ConfigurationCache::MessageSource;
 
+namespace {
+
+// The peer's role as the run prints it.
+std::string peerRole(const PeerConnection& peer) {
+    if (peer.kind == wire::kControlNode) return nameOf(Role::controlNode);
+    return peer.kind == wire::kProxy ? nameOf(Role::proxy) : "new";
+}
+
+}  // namespace
+
 void tellFact(const char* fact, Json about) {
     about["fact"] = fact;
     if (!about.contains("ns")) about["ns"] = now();
@@ -78,7 +89,7 @@
 // ---- Connections. ----
 
 void HollowProxy::send(PeerConnection& connection, const Json& message) {
-    ++process_.sent[connection.kind.empty() ? "new" : connection.kind][proxy::typeOf(message)];
+    ++process_.sent[peerRole(connection)][proxy::typeOf(message)];
     connection.send(message);
 }
 
@@ -127,7 +138,7 @@
 void HollowProxy::onMessage(PeerConnection& from, const Json& message) {
     const auto& type = proxy::typeOf(message);
     if (type == wire::kHello) onHello(from, message);
-    ++process_.heard[from.kind.empty() ? "new" : from.kind][type];
+    ++process_.heard[peerRole(from)][type];
     if (type == wire::kRoster) {
         rosters_[from.peer] = process_.roster(message);
         updateFleet();
--- a/src/scale_test/hollow_proxy.hpp
+++ b/src/scale_test/hollow_proxy.hpp
@@ -33,7 +33,7 @@
     int port = 0;  ///< of each proxy, for peers
     Nanos heartbeat = 0;
     std::vector<std::string> seeds;  ///< addresses of control nodes
-    /// Messages since the start, by kind of the peer and by type.
+    /// Messages since the start, by the peer's role and by type.
     std::map<std::string, std::map<std::string, std::uint64_t>> heard{}, sent{};
     std::mt19937_64 chance{std::random_device{}()};
 
--- a/src/scale_test/measure.cpp
+++ b/src/scale_test/measure.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::uint32_t kEstablished = 1u << 1;
 
-std::string text(const __be32* address, __be16 port) {
+std::string formatAddress(const __be32* address, __be16 port) {
     char buffer[INET_ADDRSTRLEN] = "";
     inet_ntop(AF_INET, address, buffer, sizeof buffer);
     return std::string(buffer) + ":" + std::to_string(ntohs(port));
@@ -72,18 +72,20 @@
                 more = false;
                 break;
             }
-            const auto* told = static_cast<const inet_diag_msg*>(NLMSG_DATA(head));
-            auto& socket = all[told->idiag_inode];
-            socket.from = text(told->id.idiag_src, told->id.idiag_sport);
-            socket.to = text(told->id.idiag_dst, told->id.idiag_dport);
-            auto room = static_cast<int>(head->nlmsg_len - NLMSG_LENGTH(sizeof *told));
-            for (auto* part = reinterpret_cast<const rtattr*>(told + 1); RTA_OK(part, room);
+            const auto* message = static_cast<const inet_diag_msg*>(NLMSG_DATA(head));
+            auto& socket = all[message->idiag_inode];
+            socket.from = formatAddress(message->id.idiag_src, message->id.idiag_sport);
+            socket.to = formatAddress(message->id.idiag_dst, message->id.idiag_dport);
+            auto room = static_cast<int>(head->nlmsg_len - NLMSG_LENGTH(sizeof *message));
+            for (auto* part = reinterpret_cast<const rtattr*>(message + 1); RTA_OK(part, room);
                  part = RTA_NEXT(part, room)) {
                 if (part->rta_type != INET_DIAG_INFO) continue;
                 tcp_info info{};
                 std::memcpy(&info, RTA_DATA(part), std::min<std::size_t>(sizeof info, RTA_PAYLOAD(part)));
-                socket.in = info.tcpi_bytes_received, socket.out = info.tcpi_bytes_acked;
-                socket.segmentsIn = info.tcpi_data_segs_in, socket.segmentsOut = info.tcpi_data_segs_out;
+                socket.in = info.tcpi_bytes_received;
+                socket.out = info.tcpi_bytes_acked;
+                socket.segmentsIn = info.tcpi_data_segs_in;
+                socket.segmentsOut = info.tcpi_data_segs_out;
             }
         }
     }
@@ -92,15 +94,15 @@
 }
 
 Cost cost(pid_t id) {
-    Cost told;
+    Cost cost;
     const auto folder = "/proc/" + std::to_string(id);
     std::error_code gone;
     for (fs::directory_iterator at(folder + "/task", gone), end; !gone && at != end; at.increment(gone)) {
         std::ifstream file(at->path() / "schedstat");
-        if (Nanos spent = 0; file >> spent) told.cpu += spent;
+        if (Nanos spent = 0; file >> spent) cost.cpu += spent;
     }
-    told.memory = kilobytes(folder + "/status", "VmRSS:");
-    told.peak = kilobytes(folder + "/status", "VmHWM:");
+    cost.memory = kilobytes(folder + "/status", "VmRSS:");
+    cost.peak = kilobytes(folder + "/status", "VmHWM:");
     const std::string prefix = "socket:[";
     for (fs::directory_iterator at(folder + "/fd", gone), end; !gone && at != end; at.increment(gone)) {
         std::error_code closed;
@@ -108,9 +110,9 @@
         std::uint64_t inode = 0;
         if (!closed && name.starts_with(prefix) &&
             std::from_chars(name.data() + prefix.size(), name.data() + name.size(), inode).ec == std::errc{})
-            told.sockets.push_back(inode);
+            cost.sockets.push_back(inode);
     }
-    return told;
+    return cost;
 }
 
 std::uint64_t resident(pid_t id) { return kilobytes("/proc/" + std::to_string(id) + "/status", "VmRSS:"); }
@@ -123,8 +125,8 @@
     Reading all;
     all.at = now();
     for (const auto& [name, id] : processes) {
-        const auto& told = all.costs[name] = cost(id);
-        for (const auto inode : told.sockets) all.owners[inode] = name;
+        const auto& processCost = all.costs[name] = cost(id);
+        for (const auto inode : processCost.sockets) all.owners[inode] = name;
     }
     all.sockets = connections();
     return all;
@@ -140,7 +142,7 @@
     for (const auto& [inode, owner] : owners) {
         if (owner != process) continue;
         const auto at = sockets.find(inode);
-        if (at == sockets.end()) continue;  // a door
+        if (at == sockets.end()) continue;  // it listens
         const auto& socket = at->second;
         const auto other = ends.find(socket.to + " " + socket.from);
         const auto role = other == ends.end() ? roles.end() : roles.find(other->second);
@@ -148,7 +150,8 @@
         const auto old = before.sockets.find(inode);
         const Socket was = old == before.sockets.end() ? Socket{} : old->second;
         ++flow.open;
-        flow.in += socket.in - was.in, flow.out += socket.out - was.out;
+        flow.in += socket.in - was.in;
+        flow.out += socket.out - was.out;
         flow.segmentsIn += socket.segmentsIn - was.segmentsIn;
         flow.segmentsOut += socket.segmentsOut - was.segmentsOut;
     }
--- a/src/scale_test/platform.cpp
+++ b/src/scale_test/platform.cpp
@@ -12,39 +12,56 @@
 using namespace transport;
 namespace http = boost::beast::http;
 using Json = nlohmann::json;
+using Response = http::response<http::string_body>;
+
+namespace {
+
+constexpr std::size_t kDrainingMax = 2;
+constexpr std::size_t kLeastEndpoints = 4;  // with fewer none is replaced
+
+}  // namespace
 
 Platform::Platform(asio::io_context& io, const ScenarioConfig& plan)
-    : io_(io), plan_(plan), door_(listen(io, "127.0.0.1:0")), left_(static_cast<double>(plan.calls)) {
-    while (made_ < plan_.pods) pods_.push_back(pod(plan_, made_++));
+    : io_(io),
+      plan_(plan),
+      acceptor_(listen(io, "127.0.0.1:0")),
+      callsLeft_(static_cast<double>(plan.listCallsPerSecond)) {
+    while (endpointsMade_ < plan_.pods) endpoints_.push_back(pod(plan_, endpointsMade_++));
     start(io_, "platform", accept());
 }
 
-std::string Platform::address() const { return "127.0.0.1:" + std::to_string(door_.local_endpoint().port()); }
+std::string Platform::address() const {
+    return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
+}
 
-std::string Platform::change() {
-    if (pods_.size() < 4) return "";
-    if (draining_ == 2) pods_.pop_front(), --draining_;
-    auto& leaves = pods_.at(draining_++);
-    leaves.draining = true;
-    const auto id = leaves.id;
-    pods_.push_back(pod(plan_, made_++));
+std::string Platform::replaceEndpoint() {
+    if (endpoints_.size() < kLeastEndpoints) return "";
+    if (drainingCount_ == kDrainingMax) {
+        endpoints_.pop_front();
+        --drainingCount_;
+    }
+    auto& drained = endpoints_.at(drainingCount_++);
+    drained.draining = true;
+    const auto id = drained.id;
+    endpoints_.push_back(pod(plan_, endpointsMade_++));
     return id;
 }
 
-bool Platform::allowed() {
-    const auto most = static_cast<double>(plan_.calls);
+bool Platform::takeCall() {
+    const auto most = static_cast<double>(plan_.listCallsPerSecond);
     const Nanos at = now();
-    left_ = std::min(most, left_ + static_cast<double>(at - std::exchange(filled_, at)) / 1e9 * most);
-    if (left_ < 1) return false;
-    --left_;
+    callsLeft_ =
+        std::min(most, callsLeft_ + static_cast<double>(at - std::exchange(refilledAt_, at)) / 1e9 * most);
+    if (callsLeft_ < 1) return false;
+    --callsLeft_;
     return true;
 }
 
 std::string Platform::page(std::size_t from) {
-    const auto to = std::min(from + static_cast<std::size_t>(plan_.page), pods_.size());
+    const auto to = std::min(from + static_cast<std::size_t>(plan_.listPageSize), endpoints_.size());
     Json list = Json::array();
     for (auto at = from; at < to; ++at) {
-        const auto& one = pods_[at];
+        const auto& one = endpoints_[at];
         list.push_back({{"instance_id", one.id},
                         {"service_name", one.service},
                         {"address", one.address},
@@ -54,17 +71,17 @@
                         {"state", one.draining ? "draining" : "ready"},
                         {"warmup_left", "0ms"}});
     }
-    const bool last = to == pods_.size();
-    if (last) wholes.push_back(now());
+    const bool last = to == endpoints_.size();
+    if (last) completeLists.push_back(now());
     return Json{{"instance_list", std::move(list)},
                 {"next_token", last ? Json(nullptr) : Json("p-" + std::to_string(to))}}
         .dump();
 }
 
 Task<> Platform::accept() {
-    while (door_.is_open()) {
+    while (acceptor_.is_open()) {
         ErrorCode code;
-        auto socket = co_await door_.async_accept(withErrorCode(code));
+        auto socket = co_await acceptor_.async_accept(withErrorCode(code));
         if (code) co_return;
         start(io_, "platform", serve(std::move(socket)));
     }
@@ -78,14 +95,18 @@
         co_await http::async_read(socket, buffer, request, withErrorCode(code));
         if (code) co_return;
         ++calls;
-        http::response<http::string_body> response(http::status::ok, 11);
+        Response response(http::status::ok, 11);
         response.set(http::field::content_type, "application/json");
         const std::string target(request.target());
         const auto token = target.find("page_token=p-");
         std::size_t from = 0;
         if (token != target.npos) parse(std::string_view(target).substr(token + 13), from);
-        if (allowed()) response.body() = page(from);
-        else response.result(429), ++refused;
+        if (takeCall()) {
+            response.body() = page(from);
+        } else {
+            response.result(http::status::too_many_requests);
+            ++rejected;
+        }
         response.keep_alive(request.keep_alive());
         response.prepare_payload();
         bytes += response.body().size();
--- a/src/scale_test/processes.cpp
+++ b/src/scale_test/processes.cpp
@@ -45,9 +45,9 @@
 const char* nameOf(Role role) {
     switch (role) {
         case Role::controlNode:
-            return "prompter";
+            return "control_node";
         case Role::proxy:
-            return "foyer";
+            return "proxy";
         case Role::hollowProxies:
             return "hollow";
     }
--- a/src/scale_test/run_layout.cpp
+++ b/src/scale_test/run_layout.cpp
@@ -54,9 +54,9 @@
     return hostAndPort("127.72.0.", n, port_ + port);
 }
 
-std::string RunLayout::controlNodeName(std::int64_t n) { return "prompter-" + std::to_string(n + 1); }
+std::string RunLayout::controlNodeName(std::int64_t n) { return "control-node-" + std::to_string(n + 1); }
 
-std::string RunLayout::proxyName(std::int64_t n) { return "foyer-" + std::to_string(n + 1); }
+std::string RunLayout::proxyName(std::int64_t n) { return "proxy-" + std::to_string(n + 1); }
 
 std::vector<std::string> RunLayout::seedAddresses(PortOffset port) const {
     std::vector<std::string> seeds;
@@ -76,7 +76,7 @@
             {"seed_nodes", seedAddresses(kControlPlanePort)},
             {"heartbeat", std::to_string(kHeartbeatMs) + "ms"},
             {"fault_tolerance", {{"machines", (plan_.controlNodes - 1) / 2}, {"zones", 0}, {"regions", 0}}},
-            {"cloud_api", {{"address", platform}, {"rate_per_s", plan_.calls}}}};
+            {"cloud_api", {{"address", platform}, {"rate_per_s", plan_.listCallsPerSecond}}}};
 }
 
 std::string RunLayout::writeControlNodeSettings(const std::string& folder, std::int64_t n, bool bootstrap,
--- a/src/scale_test/scale_phases.cpp
+++ b/src/scale_test/scale_phases.cpp
@@ -71,14 +71,14 @@
     const Nanos acknowledged = now();
     const auto all = static_cast<std::size_t>(plan_.proxies + plan_.realProxies);
     const auto allReady = [&] { return observations_.readyTimes.size() >= all; };
-    const bool came = co_await waitUntil(allReady, plan_.limit * kSecond);
+    const bool came = co_await waitUntil(allReady, plan_.limitSeconds * kSecond);
     std::vector<Nanos> times;
     for (const auto& [_, at] : observations_.readyTimes) times.push_back(at.front() - began);
     report_.addTime("start until ready", {{"spread", spread(times)},
                                           {"missing", all - times.size()},
                                           {"acknowledged_ms", (acknowledged - began) / kMillisecond},
                                           {"body_bytes", operator_.bodyBytes()},
-                                          {"links_ended", observations_.connectionsEnded}});
+                                          {"connections_ended", observations_.connectionsEnded}});
     report("start", nothing, snapshot());
     if (!came) throw std::runtime_error("not all were ready");
 }
@@ -86,14 +86,14 @@
 // ---- Nothing happens. ----
 
 Task<> ScaleRun::steadyPhase() {
-    co_await sleep(plan_.settle * kMillisecond);
+    co_await sleep(plan_.settleMs * kMillisecond);
     const auto from = snapshot();
     const auto ended = observations_.connectionsEnded;
-    co_await sleep(plan_.steady * kMillisecond);
+    co_await sleep(plan_.steadyMs * kMillisecond);
     const auto to = snapshot();
-    if (plan_.steady > 0) report("steady", from, to);
+    if (plan_.steadyMs > 0) report("steady", from, to);
     CostReport::print({{"phase", "steady"},
-                       {"links_ended", observations_.connectionsEnded - ended},
+                       {"connections_ended", observations_.connectionsEnded - ended},
                        {"list_calls", platform_.calls}});
     publisher_ = endpointPublisher(from, to);
 }
@@ -136,7 +136,7 @@
             ++open;
             start(io_, "route", collectServed(proxy, n, &change.served, &open));
         }
-        const Nanos next = began + n * plan_.changeEvery * kMillisecond;
+        const Nanos next = began + n * plan_.changeEveryMs * kMillisecond;
         if (now() < next) co_await sleep(next - now());
     }
     const auto everywhere = [&] { return allProxiesAppliedBy(1 + plan_.changes) && open == 0; };
@@ -168,11 +168,11 @@
     const auto missingServed = plan_.changes * plan_.realProxies - static_cast<std::int64_t>(served.size());
     report_.addTime("change sent until acknowledged",
                     {{"spread", spread(acknowledged)}, {"resent", operator_.resent()}});
-    report_.addTime("change acknowledged until at half of the foyers",
+    report_.addTime("change acknowledged until at half of the proxies",
                     {{"spread", spread(half)}, {"missing", missing}});
-    report_.addTime("change acknowledged until at the last foyer",
+    report_.addTime("change acknowledged until at the last proxy",
                     {{"spread", spread(last)}, {"missing", missing}});
-    report_.addTime("change acknowledged until served by a real foyer",
+    report_.addTime("change acknowledged until served by a real proxy",
                     {{"spread", spread(served)}, {"missing", missingServed}});
 }
 
@@ -180,7 +180,7 @@
 
 // Until the draining of an endpoint is known to the last proxy; 0 where it does not get there.
 Task<Nanos> ScaleRun::drainEndpoint() {
-    const auto id = platform_.change();
+    const auto id = platform_.replaceEndpoint();
     const Nanos at = now();
     auto& known = observations_.endpointChanges[id];
     const auto everywhere = [&] { return known.size() >= static_cast<std::size_t>(plan_.proxies); };
@@ -203,18 +203,18 @@
     for (std::int64_t n = 0; n < plan_.podChanges; ++n) {
         ++open;
         start(io_, "pod", collectDrained(&last, &open));
-        co_await sleep(plan_.podEvery * kMillisecond);
+        co_await sleep(plan_.podChangeEveryMs * kMillisecond);
     }
     const auto allEnded = [&] { return open == 0; };
     co_await waitUntil(allEnded, kTakesAtMost + kSecond);
     const auto missing = plan_.podChanges - static_cast<std::int64_t>(last.size());
-    report_.addTime("pod draining until known to the last foyer",
+    report_.addTime("pod draining until known to the last proxy",
                     {{"spread", spread(last)}, {"missing", missing}});
     report("pods", from, snapshot());
     std::vector<Nanos> gaps;
-    for (std::size_t n = 1; n < platform_.wholes.size(); ++n)
-        gaps.push_back(platform_.wholes[n] - platform_.wholes[n - 1]);
-    report_.addTime("between two whole lists", {{"spread", spread(gaps)}, {"refused", platform_.refused}});
+    for (std::size_t n = 1; n < platform_.completeLists.size(); ++n)
+        gaps.push_back(platform_.completeLists[n] - platform_.completeLists[n - 1]);
+    report_.addTime("between two whole lists", {{"spread", spread(gaps)}, {"rejected", platform_.rejected}});
 }
 
 // ---- Proxies restarted. ----
@@ -237,7 +237,7 @@
             const auto process = hollowProcessOf(proxy), order = facts::kRestartOrder + (" " + name) + "\n";
             co_await processes_.send(process, order);
         }
-        co_await sleep(plan_.restartEvery * kMillisecond);
+        co_await sleep(plan_.restartEveryMs * kMillisecond);
     }
     const auto isBack = [&](const Restart& restart) { return ready[restart.proxy].size() > restart.lives; };
     const auto allBack = [&] { return std::all_of(restarts.begin(), restarts.end(), isBack); };
@@ -245,7 +245,7 @@
     std::vector<Nanos> times;
     for (const auto& restart : restarts)
         if (isBack(restart)) times.push_back(ready[restart.proxy].back() - restart.asked);
-    report_.addTime("restart of a foyer (500 ms away) until ready",
+    report_.addTime("restart of a proxy (500 ms away) until ready",
                     {{"spread", spread(times)}, {"missing", restarts.size() - times.size()}});
     report("restarts", from, snapshot());
 }
@@ -266,7 +266,7 @@
     const auto allConnected = [&] { return connected.size() >= static_cast<std::size_t>(plan_.proxies); };
     const bool joined = co_await waitUntil(allConnected, kTakesAtMost);
     if (joined) loss.connectedAfter = now() - back;
-    co_await sleep(plan_.settle * kMillisecond);
+    co_await sleep(plan_.settleMs * kMillisecond);
     loss.connectionsEndedByReturn = observations_.connectionsEnded - endedBefore - loss.connectionsEnded;
     reportLoss(loss);
     report("loss", from, middle);
@@ -277,10 +277,10 @@
 Task<> ScaleRun::loseControlNode(std::int64_t lost, ControlNodeLoss& loss) {
     processes_.stop(RunLayout::controlNodeName(lost));
     const Nanos at = now();
-    const auto lists = platform_.wholes.size();
-    const auto listed = [&] { return platform_.wholes.size() > lists; };
+    const auto lists = platform_.completeLists.size();
+    const auto listed = [&] { return platform_.completeLists.size() > lists; };
     co_await waitUntil(listed, kTakesAtMost);
-    if (listed()) loss.nextList = platform_.wholes.back() - at;
+    if (listed()) loss.nextList = platform_.completeLists.back() - at;
     loss.drainKnown = co_await drainEndpoint();
     loss.drainKnownAt = now() - at;
     co_await operator_.replaceConfiguration(plan_.changes + 1);
@@ -294,19 +294,19 @@
 
 void ScaleRun::reportLoss(const ControlNodeLoss& loss) {
     const auto& applied = loss.applied;
-    report_.addTime("prompter on duty lost until the next whole list",
+    report_.addTime("control node that publishes endpoints lost until the next whole list",
                     {{"spread", spreadOfOne(loss.nextList)}});
     report_.addTime(
-        "pod draining after that, until known to the last foyer",
+        "pod draining after that, until known to the last proxy",
         {{"spread", spreadOfOne(loss.drainKnown)}, {"known_after_ms", loss.drainKnownAt / kMillisecond}});
     report_.addTime(
-        "change acknowledged without it until at the last foyer",
+        "change acknowledged without it until at the last proxy",
         {{"spread", applied.empty() ? Json() : spread({*std::max_element(applied.begin(), applied.end())})},
          {"missing", plan_.proxies - static_cast<std::int64_t>(applied.size())}});
-    report_.addTime("prompter back until linked to all",
+    report_.addTime("control node back until connected to all",
                     {{"spread", spreadOfOne(loss.connectedAfter)},
-                     {"links_ended_by_loss", loss.connectionsEnded},
-                     {"links_ended_by_return", loss.connectionsEndedByReturn}});
+                     {"connections_ended_by_loss", loss.connectionsEnded},
+                     {"connections_ended_by_return", loss.connectionsEndedByReturn}});
 }
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/scale_run.cpp
+++ b/src/scale_test/scale_run.cpp
@@ -66,12 +66,12 @@
     getrlimit(RLIMIT_NOFILE, &files);
     const auto most = static_cast<std::int64_t>(files.rlim_cur);
     if (plan_.descriptors() > most)
-        throw std::runtime_error("foyers_per_process: a process may hold " + std::to_string(most) +
+        throw std::runtime_error("proxies_per_process: a process may hold " + std::to_string(most) +
                                  " descriptors and would need " + std::to_string(plan_.descriptors()));
     if (plan_.proxies + plan_.realProxies + kOwnDescriptors > most)
-        throw std::runtime_error("foyers: a prompter may hold " + std::to_string(most) + " descriptors");
+        throw std::runtime_error("proxies: a control node may hold " + std::to_string(most) + " descriptors");
     if (plan_.processes() + plan_.controlNodes + plan_.realProxies > kProcessesMax)
-        throw std::runtime_error("foyers_per_process: over " + std::to_string(kProcessesMax) + " processes");
+        throw std::runtime_error("proxies_per_process: over " + std::to_string(kProcessesMax) + " processes");
 }
 
 bool ScaleRun::run() {
@@ -110,9 +110,9 @@
         const auto settings = layout_.writeProxySettings(folder_, n, platform_.address());
         processes_.launch(RunLayout::proxyName(n), Role::proxy, {kProxyWord}, settings);
     }
-    for (std::int64_t first = 0; first < plan_.proxies; first += plan_.perProcess) {
+    for (std::int64_t first = 0; first < plan_.proxies; first += plan_.proxiesPerProcess) {
         const Json hollow{{"first", first},
-                          {"count", std::min(plan_.perProcess, plan_.proxies - first)},
+                          {"count", std::min(plan_.proxiesPerProcess, plan_.proxies - first)},
                           {"port", layout_.port()},
                           {"seeds", layout_.seedAddresses(kPeerPort)},
                           {"heartbeat_ms", kHeartbeatMs}};
@@ -122,7 +122,7 @@
 }
 
 std::string ScaleRun::hollowProcessOf(std::int64_t proxy) const {
-    return hollowProcessName(proxy / plan_.perProcess * plan_.perProcess);
+    return hollowProcessName(proxy / plan_.proxiesPerProcess * plan_.proxiesPerProcess);
 }
 
 // ---- Ends of the run. ----
@@ -138,7 +138,7 @@
 }
 
 Task<> ScaleRun::stopAtLimit() {
-    co_await sleep(plan_.limit * kSecond);
+    co_await sleep(plan_.limitSeconds * kSecond);
     stopWith("over limit_s");
 }
 
--- a/src/scale_test/scenario_config.cpp
+++ b/src/scale_test/scenario_config.cpp
@@ -1,5 +1,6 @@
 #include "scale_test/scenario_config.hpp"
 
+#include <map>
 #include <stdexcept>
 
 #include "config/configuration.hpp"
@@ -23,10 +24,18 @@
     return value;
 }
 
+// Names that settings had up to the version before; accepted for one version.
+const std::map<std::string, std::string> kFormerNames{{"prompters", "control_nodes"},
+                                                      {"foyers", "proxies"},
+                                                      {"real_foyers", "real_proxies"},
+                                                      {"foyers_per_process", "proxies_per_process"}};
+
 }  // namespace
 
-void ScenarioConfig::set(const std::string& name, const std::string& value) {
-#define X(member, key, otherwise, least, most)                    \
+void ScenarioConfig::set(const std::string& givenName, const std::string& value) {
+    const auto renamed = kFormerNames.find(givenName);
+    const auto& name = renamed == kFormerNames.end() ? givenName : renamed->second;
+#define X(member, key, defaultValue, least, most)                 \
     if (name == key) {                                            \
         member = checked(name, value, std::int64_t{least}, most); \
         return;                                                   \
@@ -38,7 +47,7 @@
 
 Json ScenarioConfig::describe() const {
     Json all = Json::object();
-#define X(member, key, otherwise, least, most) all[key] = member;
+#define X(member, key, defaultValue, least, most) all[key] = member;
     SCALE_SETTINGS(X)
 #undef X
     return all;
@@ -51,7 +60,7 @@
 }
 
 std::int64_t ScenarioConfig::descriptors() const {
-    return perProcess * (controlNodes + 3 + kWatchedBy + 1) + 50;
+    return proxiesPerProcess * (controlNodes + 3 + kWatchedBy + 1) + 50;
 }
 
 std::string changedPath(std::int64_t changes) { return "/added-" + std::to_string(changes) + "/"; }
--- a/src/scale_test/sizes.cpp
+++ b/src/scale_test/sizes.cpp
@@ -3,6 +3,7 @@
 #include "config/configuration.hpp"
 #include "hashing/rendezvous.hpp"
 #include "messages/codec.hpp"
+#include "proxy/peer_messages.hpp"
 #include "scale_test/hollow.hpp"
 #include "transport/compression.hpp"
 #include "transport/event_loop.hpp"
@@ -20,8 +21,8 @@
     return static_cast<double>(now() - began) / 1e6;
 }
 
-// On the wire, made for one link, and read from one.
-Json weighed(const Json& message) {
+// On the wire, made for one connection, and read from one.
+Json measured(const Json& message) {
     std::string packed;
     Json told;
     told["pack_ms"] = millis([&] {
@@ -42,25 +43,26 @@
     std::string compressed;
     const auto squeezing = millis([&] { compressed = compress(body); });
     auto& told = all["configuration"] =
-        weighed({{"t", "configuration"}, {"version", 1}, {"squeezed", messages::encodeBytes(compressed)}});
-    told["squeeze_ms"] = squeezing, told["body_bytes"] = body.size();
+        measured({{"t", "configuration"}, {"version", 1}, {"squeezed", messages::encodeBytes(compressed)}});
+    told["squeeze_ms"] = squeezing;
+    told["body_bytes"] = body.size();
     told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = config::Configuration::read(body); });
 
     Json list = Json::array();
     for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(messages::write(pod(plan, n)));
     all["list"] =
-        weighed({{"t", "pods"}, {"change", 1}, {"stamp", 1}, {"set", list}, {"gone", Json::array()}});
+        measured({{"t", "pods"}, {"change", 1}, {"stamp", 1}, {"set", list}, {"gone", Json::array()}});
     if (plan.pods > 0)
-        all["pod_change"] = weighed({{"t", "pods"},
-                                     {"change", 1},
-                                     {"stamp", 1},
-                                     {"set", {list.front()}},
-                                     {"gone", {pod(plan, 1).id}}});
+        all["pod_change"] = measured({{"t", "pods"},
+                                      {"change", 1},
+                                      {"stamp", 1},
+                                      {"set", {list.front()}},
+                                      {"gone", {pod(plan, 1).id}}});
 
     Json roster = Json::object();
     for (std::int64_t n = 0; n < plan.proxies; ++n)
         roster[hollowName(n)] = hollowAddress(n) + ":" + std::to_string(20000);
-    all["roster"] = weighed({{"t", "roster"}, {"foyers", roster}});
+    all["roster"] = measured({{"t", proxy::wire::kRoster}, {proxy::wire::kRosterProxies, roster}});
 
     // One proxy's running totals of one service: some hundreds of outcomes on each of its routes.
     verdict::Totals totals;
@@ -73,12 +75,7 @@
                 counts.bins[bin] = static_cast<std::uint32_t>(
                     hashing::hash(std::to_string(bin), std::to_string(route * 2 + side)) % 60);
         }
-    all["counts"] = weighed({{"t", "counts"},
-                             {"from", hollowName(0)},
-                             {"life", 1},
-                             {"number", 1},
-                             {"rollout", "s1\nv2"},
-                             {"totals", messages::write(totals)}});
+    all["counts"] = measured(encode(proxy::OutcomeCounts{hollowName(0), 1, 1, "s1\nv2", totals}));
     return all;
 }
 
--- a/src/verdict/rank.cpp
+++ b/src/verdict/rank.cpp
@@ -35,8 +35,10 @@
             lower += w[bin] * (std::max(slower, 0.0) + v[bin] / 2);
         }
         const double upper = w[0] * v[0] + w[0] * (1 - v[0]) + v[0] * (1 - w[0]) + lower;
-        bounds.lowerChance += lower > bar, bounds.upperChance += upper > bar;
-        bounds.lowerMean += lower, bounds.upperMean += upper;
+        bounds.lowerChance += lower > bar;
+        bounds.upperChance += upper > bar;
+        bounds.lowerMean += lower;
+        bounds.upperMean += upper;
     }
     for (auto* figure : {&bounds.lowerChance, &bounds.upperChance, &bounds.lowerMean, &bounds.upperMean})
         *figure /= times;
--- a/src/verdict/rollout.cpp
+++ b/src/verdict/rollout.cpp
@@ -34,16 +34,16 @@
 
 // Exception to ranks: failures of a part of the requests move few ranks, so the same test is made on ranks
 // coarsened to two as well.
-bool worse(const Counts& fresh, const Counts& earlier, std::mt19937& chance, double certain = kCertainly) {
-    const double n = fresh.all(), m = earlier.all();
+bool worse(const Counts& canary, const Counts& stable, std::mt19937& chance, double certain = kCertainly) {
+    const double n = canary.all(), m = stable.all();
     const auto more = [&](double x, double y, double margin, double least) {
         return n >= least && m >= kLeastOutcomes && x >= 3 &&
                rankTest(inTwo(x, n), inTwo(y, m), 0.5 - margin / 2, kDraws, chance).upperChance < 1 - certain;
     };
-    return more(fresh.bad, earlier.bad, kFailMargin, kLeastFailing) ||
-           more(late(fresh), late(earlier), kLateMargin, kLeastFailing) ||
+    return more(canary.bad, stable.bad, kFailMargin, kLeastFailing) ||
+           more(late(canary), late(stable), kLateMargin, kLeastFailing) ||
            (n >= kLeastOutcomes && m >= kLeastOutcomes &&
-            rankTest(binsOf(fresh), binsOf(earlier), kBackBar, kDraws, chance).upperChance < 1 - kSure);
+            rankTest(binsOf(canary), binsOf(stable), kBackBar, kDraws, chance).upperChance < 1 - kSure);
 }
 
 }  // namespace
@@ -85,11 +85,13 @@
         back = back || worse(sides[0], sides[1], chance);
         doubt = doubt || worse(sides[0], sides[1], chance, kPerhaps);
     }
-    judged.fresh = all[0].all(), judged.earlier = all[1].all(), judged.bad = all[0].bad;
-    if (judged.fresh > 0 && judged.earlier > 0)
+    judged.canaryOutcomes = all[0].all();
+    judged.stableOutcomes = all[1].all();
+    judged.canaryFailures = all[0].bad;
+    if (judged.canaryOutcomes > 0 && judged.stableOutcomes > 0)
         judged.bounds = rankTest(binsOf(all[0]), binsOf(all[1]), kOnBar, kDraws, chance);
     if (back || worse(all[0], all[1], chance)) judged.verdict = Verdict::back;
-    else if (judged.fresh >= kLeastOutcomes && judged.earlier >= kLeastOutcomes)
+    else if (judged.canaryOutcomes >= kLeastOutcomes && judged.stableOutcomes >= kLeastOutcomes)
         judged.verdict = judged.bounds.lowerChance > kSure && !doubt ? Verdict::on : Verdict::hold;
     return judged;
 }
--- a/src/verdict/rollout.hpp
+++ b/src/verdict/rollout.hpp
@@ -1,7 +1,7 @@
-// How the gateway's proxies judge a new version of a service: each counts outcomes into a latency histogram
-// for each side and route, sends running totals to the voters, and a voter judges the sums of all.
-//
-// Pure: times and chance come in as arguments. Ranks and bounds are those of verdict/rank.hpp.
+/// How the gateway's proxies judge a new version of a service: each counts outcomes into a latency histogram
+/// for each side and route, sends running totals to the voters, and a voter judges the sums of all.
+///
+/// Pure: times (nanoseconds) and chance come in as arguments. Ranks and bounds are those of verdict/rank.hpp.
 #pragma once
 
 #include <array>
@@ -14,27 +14,28 @@
 
 namespace lichenlanding::verdict {
 
-constexpr int kRolloutBins = 12;  // the last one: later than the target latency by far, errors, time-outs
+constexpr int kRolloutBins = 12;  ///< the last one: later than the target latency by far, errors, time-outs
 
-// The bin for an answer that took `took`, on a route of target latency `target` (> 0).
+/// The bin for an answer that took `took`, on a route of target latency `target` (> 0).
 int histogramBin(Nanos took, Nanos target);
 
 struct Counts {
     std::array<std::uint32_t, kRolloutBins> bins{};
-    std::uint32_t bad = 0;  // of those in the last bin: errors and time-outs
+    std::uint32_t bad = 0;  ///< of those in the last bin: errors and time-outs
 
     void count(Nanos took, Nanos target, bool failed);
     std::uint32_t all() const;
 };
 
-// Of one rollout: by route, the new side and the earlier one.
+/// Of one rollout: by route, the new side and the earlier one.
 using Totals = std::map<std::string, std::array<Counts, 2>>;
 
-// What a voter holds of one rollout. Totals of a sender replace its earlier ones, so a message that comes
-// twice, late or not at all counts nothing twice.
+/// What a voter holds of one rollout. Totals of a sender replace its earlier ones, so a message that comes
+/// twice, late or not at all counts nothing twice.
 class Pool {
   public:
-    // `life` is drawn at each start of the sender; a sender of a new life keeps what its earlier one counted.
+    /// `life` is drawn at each start of the sender; a sender of a new life keeps what its earlier one
+    /// counted.
     void take(const std::string& sender, std::uint64_t life, std::uint64_t number, Totals totals);
     Totals sum() const;
 
@@ -48,11 +49,11 @@
 
 struct Judgement {
     Verdict verdict = Verdict::none;
-    RankBounds bounds;                              // of all routes together
-    std::uint32_t fresh = 0, earlier = 0, bad = 0;  // outcomes of the new side, the earlier one; bad new ones
+    RankBounds bounds;  ///< of all routes together
+    std::uint32_t canaryOutcomes = 0, stableOutcomes = 0, canaryFailures = 0;
 };
 
-// 'on' from the lower bound, 'back' from the upper one, 'hold' while neither; none below the least outcomes.
+/// 'on' from the lower bound, 'back' from the upper one, 'hold' while neither; none below the least outcomes.
 Judgement judge(const Totals& sums, std::mt19937& chance);
 
 }  // namespace lichenlanding::verdict
--- a/tests/scale_test/scale_test.cpp
+++ b/tests/scale_test/scale_test.cpp
@@ -54,10 +54,16 @@
 
   public:
     void settingsAreCheckedByName() {
+        CPPUNIT_ASSERT_EQUAL(std::string("taken"), refusal("proxies", "1300"));
+        CPPUNIT_ASSERT_EQUAL(std::string("proxies: must be 1 to 3000"), refusal("proxies", "0"));
+        CPPUNIT_ASSERT_EQUAL(std::string("proxies: no whole number: many"), refusal("proxies", "many"));
+        CPPUNIT_ASSERT_EQUAL(std::string("proxy: no such setting"), refusal("proxy", "1"));
+        // Names of the version before are accepted for one version; what is wrong is told by the present
+        // name.
         CPPUNIT_ASSERT_EQUAL(std::string("taken"), refusal("foyers", "1300"));
-        CPPUNIT_ASSERT_EQUAL(std::string("foyers: must be 1 to 3000"), refusal("foyers", "0"));
-        CPPUNIT_ASSERT_EQUAL(std::string("foyers: no whole number: many"), refusal("foyers", "many"));
-        CPPUNIT_ASSERT_EQUAL(std::string("foyer: no such setting"), refusal("foyer", "1"));
+        CPPUNIT_ASSERT_EQUAL(std::string("taken"), refusal("real_foyers", "2"));
+        CPPUNIT_ASSERT_EQUAL(std::string("taken"), refusal("foyers_per_process", "50"));
+        CPPUNIT_ASSERT_EQUAL(std::string("control_nodes: must be 1 to 9"), refusal("prompters", "0"));
         scale_test::ScenarioConfig plan;
         plan.set("pods", "15000"), plan.set("loss", "true");
         const auto again = scale_test::ScenarioConfig::from(plan.describe());
@@ -136,7 +142,7 @@
             if (!read.is_object()) continue;
             if (read.contains("time")) times[read.at("time").get<std::string>()] = read;
             if (read.value("phase", "") == "end") end = read;
-            if (read.value("role", "") == "prompter") ++controlNodes[read.at("phase").get<std::string>()];
+            if (read.value("role", "") == "control_node") ++controlNodes[read.at("phase").get<std::string>()];
             if (read.value("role", "") == "hollow" && read.at("phase") == "changes") hollow = read;
         }
         const auto counted = [&](const char* what) {
@@ -145,22 +151,22 @@
             return times.at(what).at("spread").at("n").get<int>();
         };
         CPPUNIT_ASSERT_EQUAL(13, counted("start until ready"));  // 12 hollow proxies and a real one
-        CPPUNIT_ASSERT_EQUAL(2, counted("change acknowledged until at the last foyer"));
-        CPPUNIT_ASSERT_EQUAL(2, counted("change acknowledged until served by a real foyer"));
-        CPPUNIT_ASSERT_EQUAL(2, counted("pod draining until known to the last foyer"));
-        CPPUNIT_ASSERT_EQUAL(2, counted("restart of a foyer (500 ms away) until ready"));
+        CPPUNIT_ASSERT_EQUAL(2, counted("change acknowledged until at the last proxy"));
+        CPPUNIT_ASSERT_EQUAL(2, counted("change acknowledged until served by a real proxy"));
+        CPPUNIT_ASSERT_EQUAL(2, counted("pod draining until known to the last proxy"));
+        CPPUNIT_ASSERT_EQUAL(2, counted("restart of a proxy (500 ms away) until ready"));
         for (const auto* phase : {"start", "steady", "changes", "pods", "restarts"})
             CPPUNIT_ASSERT_EQUAL_MESSAGE(phase, 3, controlNodes[phase]);
-        CPPUNIT_ASSERT_EQUAL(3.0, hollow.at("each").at("prompter").at("connections").get<double>());
-        CPPUNIT_ASSERT(hollow.at("each").at("prompter").at("messages_in_s").get<double>() > 0);
+        CPPUNIT_ASSERT_EQUAL(3.0, hollow.at("each").at("control_node").at("connections").get<double>());
+        CPPUNIT_ASSERT(hollow.at("each").at("control_node").at("messages_in_s").get<double>() > 0);
         CPPUNIT_ASSERT(end.at("whole").get<bool>());
         CPPUNIT_ASSERT_EQUAL(7, end.at("seed").get<int>());
     }
 
     void whatHasNoRoomIsRefused() {
-        const auto [status, lines] = scale("small.toml --set foyers=3000 --set foyers_per_process=1");
+        const auto [status, lines] = scale("small.toml --set proxies=3000 --set proxies_per_process=1");
         CPPUNIT_ASSERT_EQUAL(1, status);
-        CPPUNIT_ASSERT(lines.back().find("foyers_per_process: over 200 processes") != std::string::npos);
+        CPPUNIT_ASSERT(lines.back().find("proxies_per_process: over 200 processes") != std::string::npos);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RehearsalTest);
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -59,7 +59,8 @@
             const auto judged = verdict::judge(more, chance);
             const char* names[] = {"none", "on", "hold", "back"};
             seen += what + ": " + names[static_cast<int>(judged.verdict)] + ", " +
-                    std::to_string(judged.fresh) + " against " + std::to_string(judged.earlier) + "\n";
+                    std::to_string(judged.canaryOutcomes) + " against " +
+                    std::to_string(judged.stableOutcomes) + "\n";
         };
         judge("nothing yet", {}, {});
         judge("too few", counts(12, 150 * kMillisecond), counts(300, 150 * kMillisecond));
@@ -95,8 +96,8 @@
                             ", " + move->why + "\n";
                 }
         CPPUNIT_ASSERT(!verdict::nextMove(0, {0, 0, 0}, 9000, 0, 16000));  // no voters: nobody said 'on'
-        CPPUNIT_ASSERT(
-            !verdict::nextMove(1, {3, 3, 0}, 9000, 1399, 16000));  // the trial of all traffic is not judged yet
+        CPPUNIT_ASSERT(!verdict::nextMove(1, {3, 3, 0}, 9000, 1399,
+                                          16000));  // the trial of all traffic is not judged yet
         CPPUNIT_ASSERT(!verdict::nextMove(2, {3, 0, 0}, 9000, 2499, 16000));
         approve("verdict-stages", seen);
     }
