--- /dev/null
+++ b/src/control_plane/configuration_publisher.cpp
@@ -0,0 +1,76 @@
+#include "control_plane/configuration_publisher.hpp"
+
+#include "admin/configuration_record.hpp"
+#include "messages/codec.hpp"
+#include "transport/log.hpp"
+
+namespace lichenlanding::control_plane {
+
+using namespace transport;
+
+namespace {
+
+// What a proxy asks for: fields of its "want".
+constexpr const char* kWantConfiguration = "configuration";
+constexpr const char* kWantEndpoints = "held";
+
+}  // namespace
+
+void ConfigurationPublisher::onConfigurationLearned(const std::string& value) {
+    if (value.empty()) return;
+    try {
+        cache_.configuration(admin::version(value), std::string(admin::compressed(value)));
+    } catch (const admin::ParseError& error) {  // written by a later version, say
+        log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
+        return;
+    }
+    broadcast(cache_.cue());
+}
+
+void ConfigurationPublisher::onRolloutsLearned(const std::string& value) {
+    std::int64_t number = 0;
+    for (const auto& rollout : messages::decodeRollouts(value)) number = std::max(number, rollout.number);
+    const bool changed = cache_.rollouts(number, value);  // false where ages alone are others
+    if (changed) broadcast(cache_.order());
+}
+
+void ConfigurationPublisher::onDigest(PeerConnection& proxy, const Json& digest) { answer(proxy, digest); }
+
+void ConfigurationPublisher::onWant(PeerConnection& proxy, Json want) {
+    const bool contact = quorumContact_();
+    if (want.contains(kWantConfiguration) && cache_.version() > 0) {
+        proxy.send(
+            encodeOnce(configuration_, {cache_.version(), contact}, [&] { return stamped(cache_.body()); }));
+        want.erase(kWantConfiguration);
+    }
+    if (cache_.wantsFullList(want)) {
+        const auto& version = cache_.endpointListVersion();
+        proxy.send(encodeOnce(endpointList_, {version.term, version.sequence, contact},
+                              [&] { return stamped(cache_.whole()); }));
+        want.erase(kWantEndpoints);
+    }
+    answer(proxy, want);
+}
+
+void ConfigurationPublisher::answer(PeerConnection& proxy, const Json& message) const {
+    cache_.heard(message, subscription::ConfigurationCache::MessageSource::follower, now(),
+                 [&](Json reply) { proxy.send(stamped(std::move(reply))); });
+}
+
+void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const { proxy.send(stamped(cache_.digest())); }
+
+void ConfigurationPublisher::broadcast(const Json& message) const {
+    proxies_.broadcast(PeerConnection::pack(stamped(message)));
+}
+
+Json ConfigurationPublisher::stamped(Json message) const {
+    return withContact(std::move(message), quorumContact_(), now() / kMillisecond);
+}
+
+template <typename Make>
+EncodedMessage ConfigurationPublisher::encodeOnce(EncodedOnce& last, Json key, Make make) {
+    if (last.key != key) last = {std::move(key), PeerConnection::pack(make())};
+    return last.encoded;
+}
+
+}  // namespace lichenlanding::control_plane
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -1,119 +1,113 @@
 #include "control_plane/endpoint_discovery.hpp"
 
-#include <boost/beast/http/empty_body.hpp>
-#include <boost/beast/http/read.hpp>
-#include <boost/beast/http/string_body.hpp>
-#include <boost/beast/http/write.hpp>
-
-#include "messages/codec.hpp"
 #include "transport/log.hpp"
 
 namespace lichenlanding::control_plane {
 
 using namespace transport;
-namespace http = boost::beast::http;
 
 namespace {
 
-constexpr Nanos kPollEvery = 500 * kMillisecond, kPollWithin = 700 * kMillisecond,
-                kPollPause = 300 * kMillisecond;
-constexpr Nanos kCompareEvery = 5 * kSecond;
-constexpr Nanos kRefusedPause = 20 * kMillisecond,
-                kRefusedAtMost = kSecond;  // doubled from page to page that is refused
-constexpr Nanos kOldAfter = 2 * kSecond;   // what has been read of a list, while the rest of it is refused
-constexpr double kListPart = 0.7;          // of the platform's calls a second that the list may take
-constexpr std::uint64_t kBodyAtMost = 96 << 20;
+constexpr Nanos kPollInterval = 500 * kMillisecond;
+constexpr Nanos kRetryInterval = 300 * kMillisecond;  // after a list that could not be read to its end
+constexpr Nanos kWithoutLeaseInterval = kRetryInterval / 3;
+constexpr Nanos kMinPause = 20 * kMillisecond;
+constexpr Nanos kDigestInterval = 5 * kSecond;
+// Backoff after a page that is answered 429: doubled each time.
+constexpr Nanos kMinBackoff = 20 * kMillisecond, kMaxBackoff = kSecond;
+// The first pages are old by then, while the rest of the list is answered 429.
+constexpr Nanos kMaxListAge = 2 * kSecond;
+constexpr double kShareOfRate = 0.7;  // of the platform's requests a second that the list may use
+constexpr int kMaxPages = 1000;
+constexpr unsigned kTooManyRequests = 429;
 
 }  // namespace
 
-// Between two calls, if they are to stay within the platform's rate for all.
-Nanos EndpointDiscovery::callGap() const {
-    return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * kListPart)) : 0;
+/// Between two requests, so that they stay within the platform's rate limit for all.
+Nanos EndpointDiscovery::requestGap() const {
+    return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * kShareOfRate)) : 0;
 }
 
 Task<> EndpointDiscovery::run() {
-    auto stream = std::make_shared<beast::tcp_stream>(io_);
-    beast::flat_buffer buffer;
-    bool connected = false, anew = false;
+    EndpointListClient client(io_, boot_);
     for (;;) {
         const auto term = term_();
         if (term == 0) {
             cache_.markEndpointsStale();
-            co_await sleep(kPollPause / 3);
+            co_await sleep(kWithoutLeaseInterval);
             continue;
         }
-        const Nanos started = now();
-        std::vector<discovery::Endpoint> members;
-        std::string token;
-        bool whole = false;
-        int pages = 0;
-        const Nanos firstPause = std::max(callGap() * 2, kRefusedPause);
-        Nanos pause = firstPause;
-        try {
-            for (int page = 0; page < 1000; ++page) {
-                stream->expires_after(span(kPollWithin));
-                if (!connected) {
-                    co_await stream->async_connect(endpoint(boot_.list), asio::use_awaitable);
-                    configureSocket(stream->socket(), 2 * kSecond);
-                    connected = true, buffer.clear();
-                }
-                http::request<http::empty_body> request(
-                    http::verb::get, token.empty() ? "/instances" : "/instances?page_token=" + token, 11);
-                request.set(http::field::host, boot_.list);
-                co_await http::async_write(*stream, request, asio::use_awaitable);
-                http::response_parser<http::string_body> parser;
-                parser.body_limit(kBodyAtMost);
-                co_await http::async_read(*stream, buffer, parser, asio::use_awaitable);
-                const auto& response = parser.get();
-                if (!response.keep_alive()) connected = false, stream->close();
-                ++pages, ++requests_;
-                if (response.result_int() == 429) {
-                    ++rateLimited_;  // the same page again, when there is room
-                    log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", 429}});
-                    co_await sleep(pause);
-                    pause = std::max(firstPause, std::min(pause * 2, kRefusedAtMost));
-                    if (term_() != term) break;  // the duty has gone, or was had anew
-                    // Pods have come and gone since the first page. Once: an old list is better than none.
-                    if (!anew && !token.empty() && now() - started > kOldAfter) {
-                        anew = true;
-                        break;
-                    }
-                    --page;
-                    continue;
-                }
-                pause = firstPause;
-                if (response.result_int() != 200)
-                    throw std::runtime_error("status " + std::to_string(response.result_int()));
-                const auto body = Json::parse(response.body());
-                for (const auto& entry : body.at("instance_list")) members.push_back(messages::listed(entry));
-                const auto next = body.find("next_token");
-                whole = next == body.end() || next->is_null();
-                if (whole) break;
-                token = next->get<std::string>();
-                co_await sleep(callGap() / 2);
-            }
-        } catch (const std::exception& error) {
-            log("list_failed", {{"step", "list"}, {"peer", boot_.list}, {"error", error.what()}});
-            stream->close();
-            stream = std::make_shared<beast::tcp_stream>(io_);
-            connected = false, whole = false;
+        const Nanos startedAt = now();
+        const auto list = co_await readList(client, term);
+        if (list.complete) restarted_ = false;
+        if (list.complete && term_() == term) onListRead(list.endpoints, term);
+        const Nanos interval =
+            std::max(list.complete ? kPollInterval : kRetryInterval, requestGap() * list.requests);
+        co_await sleep(std::max(startedAt + interval - now(), kMinPause));
+    }
+}
+
+Task<EndpointDiscovery::EndpointList> EndpointDiscovery::readList(EndpointListClient& client,
+                                                                  std::uint64_t term) {
+    EndpointList list;
+    try {
+        co_await readPages(client, term, list);
+    } catch (const std::exception& error) {
+        log("list_failed", {{"step", "list"}, {"peer", boot_.list}, {"error", error.what()}});
+        client.reset();
+        list.complete = false;
+    }
+    co_return list;
+}
+
+Task<> EndpointDiscovery::readPages(EndpointListClient& client, std::uint64_t term, EndpointList& list) {
+    const Nanos startedAt = now();
+    const Nanos firstBackoff = std::max(requestGap() * 2, kMinBackoff);
+    Nanos backoff = firstBackoff;
+    std::string token;
+    for (int page = 0; page < kMaxPages;) {
+        const auto response = co_await client.requestPage(token);
+        ++list.requests;
+        ++requests_;
+        if (response.result_int() == kTooManyRequests) {
+            ++rateLimited_;
+            log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", response.result_int()}});
+            co_await sleep(backoff);
+            backoff = std::max(firstBackoff, std::min(backoff * 2, kMaxBackoff));
+            if (!readOn(term, token.empty(), startedAt)) co_return;
+            continue;  // the same page again
         }
-        if (whole) anew = false;
-        if (whole && term_() == term) onListRead(members, term);
-        const Nanos every = std::max(whole ? kPollEvery : kPollPause, callGap() * pages);
-        co_await sleep(std::max(started + every - now(), 20 * kMillisecond));
+        backoff = firstBackoff;
+        if (response.result_int() != 200)
+            throw std::runtime_error("status " + std::to_string(response.result_int()));
+        auto read = decodeEndpointListPage(response.body());
+        std::move(read.endpoints.begin(), read.endpoints.end(), std::back_inserter(list.endpoints));
+        list.complete = !read.nextToken;
+        if (list.complete) co_return;
+        token = *read.nextToken;
+        ++page;
+        co_await sleep(requestGap() / 2);
     }
 }
 
-void EndpointDiscovery::onListRead(const std::vector<discovery::Endpoint>& members, std::uint64_t term) {
+/// Whether the page that was answered 429 is to be asked for again.
+bool EndpointDiscovery::readOn(std::uint64_t term, bool firstPage, Nanos startedAt) {
+    if (term_() != term) return false;  // the lease was lost, or acquired anew
+    if (restarted_ || firstPage || now() - startedAt <= kMaxListAge) return true;
+    // Endpoints have come and gone since the first page. Once: an old list is better than none.
+    restarted_ = true;
+    return false;
+}
+
+void EndpointDiscovery::onListRead(const std::vector<discovery::Endpoint>& endpoints, std::uint64_t term) {
     const bool first = !cache_.listed() || cache_.endpointListVersion().term != term;
-    const auto change = cache_.list(members, term);
+    const auto change = cache_.list(endpoints, term);
     if (!cache_.listed()) return;  // a higher term has been heard of
-    if (!change.is_null()) tell_(change);
-    // Now and then all of it is compared: what was missed by any way is mended.
-    if (!first && now() - compared_ < kCompareEvery) return;
-    compared_ = now();
-    tell_(cache_.digest());
+    if (!change.is_null()) broadcast_(change);
+    // Now and then digests of the whole list are compared: whatever was missed is then sent again.
+    if (!first && now() - digestSentAt_ < kDigestInterval) return;
+    digestSentAt_ = now();
+    broadcast_(cache_.digest());
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/endpoint_discovery.hpp
+++ b/src/control_plane/endpoint_discovery.hpp
@@ -1,38 +1,53 @@
-// The duty for the platform's list: asks for it, whole, within the platform's rate, and pushes what changed.
+// Polls the platform's list of endpoints while this process holds the lease for it, within the platform's
+// rate limit, and sends proxies what changed.
 #pragma once
 
 #include "config/bootstrap_settings.hpp"
+#include "control_plane/endpoint_list_client.hpp"
 #include "subscription/configuration_cache.hpp"
 #include "transport/event_loop.hpp"
 
 namespace lichenlanding::control_plane {
 
+/// Runs on the event loop's thread.
 class EndpointDiscovery {
   public:
     using Json = nlohmann::json;
 
-    // `term`: of the duty while it is this control node's, else 0; `tell`: to all proxies. All outlive this.
+    /// `term`: of the lease while this process holds it, else 0. `broadcast`: to all proxies. All outlive
+    /// this object.
     EndpointDiscovery(transport::asio::io_context& io, const config::BootstrapSettings& boot,
                       subscription::ConfigurationCache& cache, std::function<std::uint64_t()> term,
-                      std::function<void(const Json&)> tell)
-        : io_(io), boot_(boot), cache_(cache), term_(std::move(term)), tell_(std::move(tell)) {}
+                      std::function<void(const Json&)> broadcast)
+        : io_(io), boot_(boot), cache_(cache), term_(std::move(term)), broadcast_(std::move(broadcast)) {}
 
-    transport::Task<> run();  // for good; off duty it only waits
+    /// Runs until the program ends; without the lease it only waits.
+    transport::Task<> run();
 
-    std::uint64_t requests() const { return requests_; }        // pages asked for
-    std::uint64_t rateLimited() const { return rateLimited_; }  // of these, over the platform's rate
+    std::uint64_t requests() const { return requests_; }        ///< pages asked for
+    std::uint64_t rateLimited() const { return rateLimited_; }  ///< of these, answered 429
 
   private:
-    Nanos callGap() const;
-    void onListRead(const std::vector<discovery::Endpoint>& members, std::uint64_t term);
+    struct EndpointList {
+        std::vector<discovery::Endpoint> endpoints;
+        int requests = 0;
+        bool complete = false;
+    };
+
+    Nanos requestGap() const;
+    transport::Task<EndpointList> readList(EndpointListClient& client, std::uint64_t term);
+    transport::Task<> readPages(EndpointListClient& client, std::uint64_t term, EndpointList& list);
+    bool readOn(std::uint64_t term, bool firstPage, Nanos startedAt);
+    void onListRead(const std::vector<discovery::Endpoint>& endpoints, std::uint64_t term);
 
     transport::asio::io_context& io_;
     const config::BootstrapSettings& boot_;
     subscription::ConfigurationCache& cache_;
     std::function<std::uint64_t()> term_;
-    std::function<void(const Json&)> tell_;
+    std::function<void(const Json&)> broadcast_;
     std::uint64_t requests_ = 0, rateLimited_ = 0;
-    Nanos compared_ = 0;
+    bool restarted_ = false;  // reading was begun anew since the last complete list
+    Nanos digestSentAt_ = 0;
 };
 
 }  // namespace lichenlanding::control_plane
--- /dev/null
+++ b/src/control_plane/peer_dialers.cpp
@@ -0,0 +1,35 @@
+#include "control_plane/peer_dialers.hpp"
+
+namespace lichenlanding::control_plane {
+
+using namespace transport;
+
+void PeerDialers::dial(const std::string& address) {
+    if (address == self_ || dials(address)) return;
+    const auto dialer = std::make_shared<Dialer>(io_, address, owner_);
+    dialers_[address] = dialer;
+    dialer->go();
+}
+
+void PeerDialers::retryNow(const std::string& address) {
+    if (const auto at = dialers_.find(address); at != dialers_.end()) at->second->retryNow();
+}
+
+std::shared_ptr<PeerConnection> PeerDialers::connectionTo(const std::string& address) const {
+    const auto at = dialers_.find(address);
+    return at == dialers_.end() ? nullptr : at->second->link();
+}
+
+std::vector<std::string> PeerDialers::connected() const {
+    std::vector<std::string> addresses;
+    for (const auto& [address, dialer] : dialers_)
+        if (dialer->link()) addresses.push_back(address);
+    return addresses;
+}
+
+void PeerDialers::broadcast(const EncodedMessage& message) const {
+    for (const auto& [_, dialer] : dialers_)
+        if (const auto connection = dialer->link()) connection->send(message);
+}
+
+}  // namespace lichenlanding::control_plane
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -6,81 +6,94 @@
 
 #include "hashing/rendezvous.hpp"
 
-// Member and name of each, once.
-#define LEASE_FIELDS(X) X(holder, "holder") X(incarnation, "life") X(term, "term")
-
 namespace lichenlanding::leases {
+namespace {
 
 using Json = nlohmann::json;
 
+// Names of the fields in the register's value.
+constexpr const char* kHolderField = "holder";
+constexpr const char* kIncarnationField = "life";
+constexpr const char* kTermField = "term";
+
+}  // namespace
+
 std::string encodeLeases(const Leases& leases) {
-    auto all = Json::object();
-    for (const auto& [name, lease] : leases) {
-        auto& json = all[name];
-#define X(field, name) json[name] = lease.field;
-        LEASE_FIELDS(X)
-#undef X
-    }
-    return all.dump();
+    auto encoded = Json::object();
+    for (const auto& [name, lease] : leases)
+        encoded[name] = {
+            {kHolderField, lease.holder}, {kIncarnationField, lease.incarnation}, {kTermField, lease.term}};
+    return encoded.dump();
 }
 
 Leases decodeLeases(const std::string& text) {
     Leases leases;
     if (text.empty()) return leases;
-    const auto all = Json::parse(text);
-    for (const auto& [name, json] : all.items()) {
+    const auto encoded = Json::parse(text);
+    for (const auto& [name, fields] : encoded.items()) {
         auto& lease = leases[name];
-#define X(field, name) json.at(name).get_to(lease.field);
-        LEASE_FIELDS(X)
-#undef X
+        fields.at(kHolderField).get_to(lease.holder);
+        fields.at(kIncarnationField).get_to(lease.incarnation);
+        fields.at(kTermField).get_to(lease.term);
     }
     return leases;
 }
 
-bool isHeldBy(const Lease& lease, const ProcessIdentity& self) {
-    return lease.term > 0 && lease.holder == self.address && lease.incarnation == self.incarnation;
+bool isHeldBy(const Lease& lease, const ProcessIdentity& process) {
+    return lease.term > 0 && lease.holder == process.address && lease.incarnation == process.incarnation;
 }
 
 bool reachesMajority(const std::string& holder, const std::set<std::string>& members,
-                     const Reachability& hears) {
+                     const Reachability& reachability) {
     if (!members.contains(holder)) return false;
-    const auto hearing = std::count_if(members.begin(), members.end(), [&](const auto& member) {
-        const auto row = hears.find(member);
-        return member != holder && row != hears.end() && row->second.contains(holder);
+    const auto reporting = std::count_if(members.begin(), members.end(), [&](const auto& member) {
+        const auto report = reachability.find(member);
+        return member != holder && report != reachability.end() && report->second.contains(holder);
     });
-    return static_cast<std::size_t>(hearing) + 1 >= members.size() / 2 + 1;
+    const auto majority = members.size() / 2 + 1;
+    return static_cast<std::size_t>(reporting) + 1 >= majority;
 }
 
-bool LeaseMonitor::shouldAcquire(const Lease& held, const std::set<std::string>& members,
-                                 const Reachability& hears, Nanos now) {
-    if (!members.contains(self_.address) || isHeldBy(held, self_)) {
+bool LeaseMonitor::shouldAcquire(const Lease& current, const std::set<std::string>& members,
+                                 const Reachability& reachability, Nanos now) {
+    if (!members.contains(self_.address) || isHeldBy(current, self_)) {
         unreachableSince_ = -1;
         return false;
     }
-    if (held.holder == self_.address) return true;  // an earlier life of this machine: nobody has it
-    if (held.term > 0 && reachesMajority(held.holder, members, hears)) {
+    // An earlier incarnation of this process: nobody holds it.
+    if (current.holder == self_.address) return true;
+    if (current.term > 0 && reachesMajority(current.holder, members, reachability)) {
         unreachableSince_ = -1;
         return false;
     }
-    if (unreachableSince_ < 0 || term_ != held.term) unreachableSince_ = now, term_ = held.term;
+    if (unreachableSince_ < 0 || unreachableInTerm_ != current.term) {
+        unreachableSince_ = now;
+        unreachableInTerm_ = current.term;
+    }
+    return now - unreachableSince_ >= delay(current, members, reachability);
+}
+
+/// How long this process waits once the holder is unreachable: by its rank among the candidates it reaches.
+Nanos LeaseMonitor::delay(const Lease& current, const std::set<std::string>& members,
+                          const Reachability& reachability) const {
     std::vector<std::string> candidates{self_.address};
-    if (const auto row = hears.find(self_.address); row != hears.end())
-        for (const auto& heard : row->second)
-            if (members.contains(heard) && heard != held.holder && heard != self_.address)
-                candidates.push_back(heard);
-    const auto chosen = hashing::chosen(candidates, lease_, candidates.size());
-    const auto rank = std::find(chosen.begin(), chosen.end(), self_.address) - chosen.begin();
-    const Nanos wait = held.term == 0 ? 0 : kUnreachableFor;  // nobody has had it: nobody is waited for
-    return now - unreachableSince_ >= wait + rank * kCandidateDelay;
+    if (const auto own = reachability.find(self_.address); own != reachability.end())
+        for (const auto& address : own->second)
+            if (members.contains(address) && address != current.holder && address != self_.address)
+                candidates.push_back(address);
+    const auto ranked = hashing::chosen(candidates, lease_, candidates.size());
+    const auto rank = std::find(ranked.begin(), ranked.end(), self_.address) - ranked.begin();
+    const bool neverHeld = current.term == 0;
+    return (neverHeld ? 0 : kUnreachableFor) + rank * kCandidateDelay;
 }
 
-consensus::Change acquireLease(std::string lease, ProcessIdentity self, std::uint64_t seen) {
-    return [lease = std::move(lease), self = std::move(self), seen](const std::string& value) {
-        auto all = decodeLeases(value);
-        auto& held = all[lease];
-        if (held.term > seen) return value;
-        held = {self.address, self.incarnation, seen + 1};
-        return encodeLeases(all);
+consensus::Change acquireLease(std::string lease, ProcessIdentity process, std::uint64_t termSeen) {
+    return [lease = std::move(lease), process = std::move(process), termSeen](const std::string& value) {
+        auto leases = decodeLeases(value);
+        auto& current = leases[lease];
+        if (current.term > termSeen) return value;
+        current = {process.address, process.incarnation, termSeen + 1};
+        return encodeLeases(leases);
     };
 }
 
--- a/src/leases/leases.hpp
+++ b/src/leases/leases.hpp
@@ -1,8 +1,9 @@
-// Who has which lease (to follow the platform's list, to steer rollouts): a cell of the register names holder
-// and term of each, raised by a ballot. What a holder tells carries the term, and receivers drop a lower one:
-// that two think they have a lease for a moment does no harm, and no clock decides between them.
+// Leases: which control plane process polls the endpoint list, and which one advances rollouts. One value of
+// the register names holder, incarnation and term of each lease; a ballot raises the term. What a holder
+// sends carries its term and receivers drop lower ones, so two processes that both believe for a moment that
+// they hold a lease do no harm, and no clock decides between them.
 //
-// Pure: who hears whom, and the steady time, come in as arguments.
+// Pure: reachability and steady time come in as arguments.
 #pragma once
 
 #include <cstdint>
@@ -16,55 +17,64 @@
 namespace lichenlanding::leases {
 
 struct Lease {
-    std::string holder;             // its address
-    std::uint64_t incarnation = 0;  // drawn by the holder's process at its start
-    std::uint64_t term = 0;         // rises with each holder; 0: nobody has had it
+    std::string holder;             ///< internal address of the process
+    std::uint64_t incarnation = 0;  ///< drawn by the holder's process at its start
+    std::uint64_t term = 0;         ///< rises with each holder; 0: never held
     bool operator==(const Lease&) const = default;
 };
-using Leases = std::map<std::string, Lease>;  // by the lease's name
+using Leases = std::map<std::string, Lease>;  ///< by the lease's name
 
-// As the register keeps them; "" is none. Throws nlohmann::json::exception on text of another shape.
+/// As the register keeps them.
 std::string encodeLeases(const Leases& leases);
+/// "" is none. Throws nlohmann::json::exception on text of another shape.
 Leases decodeLeases(const std::string& text);
 
+/// One process: a member that restarts under its address is another one.
 struct ProcessIdentity {
     std::string address;
     std::uint64_t incarnation = 0;
 };
 
-// A member that comes back under its address as another process has no lease any more.
-bool isHeldBy(const Lease& lease, const ProcessIdentity& self);
+bool isHeldBy(const Lease& lease, const ProcessIdentity& process);
 
-// Who hears whom of late, by address: the own row from the own links, the others' as they told it.
+/// Whom each process reaches, by address: the own entry from the own connections, the others' as they last
+/// reported it.
 using Reachability = std::map<std::string, std::set<std::string>>;
 
-// Whether `holder` reaches a majority of the members, as far as those say that are heard. A cut between two
-// of them alone takes no lease away: it would go to and fro between them.
+/// Whether `holder` reaches a majority of `members`, going by the reports of those that report. Losing the
+/// connection to a single member costs nobody a lease: it would move back and forth between the two.
 bool reachesMajority(const std::string& holder, const std::set<std::string>& members,
-                     const Reachability& hears);
+                     const Reachability& reachability);
 
-constexpr Nanos kUnreachableFor =
-    200'000'000;  // a holder that reaches no majority for so long has lost the lease
-constexpr Nanos kCandidateDelay = 400'000'000;  // each next candidate waits so much longer
+/// A holder that reaches no majority for so long has lost the lease (nanoseconds).
+constexpr Nanos kUnreachableFor = 200'000'000;
+/// So much longer does each next candidate wait (nanoseconds).
+constexpr Nanos kCandidateDelay = 400'000'000;
 
-// When one member stands for one lease.
+/// Decides when one process tries to acquire one lease.
 class LeaseMonitor {
   public:
     LeaseMonitor(std::string lease, ProcessIdentity self)
         : lease_(std::move(lease)), self_(std::move(self)) {}
-    // Whether to take it by a ballot now. The taker is chosen by rendezvous among the members heard, the next
-    // ones follow it in steps, so two seldom race; where they do, the ballot decides.
-    bool shouldAcquire(const Lease& held, const std::set<std::string>& members, const Reachability& hears,
-                       Nanos now);
+
+    /// Whether to propose acquireLease() now. Candidates are ordered by rendezvous hashing among the members
+    /// reached, each next one waits a step longer, so two seldom propose at once; where they do, the ballot
+    /// decides. `current` as the register has it, `now` of the steady clock.
+    bool shouldAcquire(const Lease& current, const std::set<std::string>& members,
+                       const Reachability& reachability, Nanos now);
 
   private:
+    Nanos delay(const Lease& current, const std::set<std::string>& members,
+                const Reachability& reachability) const;
+
     std::string lease_;
     ProcessIdentity self_;
-    Nanos unreachableSince_ = -1;
-    std::uint64_t term_ = 0;  // that the absence was seen in
+    Nanos unreachableSince_ = -1;  // -1: the holder is reachable
+    std::uint64_t unreachableInTerm_ = 0;
 };
 
-// The ballot's change: raises the term above `seen`, and leaves things as they are where another was sooner.
-consensus::Change acquireLease(std::string lease, ProcessIdentity self, std::uint64_t seen);
+/// The ballot's change: `process` holds the lease in the term above `termSeen`. Where another process has
+/// acquired it since, the value stays as it is.
+consensus::Change acquireLease(std::string lease, ProcessIdentity process, std::uint64_t termSeen);
 
 }  // namespace lichenlanding::leases
--- a/tests/control_plane/admin_api.cpp
+++ b/tests/control_plane/admin_api.cpp
@@ -165,8 +165,10 @@
         stage.until([&] { return stage.reg.asked == asked + 2; });  // the first of each, no further
         stage.reg.release();
         CPPUNIT_ASSERT_EQUAL(reads("a") + reads("b") + reads("a") + reads("b"), stage.answers(one, 4));
-        CPPUNIT_ASSERT_EQUAL(reads("b") + "200 {\"node\":\"scripted\"}\n" + reads("a"),
-                             stage.answers(other, 3));
+        control_plane::StatusReport scripted;
+        scripted.node = "scripted";
+        const auto status = control_plane::encodeStatus(scripted).dump();
+        CPPUNIT_ASSERT_EQUAL(reads("b") + "200 " + status + "\n" + reads("a"), stage.answers(other, 3));
     }
 
     // A caller resets, closes, or ends its side while the register is at its order: the order goes on, nobody
@@ -194,7 +196,7 @@
             if (std::string(way) == "half")
                 CPPUNIT_ASSERT_EQUAL(std::string("200 {\"config_version\":\"00000002\"}\nend\n"),
                                      stage.answers(gone, 2));
-            stage.until([&] { return stage.calls.callers() == 2; });
+            stage.until([&] { return stage.server.connections() == 2; });
             stage.send(stays, ControlStage::bytes("config.read"));
             CPPUNIT_ASSERT_EQUAL_MESSAGE(way, "200 " + order + "\n", stage.answers(stays, 1));
             stage.send(after, ControlStage::bytes("config.replace", order));
@@ -222,10 +224,10 @@
             for (std::size_t at = 1; at < whole.size(); ++at) {
                 const auto cut = stage.connect();
                 stage.send(cut, whole.substr(0, at));
-                stage.until([&] { return stage.calls.callers() == 1; });
+                stage.until([&] { return stage.server.connections() == 1; });
                 cut->socket.shutdown(tcp::socket::shutdown_send);
                 CPPUNIT_ASSERT_EQUAL(std::string("end\n"), stage.answers(cut, 1));
-                stage.until([&] { return stage.calls.callers() == 0; });
+                stage.until([&] { return stage.server.connections() == 0; });
             }
             CPPUNIT_ASSERT_EQUAL(asked, stage.reg.asked);
             const auto caller = stage.connect();
@@ -239,7 +241,7 @@
             }
             CPPUNIT_ASSERT_EQUAL(asked + whole.size() - 1, stage.reg.asked);
             caller->socket.close();
-            stage.until([&] { return stage.calls.callers() == 0; });
+            stage.until([&] { return stage.server.connections() == 0; });
         }
     }
 
@@ -247,39 +249,39 @@
     // just those, without an answer. The others' bounds are long, so that it can't be one of them that did.
     void tooSlow() {
         const auto order = ControlStage::bytes("config.replace", configuration("00000002"));
-        const auto ends = [](control_plane::AdminApiLimits bounds, const std::string& sent) {
+        const auto ends = [](control_plane::AdminServerLimits bounds, const std::string& sent) {
             ControlStage stage(false, bounds);
             const auto caller = stage.connect();
             stage.send(caller, sent);
             CPPUNIT_ASSERT_EQUAL(std::string("end\n"), stage.answers(caller, 1));
-            stage.until([&] { return stage.calls.callers() == 0; });
+            stage.until([&] { return stage.server.connections() == 0; });
             CPPUNIT_ASSERT_EQUAL(std::size_t{0}, stage.reg.asked);
         };
-        control_plane::AdminApiLimits idle, head, body, taking;
-        idle.idle = head.head = body.body = taking.taking = 30 * kMillisecond;
+        control_plane::AdminServerLimits idle, header, body, response;
+        idle.idle = header.header = body.body = response.response = 30 * kMillisecond;
         ends(idle, "");
-        ends(head, order.substr(0, 20));
+        ends(header, order.substr(0, 20));
         ends(body, order.substr(0, order.size() - 20));
-        ControlStage stage(false, taking);
+        ControlStage stage(false, response);
         stage.reg.values[control_plane::kConfigurationKey] =
             "0000000c" + compress(std::string(32 << 20, 'x'));
         const auto deaf = stage.connect(4096);
         stage.send(deaf, ControlStage::bytes("config.read"));
         stage.until([&] { return stage.reg.asked == 1; });
-        stage.until([&] { return stage.calls.callers() == 0; });
+        stage.until([&] { return stage.server.connections() == 0; });
     }
 
     // Where all places are taken, the caller that has been idle longest gives way, then one that is slow to
     // send; one that is being answered never does, and a new one waits for it.
     void placesBounded() {
-        control_plane::AdminApiLimits bounds;
-        bounds.callers = 3;
+        control_plane::AdminServerLimits bounds;
+        bounds.connections = 3;
         ControlStage stage(false, bounds);
         twoServices(stage);
         const auto slow = stage.connect();
         stage.send(slow, "POST /api/rpc?call=st");
         const auto seen = [&](std::size_t callers) {
-            stage.until([&] { return stage.calls.callers() == callers; });
+            stage.until([&] { return stage.server.connections() == callers; });
         };
         seen(1);
         const auto first = stage.connect();
@@ -298,12 +300,12 @@
             busy.push_back(asks("a"));
             CPPUNIT_ASSERT_EQUAL(std::string("end\n"), stage.answers(dropped, 1));
             stage.until([&] { return stage.reg.asked == asked + busy.size(); });
-            CPPUNIT_ASSERT_EQUAL(std::size_t{3}, stage.calls.callers());
+            CPPUNIT_ASSERT_EQUAL(std::size_t{3}, stage.server.connections());
         }
         const auto waits = asks("b");
         while (stage.io.poll() > 0) {
         }
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, stage.calls.callers());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, stage.server.connections());
         CPPUNIT_ASSERT_EQUAL(asked + 3, stage.reg.asked);
         stage.reg.release();
         for (const auto& caller : busy) CPPUNIT_ASSERT_EQUAL(reads("a"), stage.answers(caller, 1));
@@ -328,9 +330,9 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(sent.substr(0, 90), status, stage.answers(caller, 1).substr(0, 3));
             CPPUNIT_ASSERT_EQUAL(std::string("end\n"), stage.answers(caller, 1));
             caller->socket.close();
-            stage.until([&] { return stage.calls.callers() == 0; });
+            stage.until([&] { return stage.server.connections() == 0; });
         }
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, stage.calls.calls());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, stage.server.requests());
         const auto caller = stage.connect();
         const auto order =
             ControlStage::bytes("config.replace", configuration("00000002"), "Expect: 100-continue\r\n");
--- a/tests/control_plane/admin_api_contract.cpp
+++ b/tests/control_plane/admin_api_contract.cpp
@@ -51,7 +51,7 @@
         const auto documented = file["paths"]["/api/rpc"]["post"]["responses"];
         using control_stage::configuration;
         control_stage::ControlStage stage;
-        std::map<std::string, std::vector<control_plane::AdminApi::Response>> seen;
+        std::map<std::string, std::vector<control_plane::AdminResponse>> seen;
         const auto ask = [&](const std::string& call, const std::string& body) {
             const auto response = stage.call(call, body);
             seen[std::to_string(response.result_int())].push_back(response);
--- /dev/null
+++ b/tests/control_plane/link_messages.cpp
@@ -0,0 +1,90 @@
+// Messages between the gateway's processes, by the strings that they have on the wire.
+#include "control_plane/link_messages.hpp"
+
+#include "support/transcript.hpp"
+
+using namespace lichenlanding::control_plane;
+using lichenlanding::Verdict;
+
+class LinkMessagesTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(LinkMessagesTest);
+    CPPUNIT_TEST(helloNamesItsKind);
+    CPPUNIT_TEST(stateReportIsReadAgain);
+    CPPUNIT_TEST(stateReportOfAnEarlierVersionHasNoAges);
+    CPPUNIT_TEST(voteIsKeptAsItCame);
+    CPPUNIT_TEST(contactAndClockAreStamped);
+    CPPUNIT_TEST(typesAreTold);
+    CPPUNIT_TEST_SUITE_END();
+
+  public:
+    void helloNamesItsKind() {
+        const auto sent = encodeHello({{"members", {"a:1", "b:1"}}}, "c1", "a:1");
+        CPPUNIT_ASSERT_EQUAL(
+            std::string(R"({"at":"a:1","kind":"prompter","members":["a:1","b:1"],"name":"c1","t":"hello"})"),
+            sent.dump());
+        const auto hello = decodeHello(sent);
+        CPPUNIT_ASSERT(hello.fromControlPlane());
+        CPPUNIT_ASSERT(hello.address == "a:1" && hello.members == std::vector<std::string>({"a:1", "b:1"}));
+        const auto proxy =
+            decodeHello(Json::parse(R"({"t":"hello","kind":"foyer","name":"p1","at":"c:1","life":7})"));
+        CPPUNIT_ASSERT(!proxy.fromControlPlane() && proxy.kind == kProxyKind);
+        CPPUNIT_ASSERT(proxy.name == "p1" && proxy.address == "c:1" && proxy.incarnation == 7);
+        CPPUNIT_ASSERT_THROW(decodeHello(Json::parse(R"({"t":"hello","kind":"foyer","at":"c:1"})")),
+                             Json::exception);
+    }
+
+    void stateReportIsReadAgain() {
+        StateReport report;
+        report.proposalNumbers["configuration"] = {3, 1};
+        report.reachable = {"b:1", "a:1"};
+        report.ages = {{"s\nv2\n12000", {6000, 1, 400}}};
+        const auto sent = encodeStateReport(report);
+        CPPUNIT_ASSERT_EQUAL(std::string("known"), sent.at("t").get<std::string>());
+        CPPUNIT_ASSERT(sent.at("ballots").contains("configuration"));
+        CPPUNIT_ASSERT_EQUAL(std::string(R"(["a:1","b:1"])"), sent.at("hears").dump());
+        CPPUNIT_ASSERT_EQUAL(std::string(R"([["s\nv2\n12000",6000,1,400]])"), sent.at("ages").dump());
+        CPPUNIT_ASSERT(decodeReachable(sent) == report.reachable);
+        const auto ages = decodeAges(sent);
+        CPPUNIT_ASSERT(ages && ages->size() == 1);
+        CPPUNIT_ASSERT(ages->front().rollout == report.ages[0].rollout &&
+                       ages->front().age == report.ages[0].age);
+    }
+
+    void stateReportOfAnEarlierVersionHasNoAges() {
+        const auto sent = Json::parse(R"({"t":"known","ballots":{}})");
+        CPPUNIT_ASSERT(!decodeReachable(sent) && !decodeAges(sent));
+    }
+
+    void voteIsKeptAsItCame() {
+        const auto sent = Json::parse(
+            R"({"t":"vote","from":"p1","service":"s","target":"v2","stage":1,"verdict":1,"fresh":40})");
+        const auto vote = decodeVote(sent);
+        CPPUNIT_ASSERT(vote.voter == "p1" && vote.service == "s" && vote.target == "v2");
+        CPPUNIT_ASSERT(vote.verdict == Verdict::on && vote.stage == 1 && vote.message == sent);
+    }
+
+    void contactAndClockAreStamped() {
+        CPPUNIT_ASSERT_EQUAL(std::string(R"({"sure":false,"t":"digest"})"),
+                             withContact({{"t", "digest"}}, false, 5).dump());
+        CPPUNIT_ASSERT_EQUAL(std::string(R"({"clock":5,"sums":[],"sure":true,"t":"digest"})"),
+                             withContact({{"t", "digest"}, {"sums", Json::array()}}, true, 5).dump());
+        CPPUNIT_ASSERT_EQUAL(std::string(R"({"foyers":{"p1":"c:1"},"t":"roster"})"),
+                             encodeRoster({{"p1", "c:1"}}).dump());
+    }
+
+    void typesAreTold() {
+        using Type = MessageType;
+        for (const auto& [name, type] : std::map<std::string, Type>{{"hello", Type::hello},
+                                                                    {"known", Type::known},
+                                                                    {"want", Type::want},
+                                                                    {"digest", Type::digest},
+                                                                    {"lost", Type::lost},
+                                                                    {"ack", Type::acknowledgement},
+                                                                    {"vote", Type::vote},
+                                                                    {"of a later version", Type::other}})
+            CPPUNIT_ASSERT_MESSAGE(name, messageType({{"t", name}}) == type);
+        CPPUNIT_ASSERT_EQUAL(7u, decodeAcknowledgement({{"t", "ack"}, {"configuration", 7}}));
+        CPPUNIT_ASSERT_EQUAL(std::string("p1"), decodeLostProxy({{"t", "lost"}, {"name", "p1"}}));
+    }
+};
+CPPUNIT_TEST_SUITE_REGISTRATION(LinkMessagesTest);
--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -8,6 +8,7 @@
 #include <deque>
 
 #include "control_plane/admin_api.hpp"
+#include "control_plane/admin_server.hpp"
 #include "support/event_loop_fixture.hpp"
 
 namespace control_stage {
@@ -73,24 +74,27 @@
 
 class ControlStage {
   public:
-    explicit ControlStage(bool metrics = false, control_plane::AdminApiLimits bounds = {})
-        : calls(
-              io, reg.its(),
+    explicit ControlStage(bool metrics = false, control_plane::AdminServerLimits limits = {})
+        : api(
+              reg.its(),
               [] {
-                  return Json{{"node", "scripted"}};
+                  control_plane::StatusReport report;
+                  report.node = "scripted";
+                  return report;
               },
-              metrics, bounds) {}
+              metrics),
+          server(io, api, limits) {}
     template <typename Done>
     void until(Done done) {
         loop_stage::until(io, 200'000, done);
     }
-    AdminApi::Response ask(const std::string& target, const std::string& body,
-                           http::verb method = http::verb::post) {
-        AdminApi::Request request(method, target, 11);
+    control_plane::AdminResponse ask(const std::string& target, const std::string& body,
+                                     http::verb method = http::verb::post) {
+        control_plane::AdminRequest request(method, target, 11);
         request.body() = body;
-        return loop_stage::result(io, calls.answer(request), [&](auto done) { until(done); });
+        return loop_stage::result(io, api.answer(request), [&](auto done) { until(done); });
     }
-    AdminApi::Response call(const std::string& name, const std::string& body = "") {
+    control_plane::AdminResponse call(const std::string& name, const std::string& body = "") {
         return ask("/api/rpc?call=" + name, body);
     }
     unsigned status(const std::string& name, const std::string& body = "") {
@@ -101,7 +105,7 @@
     std::shared_ptr<Caller> connect(int receiveBuffer = 0) {
         if (!door) {
             door = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-            start(io, "control", calls.serve(*door));
+            start(io, "control", server.serve(*door));
         }
         auto caller = std::make_shared<Caller>(io);
         caller->socket.open(tcp::v4());
@@ -149,7 +153,8 @@
     asio::io_context io{1};
     asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
     ScriptedRegister reg{io};
-    AdminApi calls;
+    AdminApi api;
+    control_plane::AdminServer server;
     std::unique_ptr<tcp::acceptor> door;
 };
 
