--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -6,7 +6,7 @@
 #include "admin/configuration_record.hpp"
 #include "command/gateway.hpp"
 #include "config/configuration.hpp"
-#include "membership/membership.hpp"
+#include "membership/codec.hpp"
 #include "storage/replica_store.hpp"
 
 namespace lichenlanding::command {
@@ -64,7 +64,7 @@
         standing = membership::decodeEpochState(membership::Json::parse(old));
     consensus::Epoch anew{standing.epoch.number + kFarAbove, {{address, disk, "", ""}}};
     opened.write(
-        {}, {{storage::kStandingNote, membership::write(consensus::EpochState{anew, true, {}, {}}).dump()}});
+        {}, {{storage::kStandingNote, membership::encode(consensus::EpochState{anew, true, {}, {}}).dump()}});
     std::printf(
         "written: epoch %llu with %s alone; start it, then the others, which stand by and are taken in.\n",
         static_cast<unsigned long long>(anew.number), address.c_str());
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -13,38 +13,38 @@
 
 std::string successorKey(const Epoch& of) { return "epoch/" + std::to_string(of.number + 1); }
 
-const RegisterState& Acceptor::cell(const std::string& key) const {
+const RegisterState& Acceptor::state(const std::string& key) const {
     static const RegisterState none;
-    const auto at = cells_.find(key);
-    return at == cells_.end() ? none : at->second;
+    const auto at = states_.find(key);
+    return at == states_.end() ? none : at->second;
 }
 
-bool Acceptor::member(const Epoch& epoch) const { return epoch.find(address_, disk_).has_value(); }
+bool Acceptor::isMember(const Epoch& epoch) const { return epoch.find(address_, disk_).has_value(); }
 
-void Acceptor::put(const Update& update) {
-    for (const auto& [key, cell] : update.cells) cells_[key] = cell;
-    if (!update.standing) return;
-    standing_ = *update.standing;
+void Acceptor::apply(const Update& update) {
+    for (const auto& [key, cell] : update.states) states_[key] = cell;
+    if (!update.epochState) return;
+    epochState_ = *update.epochState;
     // What earlier epochs decided of their successors is done with.
-    if (standing_.open)
-        std::erase_if(cells_, [&](const auto& one) {
-            return one.first.starts_with("epoch/") && one.first != successorKey(standing_.epoch);
+    if (epochState_.open)
+        std::erase_if(states_, [&](const auto& one) {
+            return one.first.starts_with("epoch/") && one.first != successorKey(epochState_.epoch);
         });
 }
 
 Reply Acceptor::evaluate(const Request& request, std::optional<Update>& update) const {
     update.reset();
     Reply reply;
-    const auto& now = standing_.epoch;
-    reply.epoch = now.number, reply.sealed = standing_.next.has_value();
+    const auto& now = epochState_.epoch;
+    reply.epoch = now.number, reply.sealed = epochState_.next.has_value();
     if (request.kind == Request::Kind::install) {
         const auto& to = *request.to;
-        reply.taken = to.number >= now.number;
-        const bool opens = request.open && !standing_.open;
+        reply.accepted = to.number >= now.number;
+        const bool opens = request.open && !epochState_.open;
         if (to.number > now.number || (to.number == now.number && opens))
             update =
                 Update{{},
-                       EpochState{to, request.open, to.number == now.number ? standing_.next : std::nullopt,
+                       EpochState{to, request.open, to.number == now.number ? epochState_.next : std::nullopt,
                                   request.open ? std::nullopt : request.from}};
         return reply;
     }
@@ -52,36 +52,38 @@
         // One that holds the successor already takes nothing of the old epoch any more: sealed as well. But
         // only a member of the old: a new disk in the place of a lost one would answer for what it never
         // held.
-        const bool holds = now.number == request.epoch + 1 && request.from && member(*request.from);
-        const bool seals = now.number == request.epoch && member(now);
-        if (!holds && !seals) return reply.refused = true, reply;
-        if (seals && !standing_.next) {
-            update = Update{{}, standing_};
-            update->standing->next = request.to;
+        const bool holds = now.number == request.epoch + 1 && request.from && isMember(*request.from);
+        const bool seals = now.number == request.epoch && isMember(now);
+        if (!holds && !seals) return reply.rejected = true, reply;
+        if (seals && !epochState_.next) {
+            update = Update{{}, epochState_};
+            update->epochState->next = request.to;
         }
-        reply.taken = true, reply.cells = cells_;
-        for (auto& [key, cell] : reply.cells)
+        reply.accepted = true, reply.states = states_;
+        for (auto& [key, cell] : reply.states)
             if (const auto at = request.holds.find(key);
                 at != request.holds.end() && at->second == cell.accepted)
                 cell.value.clear();
         return reply;
     }
-    if (now.number != request.epoch || standing_.next || !member(now)) return reply.refused = true, reply;
-    reply.cell = cell(request.key);
-    if (request.kind == Request::Kind::look) {
-        reply.taken = true;
+    if (now.number != request.epoch || epochState_.next || !isMember(now))
+        return reply.rejected = true, reply;
+    reply.state = state(request.key);
+    if (request.kind == Request::Kind::read) {
+        reply.accepted = true;
     } else if (request.kind == Request::Kind::prepare) {
-        reply.taken = request.proposalNumber > reply.cell.promised;
-        if (reply.taken) reply.cell.promised = request.proposalNumber;
+        reply.accepted = request.proposalNumber > reply.state.promised;
+        if (reply.accepted) reply.state.promised = request.proposalNumber;
     } else {
-        reply.taken = request.proposalNumber >= reply.cell.promised;
-        if (reply.taken) reply.cell = {request.proposalNumber, request.proposalNumber, request.value};
+        reply.accepted = request.proposalNumber >= reply.state.promised;
+        if (reply.accepted) reply.state = {request.proposalNumber, request.proposalNumber, request.value};
     }
-    if (reply.taken && reply.cell != cell(request.key)) update = Update{{{request.key, reply.cell}}, {}};
+    if (reply.accepted && reply.state != state(request.key))
+        update = Update{{{request.key, reply.state}}, {}};
     // What the asker sent or holds is not sent back.
-    const bool its = request.kind == Request::Kind::accept || request.held == reply.cell.accepted;
-    if (its && request.held.round > 0) reply.valueOmitted = true, reply.cell.value.clear();
-    if (request.kind == Request::Kind::accept) reply.cell.value.clear();
+    const bool its = request.kind == Request::Kind::accept || request.held == reply.state.accepted;
+    if (its && request.held.round > 0) reply.valueOmitted = true, reply.state.value.clear();
+    if (request.kind == Request::Kind::accept) reply.state.value.clear();
     return reply;
 }
 
@@ -90,80 +92,81 @@
     : key_(std::move(key)),
       epoch_(epoch.number),
       majority_(epoch.majority()),
-      writer_(writer),
-      above_(std::max({above, base.promised.round, base.accepted.round})),
-      change_(std::move(change)),
-      step_(lookFirst ? Step::look : Step::prepare),
-      ballot_{above_ + 1, writer},
-      held_(std::move(held)),
-      base_(std::move(base)),
-      best_(base_) {}
+      proposer_(writer),
+      highestRound_(std::max({above, base.promised.round, base.accepted.round})),
+      update_(std::move(change)),
+      step_(lookFirst ? Step::read : Step::prepare),
+      proposalNumber_{highestRound_ + 1, writer},
+      known_(std::move(held)),
+      inherited_(std::move(base)),
+      highest_(inherited_) {}
 
 Request Proposal::request() const {
     Request request;
     request.epoch = epoch_, request.key = key_;
-    if (step_ == Step::look) {
-        request.held = held_.accepted;
+    if (step_ == Step::read) {
+        request.held = known_.accepted;
     } else if (step_ == Step::prepare) {
-        request.kind = Request::Kind::prepare, request.proposalNumber = ballot_,
-        request.held = held_.accepted;
+        request.kind = Request::Kind::prepare, request.proposalNumber = proposalNumber_,
+        request.held = known_.accepted;
     } else {
-        request.kind = Request::Kind::accept, request.proposalNumber = ballot_, request.value = value_;
+        request.kind = Request::Kind::accept, request.proposalNumber = proposalNumber_,
+        request.value = value_;
     }
     return request;
 }
 
-void Proposal::move(Step step) {
+void Proposal::enterStep(Step step) {
     step_ = step;
-    heard_.clear(), taken_.clear();
-    if (step == Step::prepare) ballot_ = {above_ + 1, writer_}, best_ = base_;
+    answeredBy_.clear(), acceptedBy_.clear();
+    if (step == Step::prepare) proposalNumber_ = {highestRound_ + 1, proposer_}, highest_ = inherited_;
 }
 
-bool Proposal::on(std::uint32_t member, Step answered, const Reply& told) {
+bool Proposal::handleReply(std::uint32_t member, Step answered, const Reply& told) {
     if (answered != step_ || step_ == Step::done || step_ == Step::lost) return false;
-    if (told.refused) {  // neither for nor against; where it goes on elsewhere, this run has no more to win
-        refused_.insert(member);
+    if (told.rejected) {  // neither for nor against; where it goes on elsewhere, this run has no more to win
+        rejectedBy_.insert(member);
         // One that still stands in the epoch before, sealed, has not been told of this one yet: as one that
         // is down.
         if (told.epoch < epoch_ || (told.epoch == epoch_ && !told.sealed)) return false;
-        move(Step::lost);
+        enterStep(Step::lost);
         return true;
     }
     auto reply = told;
-    if (reply.valueOmitted) reply.cell.value = held_.value;
-    if (!heard_.insert(member).second) return false;
-    above_ = std::max({above_, reply.cell.promised.round, reply.cell.accepted.round});
-    if (step_ == Step::look) {
-        agree_ = agree_ && (!agreed_ || agreed_->accepted == reply.cell.accepted);
-        agreed_ = reply.cell;
-        if (reply.cell.accepted > held_.accepted) held_ = reply.cell;  // need not be told again
-        if (agree_ && heard_.size() < majority_) return false;
-        if (agree_ && change_(reply.cell.value) == reply.cell.value) {
-            value_ = reply.cell.value, ballot_ = reply.cell.accepted;
-            move(Step::done);
+    if (reply.valueOmitted) reply.state.value = known_.value;
+    if (!answeredBy_.insert(member).second) return false;
+    highestRound_ = std::max({highestRound_, reply.state.promised.round, reply.state.accepted.round});
+    if (step_ == Step::read) {
+        unanimous_ = unanimous_ && (!firstAnswer_ || firstAnswer_->accepted == reply.state.accepted);
+        firstAnswer_ = reply.state;
+        if (reply.state.accepted > known_.accepted) known_ = reply.state;  // need not be told again
+        if (unanimous_ && answeredBy_.size() < majority_) return false;
+        if (unanimous_ && update_(reply.state.value) == reply.state.value) {
+            value_ = reply.state.value, proposalNumber_ = reply.state.accepted;
+            enterStep(Step::done);
         } else {
-            move(Step::prepare);
+            enterStep(Step::prepare);
         }
         return true;
     }
-    if (!reply.taken) {
-        move(Step::lost);
+    if (!reply.accepted) {
+        enterStep(Step::lost);
         return true;
     }
-    taken_.insert(member);
-    if (step_ == Step::prepare && reply.cell.accepted > best_.accepted) best_ = reply.cell;
-    if (taken_.size() < majority_) return false;
+    acceptedBy_.insert(member);
+    if (step_ == Step::prepare && reply.state.accepted > highest_.accepted) highest_ = reply.state;
+    if (acceptedBy_.size() < majority_) return false;
     if (step_ == Step::prepare) {
-        value_ = change_(best_.value);
-        move(Step::accept);
+        value_ = update_(highest_.value);
+        enterStep(Step::accept);
     } else {
-        move(Step::done);
+        enterStep(Step::done);
     }
     return true;
 }
 
 Reconfiguration::Reconfiguration(Epoch from, Epoch to, std::uint32_t writer, RegisterStates held)
-    : from_(std::move(from)), to_(std::move(to)), writer_(writer), held_(std::move(held)) {}
+    : from_(std::move(from)), to_(std::move(to)), proposer_(writer), known_(std::move(held)) {}
 
 std::vector<Request> Reconfiguration::requests() const {
     std::vector<Request> all;
@@ -171,7 +174,7 @@
     if (step_ == Step::seal) {
         request.kind = Request::Kind::seal, request.epoch = from_.number, request.from = from_,
         request.to = to_;
-        for (const auto& [key, cell] : held_) request.holds[key] = cell.accepted;
+        for (const auto& [key, cell] : known_) request.holds[key] = cell.accepted;
         all.push_back(request);
     } else if (step_ == Step::transfer || step_ == Step::open) {
         request.kind = Request::Kind::install, request.epoch = to_.number, request.to = to_;
@@ -179,61 +182,62 @@
         if (!request.open) request.from = from_;
         all.push_back(request);
         if (step_ == Step::transfer)
-            for (const auto& [_, run] : runs_)
+            for (const auto& [_, run] : proposals_)
                 if (run.step() != Proposal::Step::done) all.push_back(run.request());
     }
     return all;
 }
 
-void Reconfiguration::transfer() {
+void Reconfiguration::beginTransfer() {
     step_ = Step::transfer;
-    taken_.clear();
+    acceptedBy_.clear();
     const Change asItIs = [](const std::string& value) { return value; };
-    for (const auto& [key, cell] : best_) {
+    for (const auto& [key, cell] : highest_) {
         // Also where nothing was taken but something promised: a body that one disk took in an old epoch must
         // lie below every ballot of the new one, or it would come back with that disk.
         if (key.starts_with("epoch/")) continue;
-        runs_.emplace(key, Proposal(key, to_, writer_, cell.promised.round, asItIs, false, cell, cell));
+        proposals_.emplace(key,
+                           Proposal(key, to_, proposer_, cell.promised.round, asItIs, false, cell, cell));
     }
-    if (runs_.empty()) step_ = Step::open;
+    if (proposals_.empty()) step_ = Step::open;
 }
 
-bool Reconfiguration::on(std::uint32_t member, Step answered, const std::string& key, Proposal::Step inRun,
-                         const Reply& reply) {
+bool Reconfiguration::handleReply(std::uint32_t member, Step answered, const std::string& key,
+                                  Proposal::Step inRun, const Reply& reply) {
     if (answered != step_) return false;
     if (step_ == Step::seal) {
-        if (!reply.taken) {
+        if (!reply.accepted) {
             if (reply.epoch <= from_.number + 1) return false;
             step_ = Step::lost;  // long past
             return true;
         }
-        if (!taken_.insert(member).second) return false;
-        for (const auto& [name, cell] : reply.cells) {
-            auto& best = best_[name];
+        if (!acceptedBy_.insert(member).second) return false;
+        for (const auto& [name, cell] : reply.states) {
+            auto& best = highest_[name];
             best.promised = std::max(best.promised, cell.promised);
             if (cell.accepted <= best.accepted) continue;
-            const auto held = held_.find(name);
-            const bool valueOmitted = held != held_.end() && held->second.accepted == cell.accepted;
+            const auto held = known_.find(name);
+            const bool valueOmitted = held != known_.end() && held->second.accepted == cell.accepted;
             best.accepted = cell.accepted, best.value = valueOmitted ? held->second.value : cell.value;
         }
-        if (taken_.size() < from_.majority()) return false;
-        transfer();
+        if (acceptedBy_.size() < from_.majority()) return false;
+        beginTransfer();
         return true;
     }
     if (step_ == Step::transfer) {
-        const auto at = runs_.find(key);
-        if (at == runs_.end() || !at->second.on(member, inRun, reply)) return false;
+        const auto at = proposals_.find(key);
+        if (at == proposals_.end() || !at->second.handleReply(member, inRun, reply)) return false;
         if (at->second.step() == Proposal::Step::lost) {
             step_ = Step::lost;
             return true;
         }
-        for (const auto& [_, run] : runs_)
+        for (const auto& [_, run] : proposals_)
             if (run.step() != Proposal::Step::done) return true;
-        step_ = Step::open, taken_.clear();
+        step_ = Step::open, acceptedBy_.clear();
         return true;
     }
-    if (step_ != Step::open || !reply.taken) return false;
-    if (!taken_.insert(member).second || taken_.size() < to_.majority()) return false;
+    if (step_ != Step::open || !reply.accepted) return false;
+    if (!acceptedBy_.insert(member).second || acceptedBy_.size() < to_.majority()) return false;
     step_ = Step::done;
     return true;
 }
--- a/src/consensus/consensus.hpp
+++ b/src/consensus/consensus.hpp
@@ -70,8 +70,8 @@
 std::string successorKey(const Epoch& of);
 
 struct Request {
-    enum class Kind : std::uint8_t { look, prepare, accept, seal, install };
-    Kind kind = Kind::look;
+    enum class Kind : std::uint8_t { read, prepare, accept, seal, install };
+    Kind kind = Kind::read;
     std::uint64_t epoch = 0;
     std::string key;
     ProposalNumber proposalNumber;
@@ -85,10 +85,10 @@
 // The cell as it is after the request; `taken` is false where a higher promise stood against it. A copy that
 // is no member of the request's epoch, or has sealed it, `refused`: it is no part of any majority.
 struct Reply {
-    bool refused = false, taken = false;
-    RegisterState cell;
+    bool rejected = false, accepted = false;
+    RegisterState state;
     bool valueOmitted = false;  // the cell's value is the asker's own, and left out
-    RegisterStates cells;       // of a seal: all
+    RegisterStates states;      // of a seal: all
     std::uint64_t epoch = 0;    // the copy's own, with `refused`
     bool sealed = false;        // and whether it is sealed
     std::uint64_t writes = 0;   // how often the copy's disk was written: a lower number later is a lost disk
@@ -96,8 +96,8 @@
 
 // What must be on disk before a reply is sent.
 struct Update {
-    RegisterStates cells;
-    std::optional<EpochState> standing;
+    RegisterStates states;
+    std::optional<EpochState> epochState;
 };
 
 // One disk's copy. The host asks what a request would change, has the disk sync it, and only then puts it and
@@ -109,19 +109,19 @@
     Acceptor(std::string address, std::string disk) : address_(std::move(address)), disk_(std::move(disk)) {}
 
     const std::string& disk() const { return disk_; }
-    bool counts() const { return !standing_.next && member(standing_.epoch); }
-    bool member(const Epoch& epoch) const;
+    bool isVotingMember() const { return !epochState_.next && isMember(epochState_.epoch); }
+    bool isMember(const Epoch& epoch) const;
     // The reply; `update` is set where something must be on disk before it is sent.
     Reply evaluate(const Request& request, std::optional<Update>& update) const;
-    void put(const Update& update);
-    const RegisterStates& cells() const { return cells_; }
-    const RegisterState& cell(const std::string& key) const;
-    const EpochState& standing() const { return standing_; }
+    void apply(const Update& update);
+    const RegisterStates& states() const { return states_; }
+    const RegisterState& state(const std::string& key) const;
+    const EpochState& epochState() const { return epochState_; }
 
   private:
     std::string address_, disk_;
-    EpochState standing_;
-    RegisterStates cells_;
+    EpochState epochState_;
+    RegisterStates states_;
 };
 
 // From what is in force to what shall be; the same value: nothing to change, but let it be surely in force.
@@ -129,10 +129,11 @@
 
 // One run at a key: a look (which ends at once where a majority agrees), else prepare and accept. The
 // host sends request() to all members whenever the step has moved, and hands in replies with the step they
-// answer; a reply of an earlier step is dropped. On `lost` it waits a little and begins anew with `above()`.
+// answer; a reply of an earlier step is dropped. On `lost` it waits a little and begins anew with
+// `highestRound()`.
 class Proposal {
   public:
-    enum class Step : std::uint8_t { look, prepare, accept, done, lost };
+    enum class Step : std::uint8_t { read, prepare, accept, done, lost };
 
     // `held`: a value that the host knows with its ballot, if any, so that copies need not send it. `base`:
     // what an earlier epoch has left, counted as if a member had told it.
@@ -142,31 +143,33 @@
     Step step() const { return step_; }
     Request request() const;
     // From the member in this place of the epoch. True where the step has moved.
-    bool on(std::uint32_t member, Step answered, const Reply& reply);
+    bool handleReply(std::uint32_t member, Step answered, const Reply& reply);
 
-    const std::string& value() const { return value_; }        // when done
-    ProposalNumber proposalNumber() const { return ballot_; }  // of the value, when done
-    std::uint64_t above() const { return above_; }             // highest round seen
+    const std::string& value() const { return value_; }                // when done
+    ProposalNumber proposalNumber() const { return proposalNumber_; }  // of the value, when done
+    std::uint64_t highestRound() const { return highestRound_; }       // highest round seen
     // The highest that it was told or began with: whoever runs again need not be told it again.
-    const RegisterState& told() const { return best_.accepted > held_.accepted ? best_ : held_; }
+    const RegisterState& highestSeen() const {
+        return highest_.accepted > known_.accepted ? highest_ : known_;
+    }
     std::uint64_t epoch() const { return epoch_; }
 
   private:
-    void move(Step step);
+    void enterStep(Step step);
 
     std::string key_;
     std::uint64_t epoch_;
     std::size_t majority_;
-    std::uint32_t writer_;
-    std::uint64_t above_;
-    Change change_;
+    std::uint32_t proposer_;
+    std::uint64_t highestRound_;
+    Change update_;
     Step step_;
-    ProposalNumber ballot_;
+    ProposalNumber proposalNumber_;
     std::string value_;
-    RegisterState held_, base_, best_;
-    std::set<std::uint32_t> heard_, taken_, refused_;
-    std::optional<RegisterState> agreed_;
-    bool agree_ = true;
+    RegisterState known_, inherited_, highest_;
+    std::set<std::uint32_t> answeredBy_, acceptedBy_, rejectedBy_;
+    std::optional<RegisterState> firstAnswer_;
+    bool unanimous_ = true;
 };
 
 // From one epoch to the successor that its members have decided: seal a majority of the old, put the highest
@@ -182,23 +185,23 @@
     Step step() const { return step_; }
     // To be sent to members of `from` (seal) or of `to`; a transfer's carry their key.
     std::vector<Request> requests() const;
-    const Epoch& asked() const { return step_ == Step::seal ? from_ : to_; }
-    // Of the member in this place of asked(), to a request of this step, key and run's step. True where there
-    // are other requests than before.
-    bool on(std::uint32_t member, Step answered, const std::string& key, Proposal::Step inRun,
-            const Reply& reply);
+    const Epoch& targetEpoch() const { return step_ == Step::seal ? from_ : to_; }
+    // Of the member in this place of targetEpoch(), to a request of this step, key and run's step. True where
+    // there are other requests than before.
+    bool handleReply(std::uint32_t member, Step answered, const std::string& key, Proposal::Step inRun,
+                     const Reply& reply);
     const Epoch& from() const { return from_; }
     const Epoch& to() const { return to_; }
-    const std::map<std::string, Proposal>& runs() const { return runs_; }
+    const std::map<std::string, Proposal>& proposals() const { return proposals_; }
 
   private:
-    void transfer();
+    void beginTransfer();
     Epoch from_, to_;
-    std::uint32_t writer_;
-    RegisterStates held_, best_;
+    std::uint32_t proposer_;
+    RegisterStates known_, highest_;
     Step step_ = Step::seal;
-    std::set<std::uint32_t> taken_;
-    std::map<std::string, Proposal> runs_;
+    std::set<std::uint32_t> acceptedBy_;
+    std::map<std::string, Proposal> proposals_;
 };
 
 }  // namespace lichenlanding::consensus
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -65,7 +65,7 @@
 AdminApi::Register AdminApi::Register::of(ReplicaNode& replica) {
     return {[&replica] { return replica.hasQuorumContact(); },
             [&replica](std::string key, consensus::Change change, Nanos within) {
-                return replica.change(std::move(key), std::move(change), within);
+                return replica.update(std::move(key), std::move(change), within);
             },
             [&replica](std::string key, Nanos within) { return replica.read(std::move(key), within); }};
 }
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -63,7 +63,7 @@
     std::string me() const { return boot.internal(boot.ip); }
 
     Json greet(PeerConnection&) {
-        auto hello = replica.greeting();
+        auto hello = replica.helloFields();
         hello.update({{"t", "hello"}, {"kind", "prompter"}, {"name", boot.name}, {"at", me()}});
         return hello;
     }
@@ -87,7 +87,7 @@
         }
         if (kind == "hello") {
             hello(link, message);
-        } else if (replica.heard(link, message)) {
+        } else if (replica.handleMessage(link, message)) {
         } else if (kind == "want") {
             answer(link, message);
         } else if (kind == "digest") {
@@ -111,7 +111,7 @@
             link.peer = at;
             const auto dialer = dialers.find(at);
             if (dialer != dialers.end() && dialer->second && dialer->second->link().get() == &link)
-                replica.joined(at, link.shared_from_this());
+                replica.onPeerConnected(at, link.shared_from_this());
             else if (dialer != dialers.end() && dialer->second && !dialer->second->link())
                 dialer->second
                     ->retryNow();  // after a loss of all, those that are up first wait for the others
@@ -263,7 +263,7 @@
     std::set<std::string> hears() const {
         std::set<std::string> all;
         for (const auto& [address, dialer] : dialers)
-            if (dialer && dialer->link() && replica.hears(address)) all.insert(address);
+            if (dialer && dialer->link() && replica.hearsPeer(address)) all.insert(address);
         return all;
     }
 
@@ -278,9 +278,9 @@
     // What this control node knows; nothing is asked of others.
     Json status() const {
         Json told{{"node", boot.name},
-                  {"blank", !replica.votes()},
+                  {"blank", !replica.isVotingMember()},
                   {"members", replica.members().size()},
-                  {"reached", replica.reached()},
+                  {"reached", replica.connectedPeerCount()},
                   {"register", replica.describe()},
                   {"configuration", cache.version() ? config::formatVersion(cache.version()) : ""},
                   {"duty", Json::array()},
@@ -315,7 +315,7 @@
             io,
             [this] {
                 start(io, "leave", [](ControlPlane& self) -> Task<> {
-                    co_await self.replica.leave();
+                    co_await self.replica.stepDown();
                     log("left", {});
                     self.io.stop();
                 }(*this));
@@ -335,7 +335,7 @@
         for (const auto& member : replica.members()) dial(member);
         start(io, "links", servePeerConnections(io, peers, owner));
         start(io, "control", operatorCalls.serve(control));
-        start(io, "register", replica.maintain());
+        start(io, "register", replica.run());
         start(io, "register", readFirst());
         start(io, "known", tellKnown());
         start(io, "duties", duties.run());
--- a/src/control_plane/lease_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -74,7 +74,7 @@
 Task<> LeaseHolder::take(std::string duty, std::uint64_t seen) {
     const auto before = held().contains(duty) ? held().at(duty).holder : "";
     const consensus::Change change = leases::taking(duty, self_, seen);
-    const auto value = co_await replica_.change(kDutiesKey, change, kDecideWithin);
+    const auto value = co_await replica_.update(kDutiesKey, change, kDecideWithin);
     if (!value) co_return;
     const auto after = leases::read(*value)[duty];
     if (leases::holds(after, self_)) log("duty", {{"duty", duty}, {"term", after.term}, {"before", before}});
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -51,7 +51,7 @@
         : run(std::move(run_)), epoch(std::move(epoch_)), bell(io) {}
     Pending(consensus::Reconfiguration succession_, asio::io_context& io)
         : succession(std::move(succession_)), bell(io) {}
-    const consensus::Epoch& asked() const { return succession ? succession->asked() : epoch; }
+    const consensus::Epoch& asked() const { return succession ? succession->targetEpoch() : epoch; }
     std::optional<consensus::Proposal> run;
     std::optional<consensus::Reconfiguration> succession;
     consensus::Epoch epoch;
@@ -119,12 +119,12 @@
         notes.clear(), cells.clear();
     }
     consensus::Update update;
-    update.cells = std::move(cells);
+    update.states = std::move(cells);
     std::string disk = notes[kDiskNote];
     bool founding = false;
     if (!disk.empty()) {
         if (!notes[kStandingNote].empty())
-            update.standing = membership::decodeEpochState(Json::parse(notes[kStandingNote]));
+            update.epochState = membership::decodeEpochState(Json::parse(notes[kStandingNote]));
         if (!notes[kWritesNote].empty()) writes_ = std::stoull(notes[kWritesNote]);
         if (!notes[kWitnessNote].empty())
             witnessed_ = Json::parse(notes[kWitnessNote]).get<std::map<std::string, std::uint64_t>>();
@@ -136,25 +136,25 @@
             const auto address = old.substr(from, to - from);
             first.epoch.members.push_back({address, "first-" + address, "", ""});
         }
-        disk = "first-" + me_, update.standing = first;
-    } else if (update.cells.empty() && boot_.bootstrap &&
+        disk = "first-" + me_, update.epochState = first;
+    } else if (update.states.empty() && boot_.bootstrap &&
                std::binary_search(seeds_.begin(), seeds_.end(), me_)) {
         founding = true;
         consensus::EpochState first{{0, {}}, true, {}, {}};
         for (const auto& seed : seeds_) first.epoch.members.push_back({seed, "", "", ""});
-        update.standing = first;
+        update.epochState = first;
     }
     const bool fresh = notes[kDiskNote].empty();
     if (disk.empty()) disk = newDisk();
     copy_ = consensus::Acceptor(me_, disk);
-    copy_.put(update);
-    if (copy_.standing().open) epoch_ = copy_.standing().epoch;
+    copy_.apply(update);
+    if (copy_.epochState().open) epoch_ = copy_.epochState().epoch;
     follow(standing());
     log("book_open", {{"disk", disk},
-                      {"epoch", copy_.standing().epoch.number},
-                      {"votes", copy_.counts()},
+                      {"epoch", copy_.epochState().epoch.number},
+                      {"votes", copy_.isVotingMember()},
                       {"founding", founding},
-                      {"keys", copy_.cells().size()}});
+                      {"keys", copy_.states().size()}});
     if (!fresh) {
         open_ = true;
         confirm();
@@ -162,7 +162,7 @@
     }
     // The identity, and at the first start that this is a founder, go on the disk before anything is said.
     Job job;
-    job.update.standing = copy_.standing();
+    job.update.epochState = copy_.epochState();
     job.notes[kDiskNote] = disk;
     job.after = [this] { open_ = confirmed_ = true, pingAll(); };
     enqueue(std::move(job));
@@ -173,14 +173,14 @@
     if (confirmed_ || !open_) return;
     // Where its epoch has passed, those of that one may be gone for good, and nothing of it is answered any
     // more: only those of the newest are asked, if it is one of them.
-    const auto& own = copy_.standing().epoch;
+    const auto& own = copy_.epochState().epoch;
     const auto& epoch = epoch_.number > own.number ? epoch_ : own;
     const auto heard = std::count_if(epoch.members.begin(), epoch.members.end(), [&](const auto& member) {
         const auto by = confirmedBy_.find(member.address);
         return member.address == me_ ||
                (by != confirmedBy_.end() && (epoch.number == 0 || by->second == member.disk));
     });
-    if (copy_.member(epoch) && static_cast<std::size_t>(heard) < epoch.majority()) return;
+    if (copy_.isMember(epoch) && static_cast<std::size_t>(heard) < epoch.majority()) return;
     confirmed_ = true;
     if (!jobs_.empty() && !working_) {
         working_ = true;
@@ -191,15 +191,15 @@
 // This disk forgot something, or another has taken its name: it goes on as a new one, which never answered.
 void ReplicaNode::renew(const char* why) {
     log("disk_renewed", {{"step", "identity"}, {"why", why}, {"disk", copy_.disk()}});
-    const auto standing = copy_.standing();
-    auto cells = copy_.cells();
+    const auto standing = copy_.epochState();
+    auto cells = copy_.states();
     copy_ = consensus::Acceptor(me_, newDisk());
-    copy_.put({{}, standing});
+    copy_.apply({{}, standing});
     jobs_.clear(), keeping_.clear();
     confirmed_ = false, open_ = false, writes_ = 0;
     Job job;
-    for (const auto& [key, _] : cells) job.update.cells[key] = {};
-    job.update.standing = standing;
+    for (const auto& [key, _] : cells) job.update.states[key] = {};
+    job.update.epochState = standing;
     job.notes[kDiskNote] = copy_.disk();
     job.after = [this] {
         open_ = confirmed_ = true;
@@ -225,7 +225,7 @@
         consensus::Reply reply;
         if (job.request && job.request->kind != consensus::Request::Kind::install &&
             job.request->epoch < epoch_.number)  // it has passed, also where that is not on this disk yet
-            reply.refused = true, reply.epoch = epoch_.number;
+            reply.rejected = true, reply.epoch = epoch_.number;
         else if (job.request) reply = copy_.evaluate(*job.request, update);
         else if (!job.kept) update = job.update;
         else if (auto kept = keeps(*job.kept)) update = consensus::Update{std::move(*kept), {}};
@@ -239,14 +239,14 @@
                 continue;
             }
             if (copy_.disk() != disk) continue;  // renewed meanwhile
-            copy_.put(*update);
-            for (const auto& [key, cell] : update->cells) {
+            copy_.apply(*update);
+            for (const auto& [key, cell] : update->states) {
                 if (!job.request || cell.accepted <= known(key).proposalNumber) continue;
                 if (const auto at = inForce_.find(key); at != inForce_.end() && at->second == cell.accepted)
                     learn(key, cell.accepted, cell.value);
                 else acceptedAt_[key] = now();
             }
-            if (update->standing) follow(standing());
+            if (update->epochState) follow(standing());
         }
         reply.writes = writes_;
         if (job.reply) job.reply(reply);
@@ -256,12 +256,12 @@
 }
 
 Task<bool> ReplicaNode::write(consensus::Update update, std::map<std::string, std::string> notes) {
-    if (update.standing) {
-        notes[kStandingNote] = membership::write(*update.standing).dump();
-        if (update.standing->open)  // what the copy drops is dropped on the disk
-            for (const auto& [key, _] : copy_.cells())
-                if (key.starts_with("epoch/") && key != consensus::successorKey(update.standing->epoch))
-                    update.cells.emplace(key, consensus::RegisterState{});
+    if (update.epochState) {
+        notes[kStandingNote] = membership::encode(*update.epochState).dump();
+        if (update.epochState->open)  // what the copy drops is dropped on the disk
+            for (const auto& [key, _] : copy_.states())
+                if (key.starts_with("epoch/") && key != consensus::successorKey(update.epochState->epoch))
+                    update.states.emplace(key, consensus::RegisterState{});
     }
     notes[kWritesNote] = std::to_string(writes_ + 1);
     notes[kWitnessNote] = Json(witnessed_).dump();
@@ -271,7 +271,7 @@
     asio::post(disk_, [&] {
         try {
             if (!book_) book_ = opener_(false);
-            book_->write(update.cells, notes);
+            book_->write(update.states, notes);
         } catch (const std::exception& error) {
             failure = error.what();
             book_.reset();  // LMDB takes no more after some failures: opened anew with the next write
@@ -289,7 +289,7 @@
 Json ReplicaNode::holds() const {
     Json held = Json::object();
     for (const auto& key : kKeys)
-        if (const auto& cell = copy_.cell(key); cell.accepted.round > 0)
+        if (const auto& cell = copy_.state(key); cell.accepted.round > 0)
             held[key] = messages::write(cell.accepted);
     return held;
 }
@@ -302,21 +302,21 @@
             {"eligible", boot_.quorumMember},
             {"leaving", leaving_},
             {"epoch", epoch_.number},
-            {"seated", copy_.member(copy_.standing().epoch)},
+            {"seated", copy_.isMember(copy_.epochState().epoch)},
             {"writes", writes_},
             {"held", holds()}};
 }
 
 Json ReplicaNode::standing() const {
-    Json told{{"t", "standing"}, {"epoch", membership::write(epoch_)}};
-    const auto& own = copy_.standing();
-    if (own.open && own.epoch.number > epoch_.number) told["epoch"] = membership::write(own.epoch);
-    if (own.next) told["from"] = membership::write(own.epoch), told["to"] = membership::write(*own.next);
+    Json told{{"t", "standing"}, {"epoch", membership::encode(epoch_)}};
+    const auto& own = copy_.epochState();
+    if (own.open && own.epoch.number > epoch_.number) told["epoch"] = membership::encode(own.epoch);
+    if (own.next) told["from"] = membership::encode(own.epoch), told["to"] = membership::encode(*own.next);
     else if (!own.open && own.before)
-        told["from"] = membership::write(*own.before), told["to"] = membership::write(own.epoch);
+        told["from"] = membership::encode(*own.before), told["to"] = membership::encode(own.epoch);
     else if (successor_)
-        told["from"] = membership::write(successor_->first),
-        told["to"] = membership::write(successor_->second);
+        told["from"] = membership::encode(successor_->first),
+        told["to"] = membership::encode(successor_->second);
     return told;
 }
 
@@ -337,13 +337,13 @@
 }
 
 void ReplicaNode::adopt(const consensus::Epoch& epoch) {
-    const bool seated = epoch_.number == 0 || copy_.member(epoch_);
+    const bool seated = epoch_.number == 0 || copy_.isMember(epoch_);
     epoch_ = epoch, epochSince_ = now();
     if (successor_ && successor_->second.number <= epoch.number) successor_.reset();
     Json members = Json::array();
     for (const auto& member : epoch.members) members.push_back(member.address);
-    log("epoch", {{"number", epoch.number}, {"members", members}, {"votes", copy_.member(epoch)}});
-    if (!seated && copy_.member(epoch)) log("rejoined", {{"number", epoch.number}, {"disk", copy_.disk()}});
+    log("epoch", {{"number", epoch.number}, {"members", members}, {"votes", copy_.isMember(epoch)}});
+    if (!seated && copy_.isMember(epoch)) log("rejoined", {{"number", epoch.number}, {"disk", copy_.disk()}});
     install();
     for (const auto& [_, pending] : pending_) pending->bell.notify();
     pingAll();  // who answers as one of it is in contact
@@ -363,7 +363,7 @@
 }
 
 bool ReplicaNode::stands() const {
-    const auto& own = copy_.standing();
+    const auto& own = copy_.epochState();
     return own.epoch.number > epoch_.number || (own.epoch.number == epoch_.number && own.open);
 }
 
@@ -400,13 +400,13 @@
     seen = std::max(seen, told.at("writes").get<std::uint64_t>());
 }
 
-Json ReplicaNode::greeting() const {
+Json ReplicaNode::helloFields() const {
     // Itself too: who is heard of may be chosen as a member, and a change of the members asks the new ones.
     std::set<std::string> known{me_};
     for (const auto& member : epoch_.members) known.insert(member.address);
-    if (!formed()) known.insert(seeds_.begin(), seeds_.end());
+    if (!isFounded()) known.insert(seeds_.begin(), seeds_.end());
     return {{"members", known},
-            {"formed", formed()},
+            {"formed", isFounded()},
             {"sure", contact_},
             {"about", about()},
             {"standing", standing()}};
@@ -447,7 +447,7 @@
     if (message.at("of").get_ref<const std::string&>() != copy_.disk() || !open_) return;
     if (message.at("seen").get<std::uint64_t>() > writes_) return renew("others saw a later life of it");
     if (!confirmed_) confirmedBy_[at] = peer.member.disk, confirm();
-    if (formed() && !contact_ && !reading_ && reachable()) start(io_, "register", readAll());
+    if (isFounded() && !contact_ && !reading_ && reachable()) start(io_, "register", readAll());
 }
 
 // Whether a majority of an epoch that is decided has answered of late, with the disks that it names.
@@ -467,7 +467,7 @@
     std::size_t heard = 0;
     for (const auto& member : epoch_.members) {
         if (member.address == me_) {
-            heard += confirmed_ && copy_.member(epoch_) && stands();
+            heard += confirmed_ && copy_.isMember(epoch_) && stands();
             continue;
         }
         const auto peer = peers_.find(member.address);
@@ -481,13 +481,13 @@
     return heard >= epoch_.majority();
 }
 
-bool ReplicaNode::hears(const std::string& address) const {
+bool ReplicaNode::hearsPeer(const std::string& address) const {
     const auto peer = peers_.find(address);
     return links_.contains(address) && peer != peers_.end() && peer->second.answeredAt > 0 &&
            now() - peer->second.answeredAt <= boot_.controlContact;
 }
 
-void ReplicaNode::joined(const std::string& to, std::shared_ptr<PeerConnection> link) {
+void ReplicaNode::onPeerConnected(const std::string& to, std::shared_ptr<PeerConnection> link) {
     for (const auto& [id, pending] : pending_) {
         links_[to] = link;
         ask(id, *pending, &to);
@@ -512,7 +512,7 @@
     const bool newer = value != known.value;
     known = {proposalNumber, value};
     if (const auto at = acceptedAt_.find(key);
-        at != acceptedAt_.end() && copy_.cell(key).accepted <= proposalNumber)
+        at != acceptedAt_.end() && copy_.state(key).accepted <= proposalNumber)
         acceptedAt_.erase(at);
     retain(key);
     if (newer) owner_.learnt(key);
@@ -521,7 +521,7 @@
 // Told to be in force: where this disk has taken that very ballot, it has the value; else it is read.
 void ReplicaNode::inForce(const std::string& key, const consensus::ProposalNumber& proposalNumber) {
     inForce_[key] = std::max(inForce_[key], proposalNumber);
-    if (const auto& cell = copy_.cell(key); proposalNumber.round > 0 && cell.accepted == proposalNumber)
+    if (const auto& cell = copy_.state(key); proposalNumber.round > 0 && cell.accepted == proposalNumber)
         learn(key, proposalNumber, std::string(cell.value));
 }
 
@@ -530,13 +530,13 @@
 void ReplicaNode::retain(const std::string& key) {
     const auto& known = this->known(key);
     if (!open_ || !confirmed_ || known.proposalNumber.round == 0 ||
-        copy_.cell(key).accepted >= known.proposalNumber)
+        copy_.state(key).accepted >= known.proposalNumber)
         return;
     if (jobs_.size() >= kJobsAtMost) return;  // the disk hangs
     Job job;
-    if (copy_.counts()) {
+    if (copy_.isVotingMember()) {
         consensus::Request accept;
-        accept.kind = consensus::Request::Kind::accept, accept.epoch = copy_.standing().epoch.number;
+        accept.kind = consensus::Request::Kind::accept, accept.epoch = copy_.epochState().epoch.number;
         accept.key = key, accept.proposalNumber = known.proposalNumber, accept.value = known.value;
         job.request = accept;
     } else {
@@ -551,9 +551,9 @@
 // alone.
 std::optional<consensus::RegisterStates> ReplicaNode::keeps(const std::string& key) const {
     auto cell = held(key);
-    if (copy_.member(copy_.standing().epoch) || copy_.cell(key).accepted >= cell.accepted)
+    if (copy_.isMember(copy_.epochState().epoch) || copy_.state(key).accepted >= cell.accepted)
         return std::nullopt;
-    cell.promised = std::max(cell.promised, copy_.cell(key).promised);
+    cell.promised = std::max(cell.promised, copy_.state(key).promised);
     return consensus::RegisterStates{{key, std::move(cell)}};
 }
 
@@ -567,9 +567,9 @@
     } else {
         const auto step = static_cast<int>(pending.succession->step());
         for (auto& request : pending.succession->requests()) {
-            const auto run = pending.succession->runs().find(request.key);
+            const auto run = pending.succession->proposals().find(request.key);
             const int inRun =
-                run == pending.succession->runs().end() ? 0 : static_cast<int>(run->second.step());
+                run == pending.succession->proposals().end() ? 0 : static_cast<int>(run->second.step());
             all.emplace_back(Json::array({step, request.key, inRun}), std::move(request));
         }
     }
@@ -590,7 +590,7 @@
             if (link == links_.end()) continue;
             if (!packed)
                 packed = PeerConnection::pack(
-                    {{"t", "reg"}, {"id", id}, {"about", about}, {"request", membership::write(request)}});
+                    {{"t", "reg"}, {"id", id}, {"about", about}, {"request", membership::encode(request)}});
             link->second->send(packed);
         }
     }
@@ -607,28 +607,28 @@
     if (place == members.end()) return;
     const auto member = static_cast<std::uint32_t>(place - members.begin());
     const bool moved =
-        pending.run
-            ? pending.run->on(member, static_cast<consensus::Proposal::Step>(about.at(0).get<int>()), reply)
-            : pending.succession->on(member,
-                                     static_cast<consensus::Reconfiguration::Step>(about.at(0).get<int>()),
-                                     about.at(1).get<std::string>(),
-                                     static_cast<consensus::Proposal::Step>(about.at(2).get<int>()), reply);
+        pending.run ? pending.run->handleReply(
+                          member, static_cast<consensus::Proposal::Step>(about.at(0).get<int>()), reply)
+                    : pending.succession->handleReply(
+                          member, static_cast<consensus::Reconfiguration::Step>(about.at(0).get<int>()),
+                          about.at(1).get<std::string>(),
+                          static_cast<consensus::Proposal::Step>(about.at(2).get<int>()), reply);
     if (moved) pending.bell.notify();
 }
 
-Task<std::optional<std::string>> ReplicaNode::change(std::string key, consensus::Change change, Nanos within,
+Task<std::optional<std::string>> ReplicaNode::update(std::string key, consensus::Change change, Nanos within,
                                                      bool look) {
-    return run(std::move(key), std::move(change), within, look, 0);
+    return runProposal(std::move(key), std::move(change), within, look, 0);
 }
 
 // A read that meets a write on its way looks again before it ends that write in the writer's place: where the
 // way takes long, readers would otherwise get in the way of writers, and of each other, without end.
 Task<std::optional<std::string>> ReplicaNode::read(std::string key, Nanos within) {
-    return run(std::move(key), kAsItIs, within, true, kLooksAgain);
+    return runProposal(std::move(key), kAsItIs, within, true, kLooksAgain);
 }
 
-Task<std::optional<std::string>> ReplicaNode::run(std::string key, consensus::Change change, Nanos within,
-                                                  bool look, int again) {
+Task<std::optional<std::string>> ReplicaNode::runProposal(std::string key, consensus::Change change,
+                                                          Nanos within, bool look, int again) {
     const Nanos end = now() + within;
     std::mt19937 chance(static_cast<unsigned>(now()) ^ number(me_));
     Nanos pause = kPauseFirst;
@@ -658,8 +658,8 @@
             if (co_await pending->bell.wait(until)) sent = run.step() == step;
         }
         pending_.erase(id);
-        above_[key] = std::max(above_[key], run.above());
-        told = run.told();
+        above_[key] = std::max(above_[key], run.highestRound());
+        told = run.highestSeen();
         if (run.step() == consensus::Proposal::Step::done) {
             const auto value = run.value();
             const auto proposalNumber = run.proposalNumber();
@@ -681,7 +681,7 @@
     co_return std::nullopt;
 }
 
-bool ReplicaNode::heard(PeerConnection& link, const Json& message) {
+bool ReplicaNode::handleMessage(PeerConnection& link, const Json& message) {
     const auto& kind = message.at("t").get_ref<const std::string&>();
     if (kind == "reg") {
         if (!open_ || jobs_.size() >= kJobsAtMost)
@@ -692,7 +692,7 @@
                      about = message.at("about")](const consensus::Reply& reply) {
             if (const auto open = to.lock())
                 open->send(
-                    Json{{"t", "reply"}, {"id", id}, {"about", about}, {"reply", membership::write(reply)}});
+                    Json{{"t", "reply"}, {"id", id}, {"about", about}, {"reply", membership::encode(reply)}});
         };
         enqueue(std::move(job));
     } else if (kind == "reply") {
@@ -718,7 +718,7 @@
                        {"at", me_},
                        {"epoch", epoch_.number},
                        {"disk", open_ ? copy_.disk() : ""},
-                       {"seated", copy_.member(copy_.standing().epoch)},
+                       {"seated", copy_.isMember(copy_.epochState().epoch)},
                        {"of", disk},
                        {"held", holds()},
                        {"seen", seen == witnessed_.end() ? 0 : seen->second}});
@@ -750,7 +750,7 @@
     for (const auto& [_, peer] : peers_) anyEligible = anyEligible || peer.eligible;
     std::vector<membership::Candidate> all;
     if (open_ && (boot_.quorumMember || !anyEligible))
-        all.push_back({self(), whole([&](const auto& key) { return copy_.cell(key).accepted; }), !leaving_});
+        all.push_back({self(), whole([&](const auto& key) { return copy_.state(key).accepted; }), !leaving_});
     for (const auto& [_, peer] : peers_) {
         if (peer.member.address.empty() || peer.member.disk.empty() || (anyEligible && !peer.eligible))
             continue;
@@ -778,7 +778,8 @@
     auto all = candidates();
     if (leaving)
         for (auto& one : all) one.present = one.present && one.member.address != me_;
-    return membership::plan(formed() ? epoch_.members : std::vector<consensus::Member>{}, all, tolerance());
+    return membership::planMembers(isFounded() ? epoch_.members : std::vector<consensus::Member>{}, all,
+                                   tolerance());
 }
 
 Task<bool> ReplicaNode::propose(std::vector<consensus::Member> members) {
@@ -788,9 +789,9 @@
     Json names = Json::array();
     for (const auto& member : to.members) names.push_back(member.address);
     log("members_proposed", {{"epoch", to.number}, {"members", names}});
-    const auto value = membership::write(to).dump();
+    const auto value = membership::encode(to).dump();
     const consensus::Change first = [value](const std::string& held) { return held.empty() ? value : held; };
-    const auto decided = co_await change(consensus::successorKey(from), first, kChangeWithin, false);
+    const auto decided = co_await update(consensus::successorKey(from), first, kChangeWithin, false);
     bool done = false;
     if (decided && epoch_.number == from.number) {
         successor_ = {from, membership::decodeEpoch(Json::parse(*decided))};
@@ -833,16 +834,16 @@
         if (now() - successorSince_ < kDeferFor / 2 + static_cast<Nanos>(chance() % 200) * kMillisecond)
             co_return;
         // The seal can't be taken back: not before those who are to go on are there.
-        if (!copy_.standing().next && !answers(successor_->second)) co_return;
+        if (!copy_.epochState().next && !answers(successor_->second)) co_return;
         changing_ = true;
         const auto [from, to] = *successor_;
         if (!co_await succeed(from, to)) successorSince_ = now();
         changing_ = false;
         co_return;
     }
-    if (!reachable() || !copy_.member(epoch_) || (formed() && !contact_)) co_return;
+    if (!reachable() || !copy_.isMember(epoch_) || (isFounded() && !contact_)) co_return;
     // One that this disk has accepted and nobody ended: it may be decided, and must not come as a surprise.
-    const auto& halfway = copy_.cell(consensus::successorKey(epoch_));
+    const auto& halfway = copy_.state(consensus::successorKey(epoch_));
     if (halfway.accepted.round > 0) {
         if (halfwaySince_ == 0) halfwaySince_ = now();
         if (now() - halfwaySince_ < kDeferFor + static_cast<Nanos>(chance() % 200) * kMillisecond) co_return;
@@ -852,18 +853,18 @@
     }
     halfwaySince_ = 0;
     const auto target = planned(false);
-    if (target.empty() || (formed() && target == epoch_.members)) {
+    if (target.empty() || (isFounded() && target == epoch_.members)) {
         wantedSince_ = 0;
         co_return;
     }
     if (wantedSince_ == 0) wantedSince_ = now();
-    if (!formed() && now() - began_ < kFoundPatience &&
+    if (!isFounded() && now() - began_ < kFoundPatience &&
         !membership::unmetTolerance(target, tolerance()).empty())
         co_return;
     std::vector<std::string> present;
     for (const auto& one : candidates())
-        if (one.present && (formed() ? epoch_.find(one.member.address, one.member.disk)
-                                     : epoch_.find(one.member.address, "")))
+        if (one.present && (isFounded() ? epoch_.find(one.member.address, one.member.disk)
+                                        : epoch_.find(one.member.address, "")))
             present.push_back(one.member.address);
     const auto turn = hashing::chosen(present, "members", 1);
     if (!turn.empty() && turn.front() != me_ && now() - wantedSince_ < kDeferFor) co_return;
@@ -871,10 +872,10 @@
     co_await propose(target);
 }
 
-Task<> ReplicaNode::leave() {
+Task<> ReplicaNode::stepDown() {
     leaving_ = true;
     pingAll();
-    if (!contact_ || !copy_.member(epoch_)) co_return;
+    if (!contact_ || !copy_.isMember(epoch_)) co_return;
     const auto stays = [&](const std::vector<consensus::Member>& members) {
         return std::any_of(members.begin(), members.end(),
                            [&](const auto& member) { return member.address == me_; });
@@ -909,7 +910,7 @@
 
 void ReplicaNode::tellUnborne() {
     std::string unborne;
-    if (formed())
+    if (isFounded())
         for (const auto& one : membership::unmetTolerance(epoch_.members, tolerance()))
             unborne += (unborne.empty() ? "" : ", ") + one;
     if (unborne != std::exchange(unborne_, unborne))
@@ -917,7 +918,7 @@
             {{"epoch", epoch_.number}, {"loss_of", unborne}, {"members", epoch_.members.size()}});
 }
 
-Task<> ReplicaNode::maintain() {
+Task<> ReplicaNode::run() {
     for (Nanos pinged = 0, planned = 0;;) {
         co_await sleep(kMaintainEvery);
         if (!open_) continue;
@@ -927,7 +928,7 @@
             tellUnborne();
         }
         confirm();
-        const bool reached = formed() && reachable();
+        const bool reached = isFounded() && reachable();
         if (!reached) {
             contactSince_ = now();
             if (std::exchange(contact_, false)) {
@@ -953,7 +954,7 @@
 // somewhere, where its writer had time to tell the end: until then a read would only get in its way. While
 // this copy is sealed, no read could end.
 bool ReplicaNode::behind(const std::string& key) const {
-    if (copy_.standing().next) return false;
+    if (copy_.epochState().next) return false;
     const auto& proposalNumber = known(key).proposalNumber;
     const auto told = inForce_.find(key);
     if (told != inForce_.end() && told->second > proposalNumber) return true;
@@ -989,15 +990,15 @@
     }
     for (const auto& one : candidates())
         if (one.present && !epoch_.find(one.member.address, one.member.disk))
-            standsBy.push_back({{"address", one.member.address}, {"whole", one.whole}});
+            standsBy.push_back({{"address", one.member.address}, {"whole", one.complete}});
     Json unborne = Json::array();
-    if (formed())
+    if (isFounded())
         for (const auto& one : membership::unmetTolerance(epoch_.members, tolerance()))
             unborne.push_back(one);
-    return {{"epoch", epoch_.number}, {"members", members},
-            {"stands_by", standsBy},  {"disk", copy_.disk()},
-            {"votes", votes()},       {"contact", contact_},
-            {"not_borne", unborne},   {"changing", successor_.has_value()}};
+    return {{"epoch", epoch_.number},    {"members", members},
+            {"stands_by", standsBy},     {"disk", copy_.disk()},
+            {"votes", isVotingMember()}, {"contact", contact_},
+            {"not_borne", unborne},      {"changing", successor_.has_value()}};
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/replica_node.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -11,6 +11,7 @@
 
 #include "config/bootstrap_settings.hpp"
 #include "consensus/consensus.hpp"
+#include "membership/codec.hpp"
 #include "membership/membership.hpp"
 #include "storage/replica_store.hpp"
 #include "transport/peer_connection.hpp"
@@ -49,16 +50,17 @@
     void open();  // the disk, and what is on it
     // Messages of control nodes ("reg", "reply", "learn", "known", "ping", "pong", "standing"); true where it
     // was one of them.
-    bool heard(PeerConnection& link, const Json& message);
+    bool handleMessage(PeerConnection& link, const Json& message);
     // A link to a control node is open; `to` is its address. Replies come back on it.
-    void joined(const std::string& to, std::shared_ptr<PeerConnection> link);
+    void onPeerConnected(const std::string& to, std::shared_ptr<PeerConnection> link);
     void onPeerDisconnected(const std::string& to);
-    Json greeting() const;  // fields of a hello: what others need to find all members ("members": addresses)
+    Json helloFields()
+        const;  // fields of a hello: what others need to find all members ("members": addresses)
     void onHello(const Json& hello);  // another control node's
 
     // Null where no majority could be had in time; out of contact, at once.
     // `look`: first see whether a majority agrees on a value that needs no change.
-    Task<std::optional<std::string>> change(std::string key, consensus::Change change, Nanos within,
+    Task<std::optional<std::string>> update(std::string key, consensus::Change change, Nanos within,
                                             bool look = true);
     Task<std::optional<std::string>> read(std::string key, Nanos within);
 
@@ -67,16 +69,18 @@
     // that is so. Out of contact nothing is confirmed, no duty is kept, and what is told to proxies is told
     // as not sure.
     bool hasQuorumContact() const { return contact_; }
-    bool formed() const { return epoch_.number > 0; }
-    bool votes() const { return confirmed_ && copy_.counts(); }  // this copy is part of majorities
-    std::set<std::string> members() const;                       // addresses
+    bool isFounded() const { return epoch_.number > 0; }
+    bool isVotingMember() const {
+        return confirmed_ && copy_.isVotingMember();
+    }                                       // this copy is part of majorities
+    std::set<std::string> members() const;  // addresses
     const consensus::Epoch& epoch() const { return epoch_; }
-    bool hears(const std::string& address) const;  // that control node has answered a ping of late
-    std::size_t reached() const { return links_.size(); }
+    bool hearsPeer(const std::string& address) const;  // that control node has answered a ping of late
+    std::size_t connectedPeerCount() const { return links_.size(); }
     Json describe() const;  // for `status`: epoch, members, contact, what is not borne
     // Keeps contact, members and what is known up to date; once the disk is open.
-    Task<> maintain();
-    Task<> leave();  // before an end by SIGTERM: hands the seat on where another stands by
+    Task<> run();
+    Task<> stepDown();  // before an end by SIGTERM: hands the seat on where another stands by
 
   private:
     struct Pending;
@@ -104,8 +108,8 @@
     Task<bool> write(consensus::Update update, std::map<std::string, std::string> notes);
     void learn(const std::string& key, const consensus::ProposalNumber& proposalNumber,
                const std::string& value);
-    Task<std::optional<std::string>> run(std::string key, consensus::Change change, Nanos within, bool look,
-                                         int again);
+    Task<std::optional<std::string>> runProposal(std::string key, consensus::Change change, Nanos within,
+                                                 bool look, int again);
     void rumour(const std::string& key, const consensus::ProposalNumber& proposalNumber);
     void inForce(const std::string& key, const consensus::ProposalNumber& proposalNumber);
     void retain(const std::string& key);
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -59,7 +59,7 @@
         }
         return messages::write(all);
     };
-    co_await replica_.change(kRolloutsKey, older, kDecideWithin);
+    co_await replica_.update(kRolloutsKey, older, kDecideWithin);
 }
 
 void RolloutController::heard(const Json& vote) {
@@ -132,7 +132,7 @@
         }
         return changed ? messages::write(all) : value;
     };
-    co_await replica_.change(kRolloutsKey, decide, kDecideWithin);
+    co_await replica_.update(kRolloutsKey, decide, kDecideWithin);
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -4,7 +4,6 @@
 #include <tuple>
 
 #include "hashing/rendezvous.hpp"
-#include "messages/codec.hpp"
 
 namespace lichenlanding::membership {
 namespace {
@@ -59,11 +58,12 @@
     return all;
 }
 
-Members plan(const Members& now, const std::vector<Candidate>& candidates, const FaultTolerance& tolerance) {
+Members planMembers(const Members& now, const std::vector<Candidate>& candidates,
+                    const FaultTolerance& tolerance) {
     Members pool;
     for (const auto& candidate : candidates) {
         const bool held = std::find(now.begin(), now.end(), candidate.member) != now.end();
-        if (candidate.present && (candidate.whole || held)) pool.push_back(candidate.member);
+        if (candidate.present && (candidate.complete || held)) pool.push_back(candidate.member);
     }
     std::sort(pool.begin(), pool.end());
     const auto least = static_cast<std::size_t>(2 * std::max(tolerance.machines, 0) + 1);
@@ -89,99 +89,4 @@
     return chosen;
 }
 
-Json write(const consensus::Epoch& epoch) {
-    Json members = Json::array();
-    for (const auto& one : epoch.members)
-        members.push_back(
-            {{"address", one.address}, {"disk", one.disk}, {"zone", one.zone}, {"region", one.region}});
-    return {{"number", epoch.number}, {"members", std::move(members)}};
-}
-
-consensus::Epoch decodeEpoch(const Json& from) {
-    consensus::Epoch epoch;
-    from.at("number").get_to(epoch.number);
-    for (const auto& one : from.at("members"))
-        epoch.members.push_back({one.at("address").get<std::string>(), one.at("disk").get<std::string>(),
-                                 one.at("zone").get<std::string>(), one.at("region").get<std::string>()});
-    return epoch;
-}
-
-Json write(const consensus::EpochState& standing) {
-    Json told{{"epoch", write(standing.epoch)}, {"open", standing.open}};
-    if (standing.next) told["next"] = write(*standing.next);
-    if (standing.before) told["before"] = write(*standing.before);
-    return told;
-}
-
-consensus::EpochState decodeEpochState(const Json& from) {
-    consensus::EpochState standing;
-    standing.epoch = decodeEpoch(from.at("epoch"));
-    from.at("open").get_to(standing.open);
-    if (from.contains("next")) standing.next = decodeEpoch(from.at("next"));
-    if (from.contains("before")) standing.before = decodeEpoch(from.at("before"));
-    return standing;
-}
-
-Json write(const consensus::Request& request) {
-    Json told{{"kind", static_cast<int>(request.kind)}, {"epoch", request.epoch}};
-    if (!request.key.empty()) told["key"] = request.key;
-    if (request.proposalNumber.round > 0) told["ballot"] = messages::write(request.proposalNumber);
-    if (request.kind == consensus::Request::Kind::accept)
-        told["value"] = messages::encodeBytes(request.value);
-    if (request.held.round > 0) told["held"] = messages::write(request.held);
-    for (const auto& [key, proposalNumber] : request.holds)
-        told["holds"][key] = messages::write(proposalNumber);
-    if (request.to) told["to"] = write(*request.to);
-    if (request.from) told["from"] = write(*request.from);
-    if (request.open) told["open"] = true;
-    return told;
-}
-
-consensus::Request decodeRequest(const Json& from) {
-    consensus::Request request;
-    const auto kind = from.at("kind").get<int>();
-    request.kind = static_cast<consensus::Request::Kind>(kind);
-    from.at("epoch").get_to(request.epoch);
-    if (from.contains("key")) from.at("key").get_to(request.key);
-    if (from.contains("ballot")) request.proposalNumber = messages::decodeProposalNumber(from.at("ballot"));
-    if (request.kind == consensus::Request::Kind::accept)
-        request.value = messages::decodeBytes(from.at("value"));
-    if (from.contains("held")) request.held = messages::decodeProposalNumber(from.at("held"));
-    if (from.contains("holds"))
-        for (const auto& [key, proposalNumber] : from.at("holds").items())
-            request.holds[key] = messages::decodeProposalNumber(proposalNumber);
-    if (from.contains("to")) request.to = decodeEpoch(from.at("to"));
-    if (from.contains("from")) request.from = decodeEpoch(from.at("from"));
-    if (from.contains("open")) from.at("open").get_to(request.open);
-    // What a copy would have to guess is no request.
-    using Kind = consensus::Request::Kind;
-    const bool ofEpochs = request.kind == Kind::seal || request.kind == Kind::install;
-    if (kind < 0 || kind > static_cast<int>(Kind::install) || ofEpochs != request.to.has_value())
-        from.at("no such request");
-    return request;
-}
-
-Json write(const consensus::Reply& reply) {
-    Json told{{"refused", reply.refused}, {"taken", reply.taken},   {"epoch", reply.epoch},
-              {"sealed", reply.sealed},   {"writes", reply.writes}, {"cell", messages::write(reply.cell)}};
-    if (reply.valueOmitted) told["spared"] = true;
-    for (const auto& [key, cell] : reply.cells) told["cells"][key] = messages::write(cell);
-    return told;
-}
-
-consensus::Reply decodeReply(const Json& from) {
-    consensus::Reply reply;
-    from.at("refused").get_to(reply.refused);
-    from.at("taken").get_to(reply.taken);
-    from.at("epoch").get_to(reply.epoch);
-    from.at("sealed").get_to(reply.sealed);
-    from.at("writes").get_to(reply.writes);
-    reply.cell = messages::decodeRegisterState(from.at("cell"));
-    reply.valueOmitted = from.contains("spared");
-    if (from.contains("cells"))
-        for (const auto& [key, cell] : from.at("cells").items())
-            reply.cells[key] = messages::decodeRegisterState(cell);
-    return reply;
-}
-
 }  // namespace lichenlanding::membership
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -2,7 +2,6 @@
 // and from the machines at hand. Pure; how a change is agreed is src/consensus's.
 #pragma once
 
-#include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
@@ -11,8 +10,6 @@
 
 namespace lichenlanding::membership {
 
-using Json = nlohmann::json;
-
 // What may be lost at once with all rules kept: so many machines, or zones, or regions. Each 0 or more.
 struct FaultTolerance {
     int machines = 0, zones = 0, regions = 0;
@@ -21,8 +18,8 @@
 // A machine that could keep a copy, as the one who plans sees it.
 struct Candidate {
     consensus::Member member;
-    bool whole = false;    // its disk holds all values in force, synced
-    bool present = false;  // heard of late, and not about to leave
+    bool complete = false;  // its disk holds all values in force, synced
+    bool present = false;   // heard of late, and not about to leave
 };
 
 // One line for each kind of loss that these members don't bear, such as "1 zone"; none: all is borne.
@@ -31,20 +28,10 @@
 
 // The members that there should be: as few as bear the tolerance, spread over regions and zones, those of
 // `now` before others. A seat is never given up for nothing: one that is absent stays counted until another
-// that is whole takes it, and the number of members never falls. Where not all can be borne, machines go
+// that is complete takes it, and the number of members never falls. Where not all can be borne, machines go
 // before zones and regions. In order of address.
-std::vector<consensus::Member> plan(const std::vector<consensus::Member>& now,
-                                    const std::vector<Candidate>& candidates,
-                                    const FaultTolerance& tolerance);
-
-// As values of the register and in messages. Readers throw nlohmann::json::exception on another shape.
-Json write(const consensus::Epoch& epoch);
-consensus::Epoch decodeEpoch(const Json& from);
-Json write(const consensus::EpochState& standing);
-consensus::EpochState decodeEpochState(const Json& from);
-Json write(const consensus::Request& request);
-consensus::Request decodeRequest(const Json& from);
-Json write(const consensus::Reply& reply);
-consensus::Reply decodeReply(const Json& from);
+std::vector<consensus::Member> planMembers(const std::vector<consensus::Member>& now,
+                                           const std::vector<Candidate>& candidates,
+                                           const FaultTolerance& tolerance);
 
 }  // namespace lichenlanding::membership
--- a/tests/admin/configuration_record.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -133,7 +133,7 @@
 struct OrderSequences {
     struct Message {
         std::size_t run = 0, copy = 0;
-        consensus::Proposal::Step step = consensus::Proposal::Step::look;
+        consensus::Proposal::Step step = consensus::Proposal::Step::read;
         bool reply = false;
         consensus::Request request;
         consensus::Reply answer;
@@ -145,7 +145,7 @@
             epoch.members.push_back({std::string(1, static_cast<char>('a' + at)), "disk", "", ""});
         for (const auto& member : epoch.members)
             copies.emplace_back(member.address, member.disk)
-                .put({{}, consensus::EpochState{epoch, true, {}, {}}});
+                .apply({{}, consensus::EpochState{epoch, true, {}, {}}});
         begin(0, 0), begin(1, 0);
     }
     void begin(std::size_t which, std::uint64_t above) {
@@ -170,15 +170,15 @@
         if (!message.reply) {
             std::optional<consensus::Update> update;
             auto reply = copies[message.copy].evaluate(message.request, update);
-            if (update) copies[message.copy].put(*update);
+            if (update) copies[message.copy].apply(*update);
             messages.push_back({message.run, message.copy, message.step, true, {}, std::move(reply)});
             return;
         }
         auto& run = runs[message.run];
-        if (!run.on(static_cast<std::uint32_t>(message.copy), message.step, message.answer)) return;
+        if (!run.handleReply(static_cast<std::uint32_t>(message.copy), message.step, message.answer)) return;
         if (run.step() == consensus::Proposal::Step::done) return answered(message.run);
         if (run.step() != consensus::Proposal::Step::lost) return send(message.run);
-        if (runs.size() < 12) begin(sent[message.run], run.above());
+        if (runs.size() < 12) begin(sent[message.run], run.highestRound());
     }
     void answered(std::size_t run) {
         const auto& order = orders[sent[run]];
--- a/tests/consensus/consensus.cpp
+++ b/tests/consensus/consensus.cpp
@@ -76,10 +76,10 @@
         if (!reply)
             return all + ::text(request.proposalNumber) + request.value +
                    (request.to ? ::text(*request.to) : "");
-        all += answer.refused ? "b" : answer.taken ? "t" : "n";
-        all += std::to_string(answer.epoch) + (answer.sealed ? "s" : "") + ::text(answer.cell.promised) +
-               ":" + ::text(answer.cell.accepted) + answer.cell.value;
-        for (const auto& [key, cell] : answer.cells)
+        all += answer.rejected ? "b" : answer.accepted ? "t" : "n";
+        all += std::to_string(answer.epoch) + (answer.sealed ? "s" : "") + ::text(answer.state.promised) +
+               ":" + ::text(answer.state.accepted) + answer.state.value;
+        for (const auto& [key, cell] : answer.states)
             all += key + ::text(cell.promised) + ":" + ::text(cell.accepted) + cell.value;
         return all;
     }
@@ -122,7 +122,7 @@
             lives.push_back(1);
             if (at < shape.members) first.members.push_back(member(at));
         }
-        for (int at = 0; at < shape.members; ++at) copies[at].put({{}, EpochState{first, true, {}, {}}});
+        for (int at = 0; at < shape.members; ++at) copies[at].apply({{}, EpochState{first, true, {}, {}}});
         images = copies;
         opened[first.number] = first;
         if (shape.founding) {
@@ -163,7 +163,7 @@
     void begin(int at) {
         auto& task = tasks[at];
         const auto writer = static_cast<std::uint32_t>(at + 1);
-        const auto above = task.run ? task.run->above() : 0;
+        const auto above = task.run ? task.run->highestRound() : 0;
         ++task.attempt;
         task.heard.clear();
         task.succession.reset();
@@ -200,10 +200,11 @@
         }
         message.ofRun = false, message.step = static_cast<int>(task.succession->step());
         for (const auto& request : task.succession->requests()) {
-            const auto run = task.succession->runs().find(request.key);
-            message.inRun = run == task.succession->runs().end() ? 0 : static_cast<int>(run->second.step());
+            const auto run = task.succession->proposals().find(request.key);
+            message.inRun =
+                run == task.succession->proposals().end() ? 0 : static_cast<int>(run->second.step());
             message.request = request;
-            each(task.succession->asked(), message);
+            each(task.succession->targetEpoch(), message);
         }
     }
 
@@ -245,12 +246,12 @@
                 if (bug == Bug::opensEmpty)
                     for (auto& copy : copies)
                         if (decided.find(copyAddress(copy), copy.disk()))
-                            copy.put({{}, EpochState{decided, true, {}, {}}});
+                            copy.apply({{}, EpochState{decided, true, {}, {}}});
                 task.succession = Reconfiguration(epoch, decided, static_cast<std::uint32_t>(at + 1));
                 if (bug == Bug::opensEmpty) {
                     for (auto& copy : copies)
                         if (!task.epoch.find(copyAddress(copy), copy.disk()))
-                            copy.put({{{"k", RegisterState{}}}, {}});
+                            copy.apply({{{"k", RegisterState{}}}, {}});
                     open(decided), task.ended = true;
                     return;
                 }
@@ -290,9 +291,9 @@
             if (task.epoch.number != newest().number) return void(task.ended = true);  // another was quicker
             // A decided successor is told by whoever has sealed for it: it is not decided again, but ended.
             for (const auto& copy : copies)
-                if (copy.standing().next && copy.standing().epoch.number == task.epoch.number) {
+                if (copy.epochState().next && copy.epochState().epoch.number == task.epoch.number) {
                     ++task.attempt, task.heard.clear();
-                    task.succession = Reconfiguration(task.epoch, *copy.standing().next,
+                    task.succession = Reconfiguration(task.epoch, *copy.epochState().next,
                                                       static_cast<std::uint32_t>(at + 1));
                     return send(at);
                 }
@@ -349,79 +350,80 @@
         const bool keeps = bug == Bug::lostDiskKeepsName || (bug == Bug::foundsAgain && shape.founding);
         if (!keeps) ++lives[machine];
         copies[machine] = Acceptor(address(machine), std::to_string(lives[machine]));
-        if (keeps && before.standing().epoch.number <= (shape.founding ? 0u : 1u))
-            copies[machine].put({{}, images[machine].standing()});
+        if (keeps && before.epochState().epoch.number <= (shape.founding ? 0u : 1u))
+            copies[machine].apply({{}, images[machine].epochState()});
     }
     void deliver(const Message& message) {
         if (message.reply) {
             auto& task = tasks[message.task];
             if (message.attempt != task.attempt || message.ofRun == task.succession.has_value()) return;
             task.heard += message.text() + ";";
-            const auto& asked = task.succession ? task.succession->asked() : task.epoch;
+            const auto& asked = task.succession ? task.succession->targetEpoch() : task.epoch;
             std::optional<std::uint32_t> place;
             for (std::uint32_t at = 0; at < asked.members.size(); ++at)
                 if (asked.members[at].address == address(message.machine)) place = at;
             if (!place) return;
             const bool moves =
                 task.succession
-                    ? task.succession->on(*place, static_cast<Reconfiguration::Step>(message.step),
-                                          message.request.key, static_cast<Proposal::Step>(message.inRun),
-                                          message.answer)
-                    : task.run->on(*place, static_cast<Proposal::Step>(message.step), message.answer);
+                    ? task.succession->handleReply(*place, static_cast<Reconfiguration::Step>(message.step),
+                                                   message.request.key,
+                                                   static_cast<Proposal::Step>(message.inRun), message.answer)
+                    : task.run->handleReply(*place, static_cast<Proposal::Step>(message.step),
+                                            message.answer);
             if (moves) moved(message.task);
             return;
         }
         auto& copy = copies[message.machine];
         auto request = message.request;
         if (bug == Bug::countsBothEpochs && request.kind <= Request::Kind::accept)
-            request.epoch = copy.standing().epoch.number;
+            request.epoch = copy.epochState().epoch.number;
         std::optional<Update> update;
         Reply reply;
-        if (bug == Bug::spareCounts && reply.refused == false && message.machine == 0 &&
+        if (bug == Bug::spareCounts && reply.rejected == false && message.machine == 0 &&
             request.kind <= Request::Kind::accept && !message.ofRun == false &&
             copies.size() > static_cast<std::size_t>(shape.members)) {
             // The spare's copy answers beside the member's own, as one of the members.
             Acceptor spare("a", "1");
-            spare.put({copies.back().cells(), copies[0].standing()});
+            spare.apply({copies.back().states(), copies[0].epochState()});
             reply = spare.evaluate(request, update);
-            if (update) copies.back().put({update->cells, {}});
-            if (!reply.refused && message.task % 2 == 1) return answer(message, reply);
+            if (update) copies.back().apply({update->states, {}});
+            if (!reply.rejected && message.task % 2 == 1) return answer(message, reply);
         }
         if (bug == Bug::newDiskSeals && request.kind == Request::Kind::seal &&
-            copy.standing().epoch.number == request.epoch + 1) {
-            reply.taken = true, reply.cells = copy.cells();
-        } else if (bug == Bug::sealForgets && copy.standing().next) {
-            auto standing = copy.standing();
+            copy.epochState().epoch.number == request.epoch + 1) {
+            reply.accepted = true, reply.states = copy.states();
+        } else if (bug == Bug::sealForgets && copy.epochState().next) {
+            auto standing = copy.epochState();
             standing.next.reset();
             Acceptor loose(address(message.machine), copy.disk());
-            loose.put({copy.cells(), standing});
+            loose.apply({copy.states(), standing});
             reply = loose.evaluate(request, update);
         } else {
             reply = copy.evaluate(request, update);
         }
         if (update) {
             if (bug == Bug::forgetsPromise && request.kind == Request::Kind::prepare)
-                for (auto& [key, cell] : update->cells) cell.promised = copy.cell(key).promised;
-            if (!(bug == Bug::tellsBeforeDisk && message.machine == 0)) copy.put(*update);
-            if (images[message.machine].cells().empty()) images[message.machine] = copy;
+                for (auto& [key, cell] : update->states) cell.promised = copy.state(key).promised;
+            if (!(bug == Bug::tellsBeforeDisk && message.machine == 0)) copy.apply(*update);
+            if (images[message.machine].states().empty()) images[message.machine] = copy;
         }
         answer(message, reply);
-        if (!reply.refused && request.kind <= Request::Kind::accept) {
+        if (!reply.rejected && request.kind <= Request::Kind::accept) {
             // NoForgetfulVote: what one disk has told, it never goes back on.
             auto& highest = told[address(message.machine) + copy.disk() + request.key];
-            if (reply.cell.promised < highest)
+            if (reply.state.promised < highest)
                 broken = "NoForgetfulVote: " + address(message.machine) + " told " + text(highest) +
-                         ", then " + text(reply.cell.promised);
-            highest = std::max(highest, reply.cell.promised);
+                         ", then " + text(reply.state.promised);
+            highest = std::max(highest, reply.state.promised);
         }
-        if (request.kind == Request::Kind::accept && reply.taken) {
+        if (request.kind == Request::Kind::accept && reply.accepted) {
             const auto [body, added] =
                 bodies.emplace(request.key + text(request.proposalNumber), request.value);
             if (!added && body->second != request.value)
                 broken = "OneBody: " + text(request.proposalNumber) + " is " + body->second + " and " +
                          request.value;
         }
-        if (copy.standing().open) open(copy.standing().epoch);
+        if (copy.epochState().open) open(copy.epochState().epoch);
     }
     void answer(Message message, const Reply& reply) {
         message.reply = true, message.answer = reply;
@@ -434,9 +436,9 @@
             if (number == newest().number || number == 0) continue;
             std::size_t loose = 0;
             for (std::size_t at = 0; at < copies.size(); ++at) {
-                const auto& standing = copies[at].standing();
+                const auto& standing = copies[at].epochState();
                 const bool sealed = standing.next && bug != Bug::sealForgets;
-                loose += standing.epoch.number == number && !sealed && copies[at].member(epoch);
+                loose += standing.epoch.number == number && !sealed && copies[at].isMember(epoch);
             }
             if (loose >= epoch.majority()) broken = "NoOldEpochWrites: " + text(epoch) + " still takes";
         }
@@ -448,17 +450,17 @@
         std::string all;
         for (const auto& part : parts) all += part + "|";
         for (const auto& copy : copies) {
-            const auto& standing = copy.standing();
+            const auto& standing = copy.epochState();
             all += copy.disk() + text(standing.epoch) + (standing.open ? "o" : "c") +
                    (standing.next ? text(*standing.next) : "") + ";";
-            for (const auto& [name, cell] : copy.cells())
+            for (const auto& [name, cell] : copy.states())
                 all += name + text(cell.promised) + text(cell.accepted) + cell.value;
         }
         for (const auto& task : tasks) {
             all += "#" + std::to_string(task.attempt) + (task.ended ? "e" : "") + text(task.epoch);
             if (task.run)
                 all += std::to_string(static_cast<int>(task.run->step())) + task.run->value() +
-                       std::to_string(task.run->above()) + text(task.run->proposalNumber());
+                       std::to_string(task.run->highestRound()) + text(task.run->proposalNumber());
             if (task.succession) all += "s" + std::to_string(static_cast<int>(task.succession->step()));
             all += "~" + task.heard;
         }
@@ -592,21 +594,21 @@
             std::vector<Acceptor> copies;
             for (std::uint32_t at = 0; at < 3; ++at) {
                 copies.emplace_back(std::string(1, static_cast<char>('a' + at)), "1");
-                copies[at].put({{{"k", {{3, 9}, {at + 1, 9}, std::to_string(at + 1)}}},
-                                EpochState{epoch, true, {}, {}}});
+                copies[at].apply({{{"k", {{3, 9}, {at + 1, 9}, std::to_string(at + 1)}}},
+                                  EpochState{epoch, true, {}, {}}});
             }
             const auto read = [&](std::uint32_t from, std::uint64_t above) {
                 Proposal run("k", epoch, 1, above, asItIs, true);
                 while (run.step() != Proposal::Step::done) {
                     if (run.step() == Proposal::Step::lost)
-                        run = Proposal("k", epoch, 1, run.above(), asItIs, false);
+                        run = Proposal("k", epoch, 1, run.highestRound(), asItIs, false);
                     const auto request = run.request();
                     const auto step = run.step();
                     for (std::uint32_t at = 0; at < 3; ++at) {
                         std::optional<Update> update;
                         const auto reply = copies[(from + at) % 3].evaluate(request, update);
-                        if (update) copies[(from + at) % 3].put(*update);
-                        run.on((from + at) % 3, step, reply);
+                        if (update) copies[(from + at) % 3].apply(*update);
+                        run.handleReply((from + at) % 3, step, reply);
                     }
                 }
                 return run.value();
@@ -625,22 +627,22 @@
             "k", two, 1, 0, [](const std::string&) { return "new"; }, false);
         const auto refusal = [](std::uint64_t epoch, bool sealed) {
             Reply reply;
-            reply.refused = true, reply.epoch = epoch, reply.sealed = sealed;
+            reply.rejected = true, reply.epoch = epoch, reply.sealed = sealed;
             return reply;
         };
         Reply taken;
-        taken.taken = true;
+        taken.accepted = true;
         while (run.step() != Proposal::Step::done) {
             const auto step = run.step();
-            CPPUNIT_ASSERT(!run.on(0, step, refusal(1, true)));
-            CPPUNIT_ASSERT(!run.on(1, step, taken));
-            CPPUNIT_ASSERT(run.on(2, step, taken));
+            CPPUNIT_ASSERT(!run.handleReply(0, step, refusal(1, true)));
+            CPPUNIT_ASSERT(!run.handleReply(1, step, taken));
+            CPPUNIT_ASSERT(run.handleReply(2, step, taken));
         }
         // Sealed in its own epoch, or further on: nothing more to win.
         for (const auto& reply : {refusal(2, true), refusal(3, false)}) {
             Proposal other(
                 "k", two, 1, 0, [](const std::string&) { return "new"; }, false);
-            CPPUNIT_ASSERT(other.on(0, Proposal::Step::prepare, reply));
+            CPPUNIT_ASSERT(other.handleReply(0, Proposal::Step::prepare, reply));
             CPPUNIT_ASSERT(other.step() == Proposal::Step::lost);
         }
     }
@@ -652,34 +654,35 @@
         std::map<std::string, Acceptor> copies;
         for (const auto* name : {"a", "b", "c", "d", "e"}) {
             copies.emplace(name, Acceptor(name, "1"));
-            if (name[0] < 'd') copies.at(name).put({{}, EpochState{one, true, {}, {}}});
+            if (name[0] < 'd') copies.at(name).apply({{}, EpochState{one, true, {}, {}}});
         }
         const auto ask = [&](const std::string& name, const Request& request) {
             std::optional<Update> update;
             auto& copy = copies.at(name);
             const auto reply = copy.evaluate(request, update);
-            if (update) copy.put(*update);
+            if (update) copy.apply(*update);
             return reply;
         };
         Request request;
         request.epoch = 1, request.key = "k", request.proposalNumber = {100, 1};
         request.kind = Request::Kind::prepare;
-        for (const auto* name : {"a", "b", "c"}) CPPUNIT_ASSERT(ask(name, request).taken);
+        for (const auto* name : {"a", "b", "c"}) CPPUNIT_ASSERT(ask(name, request).accepted);
         request.kind = Request::Kind::accept, request.value = "old";
-        CPPUNIT_ASSERT(ask("a", request).taken);  // and nobody else hears of it
+        CPPUNIT_ASSERT(ask("a", request).accepted);  // and nobody else hears of it
         Reconfiguration succession(one, two, 2);
         for (int turn = 0; turn < 20 && succession.step() != Reconfiguration::Step::done; ++turn) {
             const auto requests = succession.requests();
             const auto step = succession.step();
-            const auto asked = succession.asked();
+            const auto asked = succession.targetEpoch();
             for (const auto& each : requests) {
-                const auto run = succession.runs().find(each.key);
-                const auto inRun = run == succession.runs().end() ? Proposal::Step::look : run->second.step();
+                const auto run = succession.proposals().find(each.key);
+                const auto inRun =
+                    run == succession.proposals().end() ? Proposal::Step::read : run->second.step();
                 for (std::uint32_t at = 0; at < asked.members.size(); ++at) {
                     const auto& name = asked.members[at].address;
                     if (name == "a" || (name == "c" && step != Reconfiguration::Step::seal))
                         continue;  // cut off
-                    succession.on(at, step, each.key, inRun, ask(name, each));
+                    succession.handleReply(at, step, each.key, inRun, ask(name, each));
                 }
             }
         }
@@ -689,13 +692,14 @@
         for (int turn = 0; turn < 9 && later.step() != Proposal::Step::done; ++turn) {
             if (later.step() == Proposal::Step::lost)
                 later = Proposal(
-                    "k", two, 3, later.above(), [](const std::string&) { return "new"; }, false);
+                    "k", two, 3, later.highestRound(), [](const std::string&) { return "new"; }, false);
             const auto step = later.step();
             const auto asked = later.request();
-            for (std::uint32_t at = 1; at < 3; ++at) later.on(at, step, ask(two.members[at].address, asked));
+            for (std::uint32_t at = 1; at < 3; ++at)
+                later.handleReply(at, step, ask(two.members[at].address, asked));
         }
         CPPUNIT_ASSERT(later.step() == Proposal::Step::done);
-        CPPUNIT_ASSERT(later.proposalNumber() > copies.at("a").cell("k").accepted);
+        CPPUNIT_ASSERT(later.proposalNumber() > copies.at("a").state("k").accepted);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RegisterTest);
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -10,7 +10,7 @@
 #include "config/bootstrap_settings.hpp"
 #include "config/configuration.hpp"
 #include "leases/leases.hpp"
-#include "membership/membership.hpp"
+#include "membership/codec.hpp"
 #include "messages/codec.hpp"
 #include "seeded.hpp"
 #include "subscription/configuration_cache.hpp"
@@ -231,27 +231,27 @@
     }
     if (json.is_discarded()) return;
     consensus::Acceptor copy("a", "1");
-    copy.put({{}, consensus::EpochState{{1, {{"a", "1", "", ""}}}, true, {}, {}}});
+    copy.apply({{}, consensus::EpochState{{1, {{"a", "1", "", ""}}}, true, {}, {}}});
     try {
         const auto request = membership::decodeRequest(json);
-        insist(membership::write(membership::decodeRequest(membership::write(request))) ==
-               membership::write(request));
+        insist(membership::encode(membership::decodeRequest(membership::encode(request))) ==
+               membership::encode(request));
         std::optional<consensus::Update> update;
         const auto reply = copy.evaluate(request, update);
-        if (update) copy.put(*update);
-        insist(membership::write(membership::decodeReply(membership::write(reply))) ==
-               membership::write(reply));
+        if (update) copy.apply(*update);
+        insist(membership::encode(membership::decodeReply(membership::encode(reply))) ==
+               membership::encode(reply));
     } catch (const Json::exception&) {
     }
     try {
         const auto standing = membership::decodeEpochState(json);
-        insist(membership::decodeEpochState(membership::write(standing)) == standing);
+        insist(membership::decodeEpochState(membership::encode(standing)) == standing);
     } catch (const Json::exception&) {
     }
     try {
         const auto reply = membership::decodeReply(json);
-        insist(membership::write(membership::decodeReply(membership::write(reply))) ==
-               membership::write(reply));
+        insist(membership::encode(membership::decodeReply(membership::encode(reply))) ==
+               membership::encode(reply));
     } catch (const Json::exception&) {
     }
 }
@@ -340,12 +340,12 @@
     accept.proposalNumber = {3, 4};
     accept.value = "value";
     consensus::Reply sealed;
-    sealed.taken = true, sealed.cells["k"] = {{3, 4}, {2, 1}, "value"};
+    sealed.accepted = true, sealed.states["k"] = {{3, 4}, {2, 1}, "value"};
     const std::vector<std::string> seeds{
-        packed(membership::write(seal)),
-        packed(membership::write(accept)),
-        packed(membership::write(sealed)),
-        packed(membership::write(consensus::EpochState{one, true, two, {}})),
+        packed(membership::encode(seal)),
+        packed(membership::encode(accept)),
+        packed(membership::encode(sealed)),
+        packed(membership::encode(consensus::EpochState{one, true, two, {}})),
         seed(
             0,
             R"({"config_version":"0000000c","resources":[{"resource_type":"route_table","metadata":{"name":"r"},"spec":{"hostname":"h","path_prefix":"/p/","route_class":"idempotent","timeout":"1s","target_latency":"1s","traffic_split":[{"service_name":"s","weight":3}]}},{"resource_type":"service_table","metadata":{"name":"s"},"spec":{}}]})"),
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -8,6 +8,7 @@
 #include <cstdlib>
 #include <filesystem>
 
+#include "membership/codec.hpp"
 #include "support/replica_node_fixture.hpp"
 
 using namespace keeper_stage;
@@ -57,25 +58,25 @@
     void howManyAndWhich() {
         const std::vector<consensus::Member> five{machine("a", "1"), machine("b", "1"), machine("c", "2"),
                                                   machine("d", "2"), machine("e", "3")};
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), membership::plan({}, all(five), {1, 0, 0}).size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(5), membership::plan({}, all(five), {2, 0, 0}).size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), membership::plan({}, all(five), {0, 0, 0}).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), membership::planMembers({}, all(five), {1, 0, 0}).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(5), membership::planMembers({}, all(five), {2, 0, 0}).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), membership::planMembers({}, all(five), {0, 0, 0}).size());
         // One zone: three members, one in each.
-        const auto spread = membership::plan({}, all(five), {0, 1, 0});
+        const auto spread = membership::planMembers({}, all(five), {0, 1, 0});
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), spread.size());
         CPPUNIT_ASSERT(membership::unmetTolerance(spread, {1, 1, 0}).empty());
         // Two zones of two can't bear the loss of one of them; machines go first, and what isn't borne is
         // said.
         const std::vector<consensus::Member> two{machine("a", "1"), machine("b", "1"), machine("c", "2"),
                                                  machine("d", "2")};
-        const auto chosen = membership::plan({}, all(two), {1, 1, 0});
+        const auto chosen = membership::planMembers({}, all(two), {1, 1, 0});
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), chosen.size());
         CPPUNIT_ASSERT_EQUAL(std::string("1 zone"), membership::unmetTolerance(chosen, {1, 1, 0}).front());
         // Regions: five over three of them bear one region of two machines.
         const std::vector<consensus::Member> wide{machine("a", "1", "x"), machine("b", "2", "x"),
                                                   machine("c", "3", "y"), machine("d", "4", "y"),
                                                   machine("e", "5", "z"), machine("f", "6", "z")};
-        const auto regions = membership::plan({}, all(wide), {2, 1, 1});
+        const auto regions = membership::planMembers({}, all(wide), {2, 1, 1});
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), regions.size());
         CPPUNIT_ASSERT(membership::unmetTolerance(regions, {2, 1, 1}).empty());
         CPPUNIT_ASSERT(!membership::unmetTolerance(five, {2, 2, 0}).empty());
@@ -88,22 +89,23 @@
                    again = consensus::Member{"c", "d-new", "3", "r"};
         const FaultTolerance one{1, 0, 0};
         const std::vector<consensus::Member> now{a, b, c};
-        CPPUNIT_ASSERT_EQUAL(std::string("a b c"), names(membership::plan(now, all({a, b, c, d}), one)));
-        CPPUNIT_ASSERT_EQUAL(std::string("a b d"), names(membership::plan(now, all({a, b, d}), one)));
-        CPPUNIT_ASSERT_EQUAL(std::string("a b c"), names(membership::plan(now, all({a, b}), one)));
-        CPPUNIT_ASSERT(membership::plan(now, all({a, b}), one) == now);
+        CPPUNIT_ASSERT_EQUAL(std::string("a b c"),
+                             names(membership::planMembers(now, all({a, b, c, d}), one)));
+        CPPUNIT_ASSERT_EQUAL(std::string("a b d"), names(membership::planMembers(now, all({a, b, d}), one)));
+        CPPUNIT_ASSERT_EQUAL(std::string("a b c"), names(membership::planMembers(now, all({a, b}), one)));
+        CPPUNIT_ASSERT(membership::planMembers(now, all({a, b}), one) == now);
         // Not whole: it waits.
         auto half = all({a, b, d});
-        half[2].whole = false;
-        CPPUNIT_ASSERT(membership::plan(now, half, one) == now);
+        half[2].complete = false;
+        CPPUNIT_ASSERT(membership::planMembers(now, half, one) == now);
         // The same machine with another disk is another member.
-        CPPUNIT_ASSERT(membership::plan(now, all({a, b, again}), one).back() == again);
+        CPPUNIT_ASSERT(membership::planMembers(now, all({a, b, again}), one).back() == again);
         // Two absent of three: there is no majority to decide anything, and none is pretended.
-        CPPUNIT_ASSERT(membership::plan(now, all({a}), one) == now);
+        CPPUNIT_ASSERT(membership::planMembers(now, all({a}), one) == now);
         // One that is about to leave is absent.
         auto leaving = all({a, b, c, d});
         leaving[2].present = false;
-        CPPUNIT_ASSERT_EQUAL(std::string("a b d"), names(membership::plan(now, leaving, one)));
+        CPPUNIT_ASSERT_EQUAL(std::string("a b d"), names(membership::planMembers(now, leaving, one)));
     }
 
     // Five machines, one to be lost: one register of three, whoever hears of whom first.
@@ -117,7 +119,7 @@
         for (int at = 0; at < 5; ++at) CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.read(at));
         // Those that stand by count for nothing.
         int votes = 0;
-        for (int at = 0; at < 5; ++at) votes += cast.replica(at).votes();
+        for (int at = 0; at < 5; ++at) votes += cast.replica(at).isVotingMember();
         CPPUNIT_ASSERT_EQUAL(3, votes);
     }
 
@@ -149,7 +151,7 @@
                 six.push_back(machine(address, zone(at)));
             }
             chosen.clear();
-            for (const auto& member : membership::plan({}, all(six), {1, 1, 0}))
+            for (const auto& member : membership::planMembers({}, all(six), {1, 1, 0}))
                 chosen.push_back(transport::hostOf(member.address));
             if (chosen == beyond) break;
         }
@@ -161,7 +163,7 @@
         for (const int at : {3, 4, 5, 0, 1, 2}) cast.launch(at, true);
         cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3, 4, 5}); });
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), cast.registers().size());
-        for (const int at : {3, 4, 5}) CPPUNIT_ASSERT(cast.replica(at).votes());
+        for (const int at : {3, 4, 5}) CPPUNIT_ASSERT(cast.replica(at).isVotingMember());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.write(1, "one"));
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.read(4));
     }
@@ -201,8 +203,8 @@
         cast.launch(0, true), cast.launch(1, false), cast.launch(2, false);
         int pings = 0;
         cast.until("they have met and talked",
-                   [&] { return ++pings > 3000 && cast.replica(0).reached() == 2; });
-        for (int at = 0; at < 3; ++at) CPPUNIT_ASSERT(!cast.replica(at).formed());
+                   [&] { return ++pings > 3000 && cast.replica(0).connectedPeerCount() == 2; });
+        for (int at = 0; at < 3; ++at) CPPUNIT_ASSERT(!cast.replica(at).isFounded());
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cast.write(0, "one", 3600 * kSecond));
     }
 
@@ -217,9 +219,9 @@
         // So do the others, long before its links are given up.
         const auto silent = cast.members[0]->at();
         cast.until("it is heard no more",
-                   [&] { return !cast.replica(1).hears(silent) && !cast.replica(2).hears(silent); });
-        CPPUNIT_ASSERT(cast.replica(1).hears(cast.members[2]->at()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(2), cast.replica(1).reached());
+                   [&] { return !cast.replica(1).hearsPeer(silent) && !cast.replica(2).hearsPeer(silent); });
+        CPPUNIT_ASSERT(cast.replica(1).hearsPeer(cast.members[2]->at()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(2), cast.replica(1).connectedPeerCount());
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cast.write(0, "lost", 3600 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("-"),
                              cast.change(
@@ -263,7 +265,7 @@
             if (cast.members[at]->gone) {
                 cast.launch(at, false);
                 cast.until("it knows its place", [&] {
-                    return cast.replica(at).hasQuorumContact() && !cast.replica(at).votes() &&
+                    return cast.replica(at).hasQuorumContact() && !cast.replica(at).isVotingMember() &&
                            !cast.replica(at).members().contains(cast.members[at]->at());
                 });
                 CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.read(at));
@@ -279,7 +281,7 @@
         std::vector<int> seated;
         int spare = 0;
         for (int at = 0; at < 4; ++at)
-            if (cast.replica(at).votes()) seated.push_back(at);
+            if (cast.replica(at).isVotingMember()) seated.push_back(at);
             else spare = at;
         const int gone = seated[0], full = seated[1], other = seated[2];
         cast.members[gone]->kill();
@@ -287,12 +289,13 @@
             return cast.disks[full].image().second["standing"].find("\"next\"") != std::string::npos;
         });
         cast.disks[full].set(cast.disks[full].full, true);
-        cast.until("the seat is taken",
-                   [&] { return cast.replica(other).hasQuorumContact() && cast.replica(spare).votes(); });
+        cast.until("the seat is taken", [&] {
+            return cast.replica(other).hasQuorumContact() && cast.replica(spare).isVotingMember();
+        });
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cast.write(other, "two"));
-        CPPUNIT_ASSERT(!cast.replica(full).votes());
+        CPPUNIT_ASSERT(!cast.replica(full).isVotingMember());
         cast.disks[full].set(cast.disks[full].full, false);
-        cast.until("it counts again", [&] { return cast.replica(full).votes(); });
+        cast.until("it counts again", [&] { return cast.replica(full).isVotingMember(); });
         cast.members[spare]->kill();
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cast.read(other));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cast.write(full, "three"));
@@ -312,9 +315,9 @@
         };
         std::vector<int> first;
         for (int at = 0; at < 7; ++at)
-            if (cast.replica(at).votes()) first.push_back(at);
+            if (cast.replica(at).isVotingMember()) first.push_back(at);
         int witness = 0;
-        while (cast.replica(witness).votes()) ++witness;
+        while (cast.replica(witness).isVotingMember()) ++witness;
         for (const int at : first) {
             cast.members[at]->kill();
             takesOver(cast.members[at]->at(), witness);
@@ -348,7 +351,7 @@
         cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.write(0, "one"));
         int late = 0;
-        while (!cast.replica(late).votes()) ++late;
+        while (!cast.replica(late).isVotingMember()) ++late;
         std::vector<int> others;
         for (int at = 0; at < 4; ++at)
             if (at != late) others.push_back(at);
@@ -375,12 +378,12 @@
         cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.write(0, "one"));
         int holds = 0, spare = 0;
-        while (!cast.replica(holds).votes()) ++holds;
-        while (cast.replica(spare).votes()) ++spare;
+        while (!cast.replica(holds).isVotingMember()) ++holds;
+        while (cast.replica(spare).isVotingMember()) ++spare;
         auto next = cast.replica(holds).epoch();
         next.number = 2;
         for (int at = 0; at < 4; ++at)
-            if (cast.replica(at).votes() && at != holds) {
+            if (cast.replica(at).isVotingMember() && at != holds) {
                 // In the place of the other member that comes first, as if it had been thought absent.
                 const auto disk = cast.disks[spare].image().second.at("disk");
                 std::erase_if(next.members,
@@ -391,7 +394,7 @@
             }
         cast.members[holds]->kill();
         auto image = cast.disks[holds].image();
-        image.first["epoch/2"] = {{1, 77}, {1, 77}, membership::write(next).dump()};
+        image.first["epoch/2"] = {{1, 77}, {1, 77}, membership::encode(next).dump()};
         cast.disks[holds].restore(image);
         cast.launch(holds, false);
         cast.until("it is ended", [&] {
@@ -417,7 +420,7 @@
         cast.disks[1].restore(image);
         cast.launch(1, false);
         cast.until("it votes again",
-                   [&] { return cast.replica(1).votes() && cast.replica(1).hasQuorumContact(); });
+                   [&] { return cast.replica(1).isVotingMember() && cast.replica(1).hasQuorumContact(); });
         CPPUNIT_ASSERT(cast.disks[1].image().second.at("disk") != disk);
         cast.until("the others know",
                    [&] { return !cast.replica(0).epoch().find(cast.members[1]->at(), disk); });
@@ -431,11 +434,11 @@
         cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cast.write(0, "one"));
         int leaver = 0;
-        while (!cast.replica(leaver).votes()) ++leaver;
+        while (!cast.replica(leaver).isVotingMember()) ++leaver;
         const auto leave = [&](Cast& of, int at) {
             bool left = false;
             start(of.io, "leave", [](ReplicaNode& replica, bool& left_) -> Task<> {
-                co_await replica.leave();
+                co_await replica.stepDown();
                 left_ = true;
             }(of.replica(at), left));
             of.until("it has left", [&] { return left; });
@@ -471,7 +474,8 @@
         for (int lost : {1, 2}) cast.disks[lost].restore({});
         cast.launch(0, false), cast.launch(1, false), cast.launch(2, false);
         int turns = 0;
-        cast.until("they have met", [&] { return ++turns > 3000 && cast.replica(0).reached() == 2; });
+        cast.until("they have met",
+                   [&] { return ++turns > 3000 && cast.replica(0).connectedPeerCount() == 2; });
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cast.write(0, "two", 3600 * kSecond));
         cast.members[0]->kill();
 
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -83,7 +83,7 @@
     }
     static bool votes(Cast& cast, const std::vector<int>& all) {
         return cast.hasQuorumContact(all) &&
-               std::all_of(all.begin(), all.end(), [&](int at) { return cast.replica(at).votes(); });
+               std::all_of(all.begin(), all.end(), [&](int at) { return cast.replica(at).isVotingMember(); });
     }
     // Asked again where there is no contact yet.
     static void change(Cast& cast, int at, const std::string& to) {
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -89,7 +89,7 @@
         owner = std::make_shared<PeerConnection::Owner>();
         owner->greet = [this](PeerConnection& link) {
             open.push_back(link.weak_from_this());
-            auto hello = replica->greeting();
+            auto hello = replica->helloFields();
             hello.update({{"t", "hello"}, {"at", at()}});
             return hello;
         };
@@ -108,7 +108,7 @@
         door = std::make_unique<tcp::acceptor>(listen(io, at()));
         replica->open();
         start(io, "links", servePeerConnections(io, *door, owner));
-        start(io, "maintain", replica->maintain());
+        start(io, "maintain", replica->run());
         for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
     }
     void heard(PeerConnection& link, const Json& message) {
@@ -116,10 +116,10 @@
         const bool hello = message.at("t") == "hello";
         if (hello) message.at("at").get_to(link.peer);
         if (overheard) overheard(link, message);
-        if (!hello) return void(replica->heard(link, message));
+        if (!hello) return void(replica->handleMessage(link, message));
         const auto dialer = dialers.find(link.peer);
         if (dialer != dialers.end() && dialer->second->link().get() == &link)
-            replica->joined(link.peer, link.shared_from_this());
+            replica->onPeerConnected(link.peer, link.shared_from_this());
         replica->onHello(message);
         for (const auto& address : message.at("members")) dial(address.get<std::string>());
     }
@@ -209,7 +209,7 @@
     }
     std::string change(int at, const consensus::Change& change, Nanos within) {
         const auto result =
-            loop_stage::result(io, replica(at).change(control_plane::kConfigurationKey, change, within),
+            loop_stage::result(io, replica(at).update(control_plane::kConfigurationKey, change, within),
                                [&](auto done) { until("a change ends", done); });
         return result.value_or("-");
     }
