--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -4,6 +4,12 @@
 #include <utility>
 
 namespace lichenlanding::consensus {
+namespace {
+
+// Of the keys on disk under which the members of an epoch decide the next.
+const std::string kSuccessorPrefix = "epoch/";
+
+}  // namespace
 
 std::optional<std::uint32_t> Epoch::find(const std::string& address, const std::string& disk) const {
     for (std::uint32_t at = 0; at < members.size(); ++at)
@@ -11,7 +17,9 @@
     return std::nullopt;
 }
 
-std::string successorKey(const Epoch& of) { return "epoch/" + std::to_string(of.number + 1); }
+bool isSuccessorKey(const std::string& key) { return key.starts_with(kSuccessorPrefix); }
+
+std::string successorKey(const Epoch& of) { return kSuccessorPrefix + std::to_string(of.number + 1); }
 
 const RegisterState& Acceptor::state(const std::string& key) const {
     static const RegisterState none;
@@ -28,7 +36,7 @@
     // What earlier epochs decided of their successors is done with.
     if (epochState_.open)
         std::erase_if(states_, [&](const auto& one) {
-            return one.first.starts_with("epoch/") && one.first != successorKey(epochState_.epoch);
+            return isSuccessorKey(one.first) && one.first != successorKey(epochState_.epoch);
         });
 }
 
@@ -195,7 +203,7 @@
     for (const auto& [key, cell] : highest_) {
         // Also where nothing was taken but something promised: a body that one disk took in an old epoch must
         // lie below every ballot of the new one, or it would come back with that disk.
-        if (key.starts_with("epoch/")) continue;
+        if (isSuccessorKey(key)) continue;
         proposals_.emplace(key,
                            Proposal(key, to_, proposer_, cell.promised.round, asItIs, false, cell, cell));
     }
--- a/src/consensus/consensus.hpp
+++ b/src/consensus/consensus.hpp
@@ -68,6 +68,8 @@
 
 // The key under which the members of one epoch decide the next; it has no meaning in any other.
 std::string successorKey(const Epoch& of);
+/// Whether a key is such a one, of whatever epoch.
+bool isSuccessorKey(const std::string& key);
 
 struct Request {
     enum class Kind : std::uint8_t { read, prepare, accept, seal, install };
--- /dev/null
+++ b/src/control_plane/catch_up.cpp
@@ -0,0 +1,49 @@
+#include "control_plane/catch_up.hpp"
+
+#include <algorithm>
+
+#include "control_plane/register_keys.hpp"
+
+namespace lichenlanding::control_plane {
+
+using namespace transport;
+
+CatchUp::CatchUp(asio::io_context& io, Proposer& proposer, ReplicaStorage& storage,
+                 QuorumContactMonitor& contact, Learner& learner)
+    : io_(io), proposer_(proposer), storage_(storage), contact_(contact), learner_(learner) {}
+
+void CatchUp::startReadingAll() {
+    if (!readingAll_) start(io_, "register", readAll());
+}
+
+Task<> CatchUp::readAll() {
+    readingAll_ = true;
+    bool all = true;
+    for (const auto& key : kKeys) {
+        if (!all) break;
+        const auto value = co_await proposer_.read(key, kSecond);
+        all = value.has_value();
+    }
+    readingAll_ = false;
+    if (all && contact_.isReachable() && !contact_.hasContact()) contact_.establish();
+}
+
+void CatchUp::check() {
+    for (const auto& key : kKeys)
+        if (!learner_.isBehind(key) && !storage_.isWriting()) learner_.retain(key);
+    const bool behind =
+        std::any_of(kKeys.begin(), kKeys.end(), [&](const auto& key) { return learner_.isBehind(key); });
+    if (behind && !readingBehind_) start(io_, "register", readBehind());
+}
+
+Task<> CatchUp::readBehind() {
+    readingBehind_ = true;
+    for (const auto& key : kKeys) {
+        if (!learner_.isBehind(key)) continue;
+        const auto value = co_await proposer_.read(key, kSecond);
+        if (value) learner_.noteRead(key);
+    }
+    readingBehind_ = false;
+}
+
+}  // namespace lichenlanding::control_plane
--- /dev/null
+++ b/src/control_plane/epoch_tracker.cpp
@@ -0,0 +1,80 @@
+#include "control_plane/epoch_tracker.hpp"
+
+#include "transport/log.hpp"
+
+namespace lichenlanding::control_plane {
+
+using namespace transport;
+
+EpochTracker::EpochTracker(ReplicaStorage& storage, std::function<void()> onOpened)
+    : storage_(storage), onOpened_(std::move(onOpened)) {}
+
+void EpochTracker::restore() {
+    const auto& stored = storage_.acceptor().epochState();
+    if (stored.open) open_ = stored.epoch;
+    follow(notice());
+}
+
+void EpochTracker::follow(const EpochNotice& notice) {
+    if (notice.epoch.number > open_.number) adopt(notice.epoch);
+    if (!notice.reconfiguration) return;
+    const auto& to = notice.reconfiguration->second;
+    if (to.number <= open_.number || (reconfiguration_ && reconfiguration_->second.number >= to.number))
+        return;
+    noteDecided(notice.reconfiguration->first, to);
+}
+
+void EpochTracker::noteDecided(const consensus::Epoch& from, const consensus::Epoch& to) {
+    reconfiguration_ = {from, to};
+    reconfigurationSince_ = now();
+}
+
+void EpochTracker::restartSuccessorDelay() { reconfigurationSince_ = now(); }
+
+void EpochTracker::adopt(const consensus::Epoch& epoch) {
+    const auto& acceptor = storage_.acceptor();
+    const bool wasMember = open_.number == 0 || acceptor.isMember(open_);
+    open_ = epoch;
+    openedAt_ = now();
+    if (reconfiguration_ && reconfiguration_->second.number <= epoch.number) reconfiguration_.reset();
+    Json members = Json::array();
+    for (const auto& member : epoch.members) members.push_back(member.address);
+    const bool isMember = acceptor.isMember(epoch);
+    log("epoch", {{"number", epoch.number}, {"members", members}, {"votes", isMember}});
+    if (!wasMember && isMember) log("rejoined", {{"number", epoch.number}, {"disk", acceptor.disk()}});
+    install();
+    onOpened_();
+}
+
+void EpochTracker::install() {
+    if (open_.number == 0 || isInstalled()) return;
+    consensus::Request request;
+    request.kind = consensus::Request::Kind::install;
+    request.epoch = open_.number;
+    request.to = open_;
+    request.open = true;
+    storage_.submit(std::move(request));
+}
+
+bool EpochTracker::isInstalled() const {
+    const auto& stored = storage_.acceptor().epochState();
+    return stored.epoch.number > open_.number || (stored.epoch.number == open_.number && stored.open);
+}
+
+std::set<std::string> EpochTracker::memberAddresses() const {
+    std::set<std::string> addresses;
+    for (const auto& member : open_.members) addresses.insert(member.address);
+    return addresses;
+}
+
+EpochNotice EpochTracker::notice() const {
+    const auto& stored = storage_.acceptor().epochState();
+    EpochNotice notice;
+    notice.epoch = stored.open && stored.epoch.number > open_.number ? stored.epoch : open_;
+    if (stored.next) notice.reconfiguration = {stored.epoch, *stored.next};
+    else if (!stored.open && stored.before) notice.reconfiguration = {*stored.before, stored.epoch};
+    else notice.reconfiguration = reconfiguration_;
+    return notice;
+}
+
+}  // namespace lichenlanding::control_plane
--- /dev/null
+++ b/src/control_plane/register_keys.hpp
@@ -0,0 +1,14 @@
+/// The keys of the replicated register. They are part of the wire protocol and of the disk format.
+#pragma once
+
+#include <array>
+#include <string>
+
+namespace lichenlanding::control_plane {
+
+inline const std::string kConfigurationKey = "configuration", kRolloutsKey = "rollouts",
+                         kDutiesKey = "duties";
+/// Every key that outlives a change of epoch; the successor keys of epochs are not among them.
+inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kDutiesKey};
+
+}  // namespace lichenlanding::control_plane
--- /dev/null
+++ b/src/control_plane/replica_storage.cpp
@@ -0,0 +1,263 @@
+#include "control_plane/replica_storage.hpp"
+
+#include <algorithm>
+#include <boost/asio/post.hpp>
+#include <filesystem>
+
+#include "control_plane/register_keys.hpp"
+#include "membership/codec.hpp"
+#include "transport/log.hpp"
+
+namespace lichenlanding::control_plane {
+namespace {
+
+using namespace transport;
+using membership::Json;
+using storage::kDiskNote, storage::kStandingNote;
+
+constexpr std::size_t kMaxQueuedJobs = 64;
+constexpr double kStoreShareOfDisk = 0.6;  // of the disk that the store may take
+constexpr Nanos kRetryWriteAfter = 100 * kMillisecond;
+
+}  // namespace
+
+ReplicaStorage::ReplicaStorage(asio::io_context& io, FoundingRules founding, Opener opener, Hooks hooks)
+    : io_(io), founding_(std::move(founding)), opener_(std::move(opener)), hooks_(std::move(hooks)) {}
+
+ReplicaStorage::~ReplicaStorage() { diskThread_.join(); }
+
+ReplicaStorage::Opener ReplicaStorage::onDisk(const config::BootstrapSettings& boot) {
+    const auto folder = boot.dataDir + "/promptbook";
+    const auto bytes = static_cast<std::size_t>(std::max(boot.diskMegabytes, 16) * kStoreShareOfDisk) << 20;
+    return [folder, bytes](bool replace) {
+        if (replace) std::filesystem::remove_all(folder);
+        std::filesystem::create_directories(folder);
+        return std::make_unique<storage::LmdbReplicaStore>(folder, bytes);
+    };
+}
+
+// ---- The identity of the disk. ----
+
+void ReplicaStorage::load() {
+    consensus::RegisterStates states;
+    Notes notes;
+    try {
+        store_ = opener_(false);
+        states = store_->cells();
+        for (const auto& name : kStoredNotes) notes[name] = store_->note(name);
+    } catch (const storage::StorageError& damaged) {
+        log("book_damaged", {{"step", "open"}, {"error", damaged.what()}});
+        store_.reset();
+        store_ = opener_(true);
+        notes.clear();
+        states.clear();
+    }
+    auto stored = readIdentity(std::move(states), std::move(notes), founding_);
+    isNew_ = stored.isNew;
+    writes_ = stored.writes;
+    witnessed_ = std::move(stored.witnessed);
+    acceptor_ = consensus::Acceptor(founding_.address, stored.disk);
+    acceptor_.apply(stored.update);
+    log("book_open", {{"disk", stored.disk},
+                      {"epoch", acceptor_.epochState().epoch.number},
+                      {"votes", acceptor_.isVotingMember()},
+                      {"founding", stored.isFounder},
+                      {"keys", acceptor_.states().size()}});
+}
+
+void ReplicaStorage::activate() {
+    if (!isNew_) {
+        open_ = true;
+        confirmIdentity();
+        return;
+    }
+    // The identity, and at the first start that this is a founder, are synced before anything is said.
+    Job job;
+    job.update.epochState = acceptor_.epochState();
+    job.notes[kDiskNote] = acceptor_.disk();
+    job.onSynced = [this] {
+        open_ = true;
+        confirmed_ = true;
+        hooks_.onFirstOpened();
+    };
+    enqueue(std::move(job));
+}
+
+void ReplicaStorage::noteWrites(const std::string& disk, std::uint64_t writes) {
+    auto& highest = witnessed_[disk];
+    highest = std::max(highest, writes);
+}
+
+std::uint64_t ReplicaStorage::witnessedWrites(const std::string& disk) const {
+    const auto at = witnessed_.find(disk);
+    return at == witnessed_.end() ? 0 : at->second;
+}
+
+void ReplicaStorage::noteConfirmation(const std::string& address, const std::string& disk) {
+    confirmations_[address] = disk;
+    confirmIdentity();
+}
+
+void ReplicaStorage::confirmIdentity() {
+    if (confirmed_ || !open_) return;
+    // Where its epoch has passed, the members of that one may be gone for good, and nothing of it is answered
+    // any more: only those of the newest are asked, if this disk is one of them.
+    const auto& stored = acceptor_.epochState().epoch;
+    const auto& open = hooks_.openEpoch();
+    const auto& epoch = open.number > stored.number ? open : stored;
+    const auto confirming =
+        std::count_if(epoch.members.begin(), epoch.members.end(), [&](const auto& member) {
+            if (member.address == founding_.address) return true;
+            const auto at = confirmations_.find(member.address);
+            return at != confirmations_.end() && (epoch.number == 0 || at->second == member.disk);
+        });
+    if (acceptor_.isMember(epoch) && static_cast<std::size_t>(confirming) < epoch.majority()) return;
+    confirmed_ = true;
+    if (!jobs_.empty() && !working_) startQueue();
+}
+
+void ReplicaStorage::renewIdentity(const char* reason) {
+    log("disk_renewed", {{"step", "identity"}, {"why", reason}, {"disk", acceptor_.disk()}});
+    const auto epochState = acceptor_.epochState();
+    const auto states = acceptor_.states();
+    acceptor_ = consensus::Acceptor(founding_.address, drawDiskId());
+    acceptor_.apply({{}, epochState});
+    jobs_.clear();
+    retainedKeys_.clear();
+    confirmed_ = false;
+    open_ = false;
+    writes_ = 0;
+    Job job;
+    for (const auto& [key, _] : states) job.update.states[key] = {};
+    job.update.epochState = epochState;
+    job.notes[kDiskNote] = acceptor_.disk();
+    job.onSynced = [this] {
+        open_ = true;
+        confirmed_ = true;
+        hooks_.onRenewed();
+    };
+    enqueue(std::move(job));
+}
+
+// ---- The queue: one job after the other, each synced before its reply. ----
+
+bool ReplicaStorage::isQueueFull() const { return jobs_.size() >= kMaxQueuedJobs; }
+
+bool ReplicaStorage::acceptsRequests() const { return open_ && !isQueueFull(); }
+
+void ReplicaStorage::submit(consensus::Request request, ReplyHandler onReply) {
+    Job job;
+    job.request = std::move(request);
+    job.onReply = std::move(onReply);
+    enqueue(std::move(job));
+}
+
+void ReplicaStorage::submitRetained(const std::string& key) {
+    if (!retainedKeys_.insert(key).second) return;
+    Job job;
+    job.retainedKey = key;
+    enqueue(std::move(job));
+}
+
+void ReplicaStorage::enqueue(Job job) {
+    jobs_.push_back(std::move(job));
+    if (working_ || (open_ && !confirmed_)) return;
+    startQueue();
+}
+
+void ReplicaStorage::startQueue() {
+    working_ = true;
+    start(io_, "register copy", processQueue());
+}
+
+std::optional<consensus::Update> ReplicaStorage::evaluate(const Job& job, consensus::Reply& reply) {
+    std::optional<consensus::Update> update;
+    if (job.request) {
+        // An epoch that has passed, also where that is not on this disk yet.
+        const auto openEpoch = hooks_.openEpoch().number;
+        if (job.request->kind != consensus::Request::Kind::install && job.request->epoch < openEpoch) {
+            reply.rejected = true;
+            reply.epoch = openEpoch;
+        } else {
+            reply = acceptor_.evaluate(*job.request, update);
+        }
+    } else if (job.retainedKey) {
+        if (auto states = hooks_.statesToRetain(*job.retainedKey))
+            update = consensus::Update{std::move(*states), {}};
+        retainedKeys_.erase(*job.retainedKey);
+    } else {
+        update = job.update;
+    }
+    return update;
+}
+
+void ReplicaStorage::applySynced(const Job& job, const consensus::Update& update) {
+    acceptor_.apply(update);
+    if (job.request) hooks_.onStatesSynced(update.states);
+    if (update.epochState) hooks_.onEpochStateSynced();
+}
+
+Task<> ReplicaStorage::processQueue() {
+    while (!jobs_.empty()) {
+        auto job = std::move(jobs_.front());
+        jobs_.pop_front();
+        consensus::Reply reply;
+        const auto update = evaluate(job, reply);
+        if (update) {
+            const auto disk = acceptor_.disk();
+            const bool synced = co_await write(*update, job.notes);
+            if (!synced) {
+                // No reply, as from a machine that is down; what is retained is looked at again later.
+                if (job.request || job.retainedKey) continue;
+                jobs_.push_back(std::move(job));
+                co_await sleep(kRetryWriteAfter);
+                continue;
+            }
+            if (acceptor_.disk() != disk) continue;  // renewed meanwhile
+            applySynced(job, *update);
+        }
+        reply.writes = writes_;
+        if (job.onReply) job.onReply(reply);
+        if (job.onSynced) job.onSynced();
+    }
+    working_ = false;
+}
+
+void ReplicaStorage::addBookkeeping(consensus::Update& update, Notes& notes) const {
+    if (update.epochState) {
+        notes[kStandingNote] = membership::encode(*update.epochState).dump();
+        if (update.epochState->open)  // what the acceptor drops is dropped on the disk
+            for (const auto& [key, _] : acceptor_.states())
+                if (consensus::isSuccessorKey(key) &&
+                    key != consensus::successorKey(update.epochState->epoch))
+                    update.states.emplace(key, consensus::RegisterState{});
+    }
+    notes[kWritesNote] = std::to_string(writes_ + 1);
+    notes[kWitnessNote] = Json(witnessed_).dump();
+}
+
+Task<bool> ReplicaStorage::write(consensus::Update update, Notes notes) {
+    addBookkeeping(update, notes);
+    AsyncEvent finished(io_);
+    std::string failure;
+    bool ended = false;
+    asio::post(diskThread_, [&] {
+        try {
+            if (!store_) store_ = opener_(false);
+            store_->write(update.states, notes);
+        } catch (const std::exception& error) {
+            failure = error.what();
+            store_.reset();  // LMDB takes no more after some failures: opened anew with the next write
+        }
+        asio::post(io_, [&] {
+            ended = true;
+            finished.notify();
+        });
+    });
+    while (!ended) co_await finished.wait(now() + 3600 * kSecond);
+    if (failure.empty()) ++writes_;
+    else log("disk_refused", {{"step", "write"}, {"error", failure}});
+    co_return failure.empty();
+}
+
+}  // namespace lichenlanding::control_plane
