--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -1,4 +1,5 @@
-// A stopped control node's disk: shown, checked, its configuration exported.
+// lichenlanding-gateway store: the disk of a stopped control plane process is shown, checked, exported from,
+// or made the only member of a new epoch.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <fstream>
@@ -6,120 +7,148 @@
 #include "admin/configuration_record.hpp"
 #include "command/gateway.hpp"
 #include "config/configuration.hpp"
+#include "control_plane/replica_node.hpp"
 #include "membership/codec.hpp"
 #include "storage/replica_store.hpp"
 
 namespace lichenlanding::command {
 namespace {
 
-std::string text(const consensus::ProposalNumber& proposalNumber) {
+constexpr std::size_t kMapBytes = std::size_t{1} << 30;
+// Above any epoch that a lost majority may have opened without this disk.
+constexpr std::uint64_t kEpochStep = 1'000'000;
+
+storage::LmdbReplicaStore openStore(const std::string& folder) {
+    if (!std::ifstream(folder + "/data.mdb")) throw std::runtime_error("no store in " + folder);
+    return storage::LmdbReplicaStore(folder, kMapBytes);
+}
+
+bool isConfiguration(const std::string& key, const consensus::RegisterState& cell) {
+    return key == control_plane::kConfigurationKey && !cell.value.empty();
+}
+
+std::string formatProposalNumber(const consensus::ProposalNumber& proposalNumber) {
     return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.writer);
 }
 
-std::string numbers(const std::string& value) {
+std::string formatHistory(const std::string& value) {
     std::string all;
-    for (const auto& one : admin::read(value).history) all += " " + config::formatVersion(one.number);
+    for (const auto& one : admin::decodeRecord(value).history) all += " " + config::formatVersion(one.number);
     return all;
 }
 
-std::string membersOf(const storage::LmdbReplicaStore& opened) {
-    const auto standing = opened.note(storage::kStandingNote);
-    if (standing.empty()) return opened.note(storage::kOldMembersNote) + " (no epoch yet)";
-    const auto read = membership::decodeEpochState(membership::Json::parse(standing));
-    std::string all = "epoch " + std::to_string(read.epoch.number) +
-                      (read.open ? "" : ", not known to be open") + (read.next ? ", sealed" : "") + ":";
-    for (const auto& member : read.epoch.members) all += " " + member.address + " (disk " + member.disk + ")";
-    return all + ", this disk " + opened.note(storage::kDiskNote);
+std::string formatMembers(const storage::LmdbReplicaStore& store) {
+    const auto note = store.note(storage::kStandingNote);
+    if (note.empty()) return store.note(storage::kOldMembersNote) + " (no epoch yet)";
+    const auto state = membership::decodeEpochState(membership::Json::parse(note));
+    std::string all = "epoch " + std::to_string(state.epoch.number) +
+                      (state.open ? "" : ", not known to be open") + (state.next ? ", sealed" : "") + ":";
+    for (const auto& member : state.epoch.members)
+        all += " " + member.address + " (disk " + member.disk + ")";
+    return all + ", this disk " + store.note(storage::kDiskNote);
 }
 
-// Above any epoch that a lost majority may have opened without this disk.
-constexpr std::uint64_t kFarAbove = 1'000'000;
-
-// The register anew from this one disk, where a majority of its members is gone for good.
-void found(const std::string& folder, const std::string& address, bool sure) {
-    if (!std::ifstream(folder + "/data.mdb")) throw std::runtime_error("no book in " + folder);
-    storage::LmdbReplicaStore opened(folder, std::size_t{1} << 30);
-    const auto disk = opened.note(storage::kDiskNote);
-    if (disk.empty()) throw std::runtime_error("the book in " + folder + " has no identity of its disk yet");
-    std::printf("held here: %s\n", membersOf(opened).c_str());
-    for (const auto& [key, cell] : opened.cells()) {
-        if (key == "configuration" && !cell.value.empty())
-            std::printf("configuration %s, orders remembered%s\n",
+void printFoundPreview(const storage::LmdbReplicaStore& store) {
+    std::printf("on this disk: %s\n", formatMembers(store).c_str());
+    for (const auto& [key, cell] : store.states()) {
+        if (isConfiguration(key, cell))
+            std::printf("configuration %s, requests remembered%s\n",
                         config::formatVersion(admin::version(cell.value)).c_str(),
-                        numbers(cell.value).c_str());
+                        formatHistory(cell.value).c_str());
         else
             std::printf("%s: %zu bytes, accepted %s\n", key.c_str(), cell.value.size(),
-                        text(cell.accepted).c_str());
+                        formatProposalNumber(cell.accepted).c_str());
     }
     std::printf(
-        "May be lost: whatever was acknowledged that this disk does not hold, such as a higher "
-        "configuration or a rollout's later stage.\n");
-    if (!sure) {
+        "May be lost: whatever was acknowledged that is not on this disk, such as a higher configuration or "
+        "a later stage of a rollout.\n");
+}
+
+/// Makes this disk the only member of a new epoch, where a majority of the members is gone for good. Without
+/// `confirmed` only tells what could be lost.
+void found(const std::string& folder, const std::string& address, bool confirmed) {
+    auto store = openStore(folder);
+    const auto disk = store.note(storage::kDiskNote);
+    if (disk.empty()) throw std::runtime_error("the store in " + folder + " has no identity of its disk yet");
+    printFoundPreview(store);
+    if (!confirmed) {
         std::printf("Nothing was written. With --yes %s becomes the only member of a new epoch.\n",
                     address.c_str());
         return;
     }
-    consensus::EpochState standing;
-    if (const auto old = opened.note(storage::kStandingNote); !old.empty())
-        standing = membership::decodeEpochState(membership::Json::parse(old));
-    consensus::Epoch anew{standing.epoch.number + kFarAbove, {{address, disk, "", ""}}};
-    opened.write(
-        {}, {{storage::kStandingNote, membership::encode(consensus::EpochState{anew, true, {}, {}}).dump()}});
+    consensus::EpochState before;
+    if (const auto note = store.note(storage::kStandingNote); !note.empty())
+        before = membership::decodeEpochState(membership::Json::parse(note));
+    const consensus::Epoch next{before.epoch.number + kEpochStep, {{address, disk, "", ""}}};
+    store.write(
+        {}, {{storage::kStandingNote, membership::encode(consensus::EpochState{next, true, {}, {}}).dump()}});
     std::printf(
-        "written: epoch %llu with %s alone; start it, then the others, which stand by and are taken in.\n",
-        static_cast<unsigned long long>(anew.number), address.c_str());
+        "written: epoch %llu with %s as its only member; start it, then the others, which stand by and are "
+        "added.\n",
+        static_cast<unsigned long long>(next.number), address.c_str());
 }
 
-// A stopped control node's book: opened as it is, each record's checksum looked at.
-void book(const std::string& folder, const std::string& what) {
-    if (!std::ifstream(folder + "/data.mdb")) throw std::runtime_error("no book in " + folder);
-    const storage::LmdbReplicaStore opened(folder, std::size_t{1} << 30);
-    const auto cells = opened.cells();
-    if (what == "check") {
-        std::printf("%zu keys, all checksums right, %s\n", cells.size(), membersOf(opened).c_str());
-        return;
-    }
-    for (const auto& [key, cell] : cells) {
-        const bool configuration = key == "configuration" && !cell.value.empty();
+/// Opens the store, which checks each record's checksum.
+void check(const std::string& folder) {
+    const auto store = openStore(folder);
+    std::printf("%zu keys, all checksums right, %s\n", store.states().size(), formatMembers(store).c_str());
+}
+
+/// The configuration as it was sent.
+void exportConfiguration(const std::string& folder) {
+    for (const auto& [key, cell] : openStore(folder).states())
+        if (isConfiguration(key, cell)) std::printf("%s\n", admin::body(cell.value).c_str());
+}
+
+void show(const std::string& folder) {
+    const auto store = openStore(folder);
+    for (const auto& [key, cell] : store.states()) {
+        const bool configuration = isConfiguration(key, cell);
         const auto value = configuration ? admin::body(cell.value) : cell.value;
-        if (what == "export") {
-            if (configuration) std::printf("%s\n", value.c_str());
-            continue;
-        }
         std::printf("%s: accepted %s, promised %s, %zu bytes on disk", key.c_str(),
-                    text(cell.accepted).c_str(), text(cell.promised).c_str(), cell.value.size());
+                    formatProposalNumber(cell.accepted).c_str(), formatProposalNumber(cell.promised).c_str(),
+                    cell.value.size());
         if (configuration)
-            std::printf(", version %s, %zu bytes as sent, orders remembered%s\n",
+            std::printf(", version %s, %zu bytes as sent, requests remembered%s\n",
                         config::formatVersion(admin::version(cell.value)).c_str(), value.size(),
-                        numbers(cell.value).c_str());
+                        formatHistory(cell.value).c_str());
         else std::printf("\n%s%s", value.c_str(), value.empty() ? "" : "\n");
     }
-    if (what == "show") std::printf("%s\n", membersOf(opened).c_str());
+    std::printf("%s\n", formatMembers(store).c_str());
 }
 
 }  // namespace
 
-void addPromptbook(CLI::App& app, std::function<void()>& chosen) {
-    auto* promptbook = app.add_subcommand("promptbook", "a stopped prompter's disk");
-    const auto what = std::make_shared<std::string>(), folder = std::make_shared<std::string>();
-    promptbook
+void addStore(CLI::App& app, Action& action) {
+    struct Arguments {
+        std::string operation, folder, address;
+        bool confirmed = false;
+    };
+    const auto arguments = std::make_shared<Arguments>();
+    auto* store = app.add_subcommand("store", "the disk of a stopped control plane process");
+    store
         ->add_option(
-            "what", *what,
-            "show, check, export (the configuration as it was sent), or found (the register anew from "
-            "this disk alone, where a majority of its members is gone for good)")
+            "operation", arguments->operation,
+            "show, check, export (the configuration as it was sent), or found (a new epoch from this "
+            "disk alone, where a majority of the members is gone for good)")
         ->required()
         ->check(CLI::IsMember({"show", "check", "export", "found"}));
-    promptbook->add_option("folder", *folder, "the book's folder, data_dir/promptbook")->required();
-    const auto address = std::make_shared<std::string>();
-    const auto sure = std::make_shared<bool>(false);
-    promptbook->add_option("--address", *address,
-                           "found: this machine on its first internal port, as 10.1.0.16:7720");
-    promptbook->add_flag("--yes", *sure, "found: write it; without, only what could be lost is told");
-    promptbook->footer(
-        "Example:\n  lichenlanding-gateway promptbook found data/promptbook --address 10.1.0.16:7720");
-    promptbook->callback([=, &chosen] {
-        if (*what == "found" && address->empty()) throw CLI::RequiredError("--address");
-        chosen = [=] { *what == "found" ? found(*folder, *address, *sure) : book(*folder, *what); };
+    store->add_option("folder", arguments->folder, "the store's folder, data_dir/promptbook")->required();
+    store->add_option("--address", arguments->address,
+                      "found: this machine on its first internal port, as 10.1.0.16:7720");
+    store->add_flag("--yes", arguments->confirmed,
+                    "found: write it; without, only what could be lost is told");
+    store->footer("Example:\n  lichenlanding-gateway store found data/promptbook --address 10.1.0.16:7720");
+    store->callback([=, &action] {
+        if (arguments->operation == "found" && arguments->address.empty())
+            throw CLI::RequiredError("--address");
+        action = [=] {
+            const auto& [operation, folder, address, confirmed] = *arguments;
+            if (operation == "show") show(folder);
+            if (operation == "check") check(folder);
+            if (operation == "export") exportConfiguration(folder);
+            if (operation == "found") found(folder, address, confirmed);
+        };
     });
 }
 
--- a/src/control_plane/admin_server.cpp
+++ b/src/control_plane/admin_server.cpp
@@ -46,7 +46,7 @@
         configureSocket(socket, limits_.response);
         const auto connection = std::make_shared<Connection>(std::move(socket));
         connections_.push_back(connection);
-        start(io_, "caller", run(connection));
+        spawn(io_, "caller", run(connection));
     }
 }
 
--- a/src/control_plane/catch_up.cpp
+++ b/src/control_plane/catch_up.cpp
@@ -13,7 +13,7 @@
     : io_(io), proposer_(proposer), storage_(storage), contact_(contact), learner_(learner) {}
 
 void CatchUp::startReadingAll() {
-    if (!readingAll_) start(io_, "register", readAll());
+    if (!readingAll_) spawn(io_, "register", readAll());
 }
 
 Task<> CatchUp::readAll() {
@@ -33,7 +33,7 @@
         if (!learner_.isBehind(key) && !storage_.isWriting()) learner_.retain(key);
     const bool behind =
         std::any_of(kKeys.begin(), kKeys.end(), [&](const auto& key) { return learner_.isBehind(key); });
-    if (behind && !readingBehind_) start(io_, "register", readBehind());
+    if (behind && !readingBehind_) spawn(io_, "register", readBehind());
 }
 
 Task<> CatchUp::readBehind() {
--- a/src/control_plane/configuration_publisher.cpp
+++ b/src/control_plane/configuration_publisher.cpp
@@ -53,14 +53,14 @@
 }
 
 void ConfigurationPublisher::answer(PeerConnection& proxy, const Json& message) const {
-    cache_.heard(message, subscription::ConfigurationCache::MessageSource::follower, now(),
+    cache_.heard(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
                  [&](Json reply) { proxy.send(stamped(std::move(reply))); });
 }
 
 void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const { proxy.send(stamped(cache_.digest())); }
 
 void ConfigurationPublisher::broadcast(const Json& message) const {
-    proxies_.broadcast(PeerConnection::pack(stamped(message)));
+    proxies_.broadcast(PeerConnection::encode(stamped(message)));
 }
 
 Json ConfigurationPublisher::stamped(Json message) const {
@@ -69,7 +69,7 @@
 
 template <typename Make>
 EncodedMessage ConfigurationPublisher::encodeOnce(EncodedOnce& last, Json key, Make make) {
-    if (last.key != key) last = {std::move(key), PeerConnection::pack(make())};
+    if (last.key != key) last = {std::move(key), PeerConnection::encode(make())};
     return last.encoded;
 }
 
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -2,14 +2,17 @@
 
 #include <random>
 
-#include "admin/configuration_record.hpp"
 #include "config/configuration.hpp"
 #include "control_plane/admin_api.hpp"
+#include "control_plane/admin_server.hpp"
+#include "control_plane/configuration_publisher.hpp"
 #include "control_plane/endpoint_discovery.hpp"
 #include "control_plane/lease_holder.hpp"
+#include "control_plane/link_messages.hpp"
+#include "control_plane/peer_dialers.hpp"
+#include "control_plane/proxy_registry.hpp"
 #include "control_plane/replica_node.hpp"
 #include "control_plane/rollout_controller.hpp"
-#include "messages/codec.hpp"
 #include "subscription/configuration_cache.hpp"
 #include "transport/log.hpp"
 
@@ -18,347 +21,300 @@
 
 using namespace transport;
 
-constexpr Nanos kTellKnownEvery = 500 * kMillisecond, kLookEvery = 100 * kMillisecond;
-constexpr Nanos kRosterAfter = 400 * kMillisecond;
+constexpr Nanos kReportInterval = 500 * kMillisecond;
+constexpr Nanos kReachabilityCheckInterval = 100 * kMillisecond;
 
-std::uint64_t drawnLife() {
-    std::random_device draw;
-    return (static_cast<std::uint64_t>(draw()) << 32) | draw();
+std::uint64_t randomIncarnation() {
+    std::random_device random;
+    return (static_cast<std::uint64_t>(random()) << 32) | random();
 }
 
-struct ProxyInstance {
-    std::shared_ptr<PeerConnection> link;
-    std::string address;
-    std::uint64_t life = 0;
-    std::uint32_t applied = 0;       // configuration acknowledged
-    std::set<std::string> missedBy;  // proxies that watch it and have lost it
+/// Connects the parts of the process: hands each message and event to the part that it is for.
+class ControlPlane {
+  public:
+    ControlPlane(const config::BootstrapSettings& boot, bool metrics);
+    void run();
+
+  private:
+    std::string address() const { return boot_.peerAddress(boot_.ip); }
+
+    // Connections with other processes.
+    std::shared_ptr<PeerConnection::Callbacks> makeConnectionEvents();
+    Json hello() const;
+    void onMessage(PeerConnection& connection, const Json& message);
+    void onHello(PeerConnection& connection, const Json& message);
+    void onControlPlaneHello(PeerConnection& connection, const Hello& hello, const Json& message);
+    void onProxyHello(PeerConnection& connection, const Hello& hello);
+    void onStateReport(PeerConnection& connection, const Json& message);
+    void onDisconnected(PeerConnection& connection);
+    void dialSeeds();
+    void dialMembers();
+
+    // The replica's events.
+    void onValueLearned(const std::string& key);
+    void onMembershipChanged();
+    Task<> readRolloutsFirst();
+
+    // Reports to the other control plane processes.
+    std::set<std::string> reachablePeers() const;
+    void sendStateReport();
+    Task<> sendStateReports();
+
+    StatusReport status() const;
+    void startTasks();
+    void shutDown();
+    void reloadSettings();
+
+    config::BootstrapSettings boot_;
+    asio::io_context io_{1};
+    ReplicaNode replica_;
+    tcp::acceptor adminAcceptor_, peerAcceptor_;
+    std::shared_ptr<PeerConnection::Callbacks> connectionEvents_;
+    PeerDialers peers_;
+    ProxyRegistry proxies_;
+    subscription::ConfigurationCache cache_{{}};
+    ConfigurationPublisher publisher_;
+    LeaseHolder leases_;
+    EndpointDiscovery endpointDiscovery_;
+    RolloutController rollouts_;
+    AdminApi adminApi_;
+    AdminServer adminServer_;
+    bool rolloutsRead_ = false;  // from a majority, since the start
 };
 
-struct ControlPlane {
-    ControlPlane(const config::BootstrapSettings& boot_, bool metrics)
-        : boot(boot_),
-          replica(io, boot, {[this](const std::string& key) { learnt(key); }, [this] { moved(); }},
-                  ReplicaNode::onDisk(boot_)),
-          control(listen(io, boot.control)),
-          peers(listen(io, boot.internal(boot.ip))),
-          duties(
-              replica, {me(), drawnLife()}, [this] { return hears(); },
-              [this] { return cache.highestTermSeen(); }),
-          list(
-              io, boot, cache, [this] { return duties.has(kListDuty) ? duties.term(kListDuty) : 0; },
-              [this](const Json& message) { tellAll(message); }),
-          rollouts(
-              replica, [this] { return startedReading && duties.has(kRolloutsDuty); },
-              [this] { return proxyNames(); }),
-          operatorCalls(
-              io, AdminApi::Register::of(replica), [this] { return status(); }, metrics) {
-        owner = std::make_shared<PeerConnection::Owner>();
-        owner->greet = [this](PeerConnection& link) { return greet(link); };
-        owner->heard = [this](PeerConnection& link, const Json& message) { heard(link, message); };
-        owner->closed = [this](PeerConnection& link) { closed(link); };
-    }
-
-    // ---- Links. ----
-
-    std::string me() const { return boot.internal(boot.ip); }
+ControlPlane::ControlPlane(const config::BootstrapSettings& boot, bool metrics)
+    : boot_(boot),
+      replica_(io_, boot_,
+               {[this](const std::string& key) { onValueLearned(key); }, [this] { onMembershipChanged(); }},
+               ReplicaNode::onDisk(boot_)),
+      adminAcceptor_(listen(io_, boot_.control)),
+      peerAcceptor_(listen(io_, address())),
+      connectionEvents_(makeConnectionEvents()),
+      peers_(io_, address(), connectionEvents_),
+      proxies_(io_),
+      publisher_(cache_, proxies_, [this] { return replica_.hasQuorumContact(); }),
+      leases_(
+          replica_, {address(), randomIncarnation()}, [this] { return reachablePeers(); },
+          [this] { return cache_.highestTermSeen(); }),
+      endpointDiscovery_(
+          io_, boot_, cache_,
+          [this] { return leases_.holdsLease(kEndpointListLease) ? leases_.term(kEndpointListLease) : 0; },
+          [this](const Json& message) { publisher_.broadcast(message); }),
+      rollouts_(
+          replica_, [this] { return rolloutsRead_ && leases_.holdsLease(kRolloutsLease); },
+          [this] { return proxies_.names(); }),
+      adminApi_(
+          AdminApi::Register::of(replica_), [this] { return status(); }, metrics),
+      adminServer_(io_, adminApi_) {}
+
+// ---- Connections with other processes. ----
+
+std::shared_ptr<PeerConnection::Callbacks> ControlPlane::makeConnectionEvents() {
+    auto events = std::make_shared<PeerConnection::Callbacks>();
+    events->greet = [this](PeerConnection&) { return hello(); };
+    events->heard = [this](PeerConnection& connection, const Json& message) {
+        onMessage(connection, message);
+    };
+    events->closed = [this](PeerConnection& connection) { onDisconnected(connection); };
+    return events;
+}
 
-    Json greet(PeerConnection&) {
-        auto hello = replica.helloFields();
-        hello.update({{"t", "hello"}, {"kind", "prompter"}, {"name", boot.name}, {"at", me()}});
-        return hello;
+Json ControlPlane::hello() const { return encodeHello(replica_.greeting(), boot_.name, address()); }
+
+void ControlPlane::onMessage(PeerConnection& connection, const Json& message) {
+    const auto type = messageType(message);
+    if (type == MessageType::hello) return onHello(connection, message);
+    if (type == MessageType::known) onStateReport(connection, message);
+    if (replica_.heard(connection, message)) return;
+    switch (type) {
+        case MessageType::want:
+            return publisher_.onWant(connection, message);
+        case MessageType::digest:
+            return publisher_.onDigest(connection, message);
+        case MessageType::lost:
+            return proxies_.onLost(decodeLostProxy(message), connection.peer);
+        case MessageType::acknowledgement:
+            return proxies_.onAcknowledgement(connection.peer, decodeAcknowledgement(message));
+        case MessageType::vote:
+            return rollouts_.onVote(decodeVote(message));
+        default:  // of a later version, say
+            return;
     }
+}
 
-    void dial(const std::string& address) {
-        auto& dialer = dialers[address];
-        if (dialer || address == me()) return;
-        dialer = std::make_shared<Dialer>(io, address, owner);
-        dialer->go();
-    }
+void ControlPlane::onHello(PeerConnection& connection, const Json& message) {
+    const auto hello = decodeHello(message);
+    connection.kind = hello.kind;
+    if (hello.fromControlPlane()) onControlPlaneHello(connection, hello, message);
+    else onProxyHello(connection, hello);
+}
 
-    void dialSeeds() {
-        for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
-    }
+void ControlPlane::onControlPlaneHello(PeerConnection& connection, const Hello& hello, const Json& message) {
+    connection.peer = hello.address;
+    const auto ownConnection = peers_.connectionTo(hello.address);
+    if (ownConnection.get() == &connection) replica_.joined(hello.address, connection.shared_from_this());
+    else if (!ownConnection)
+        peers_.retryNow(hello.address);  // after a loss of all, those that are up first wait for the others
+    replica_.onHello(message);
+    for (const auto& member : hello.members) peers_.dial(member);
+    sendStateReport();
+}
 
-    void heard(PeerConnection& link, const Json& message) {
-        const auto& kind = message.at("t").get_ref<const std::string&>();
-        if (kind == "known") {
-            if (message.contains("hears")) duties.heard(link.peer, message.at("hears"));
-            if (message.contains("ages")) rollouts.learn(message.at("ages"));
-        }
-        if (kind == "hello") {
-            hello(link, message);
-        } else if (replica.handleMessage(link, message)) {
-        } else if (kind == "want") {
-            answer(link, message);
-        } else if (kind == "digest") {
-            cache.heard(message, subscription::ConfigurationCache::MessageSource::follower, now(),
-                        [&](Json reply) { link.send(word(std::move(reply))); });
-        } else if (kind == "lost") {
-            const auto at = proxies.find(message.at("name").get<std::string>());
-            if (at != proxies.end()) at->second.missedBy.insert(link.peer);
-        } else if (kind == "ack") {
-            if (const auto at = proxies.find(link.peer); at != proxies.end())
-                message.at("configuration").get_to(at->second.applied);
-        } else if (kind == "vote") {
-            rollouts.heard(message);
-        }
-    }
+void ControlPlane::onProxyHello(PeerConnection& connection, const Hello& hello) {
+    connection.peer = hello.name;
+    proxies_.onHello(connection, hello);
+    publisher_.sendDigest(connection);
+}
 
-    void hello(PeerConnection& link, const Json& message) {
-        link.kind = message.at("kind").get<std::string>();
-        const auto at = message.at("at").get<std::string>();
-        if (link.kind == "prompter") {
-            link.peer = at;
-            const auto dialer = dialers.find(at);
-            if (dialer != dialers.end() && dialer->second && dialer->second->link().get() == &link)
-                replica.onPeerConnected(at, link.shared_from_this());
-            else if (dialer != dialers.end() && dialer->second && !dialer->second->link())
-                dialer->second
-                    ->retryNow();  // after a loss of all, those that are up first wait for the others
-            replica.onHello(message);
-            for (const auto& member : message.at("members")) dial(member.get<std::string>());
-            sayKnown();
-            return;
-        }
-        link.peer = message.at("name").get<std::string>();
-        proxies[link.peer] = {link.shared_from_this(), at, message.at("life").get<std::uint64_t>(), 0, {}};
-        link.send(word(cache.digest()));
-        roster();
-    }
+void ControlPlane::onStateReport(PeerConnection& connection, const Json& message) {
+    if (auto reachable = decodeReachable(message))
+        leases_.onReachability(connection.peer, std::move(*reachable));
+    if (const auto ages = decodeAges(message)) rollouts_.onPeerAges(*ages);
+}
 
-    // Other members, or contact has come or gone: new ones are dialled, and proxies are greeted again.
-    void moved() {
-        for (const auto& member : replica.members()) dial(member);
-        for (const auto& [_, proxy] : proxies) proxy.link->send(greet(*proxy.link));
-        tellAll(cache.digest());
-    }
+void ControlPlane::onDisconnected(PeerConnection& connection) {
+    if (connection.kind != kControlPlaneKind) return proxies_.onDisconnected(connection);
+    if (!peers_.dials(connection.peer) || peers_.connectionTo(connection.peer)) return;
+    replica_.onPeerDisconnected(connection.peer);
+    sendStateReport();
+}
 
-    void closed(PeerConnection& link) {
-        if (link.kind == "prompter") {
-            const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && dialer->second && !dialer->second->link())
-                replica.onPeerDisconnected(link.peer), sayKnown();
-        } else if (const auto at = proxies.find(link.peer);
-                   at != proxies.end() && at->second.link.get() == &link) {
-            proxies.erase(at);
-            roster();
-        }
-    }
+void ControlPlane::dialSeeds() {
+    for (const auto& seed : boot_.seeds) peers_.dial(boot_.peerAddress(hostOf(seed)));
+}
 
-    // ---- Cues. ----
+void ControlPlane::dialMembers() {
+    for (const auto& member : replica_.members()) peers_.dial(member);
+}
 
-    // Each word to proxies says whether it speaks for a majority. The clock is for what proxies do together.
-    Json word(Json message) const {
-        message["sure"] = replica.hasQuorumContact();
-        if (message.contains("sums")) message["clock"] = now() / kMillisecond;
-        return message;
-    }
+// ---- The replica's events. ----
 
-    // What many proxies ask for at once, as at a start, is made and packed once.
-    struct Kept {
-        Json of;
-        EncodedMessage packed;
-    };
-    template <typename Make>
-    static EncodedMessage once(Kept& kept, Json of, Make make) {
-        if (kept.of != of) kept = {std::move(of), PeerConnection::pack(make())};
-        return kept.packed;
-    }
-    void answer(PeerConnection& link, Json want) {
-        const bool sure = replica.hasQuorumContact();
-        if (want.contains("configuration") && cache.version() > 0) {
-            link.send(once(keptBody, {cache.version(), sure}, [&] { return word(cache.body()); }));
-            want.erase("configuration");
-        }
-        if (cache.wantsFullList(want)) {
-            const auto& endpointListVersion = cache.endpointListVersion();
-            link.send(once(keptList, {endpointListVersion.term, endpointListVersion.sequence, sure},
-                           [&] { return word(cache.whole()); }));
-            want.erase("held");
-        }
-        cache.heard(want, subscription::ConfigurationCache::MessageSource::follower, now(),
-                    [&](Json reply) { link.send(word(std::move(reply))); });
-    }
-
-    void tellAll(const Json& message) {
-        const auto packed = PeerConnection::pack(word(message));
-        for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
+void ControlPlane::onValueLearned(const std::string& key) {
+    const auto& value = replica_.known(key).value;
+    if (key == kConfigurationKey) {
+        publisher_.onConfigurationLearned(value);
+    } else if (key == kRolloutsKey) {
+        rollouts_.onValueLearned();
+        if (rolloutsRead_) publisher_.onRolloutsLearned(value);
     }
+}
 
-    // One word for all that came and went of late: at a start a whole fleet says hello at once.
-    void roster() {
-        if (std::exchange(rosterDue, true)) return;
-        start(io, "roster", tellRoster());
-    }
+/// Other members, or contact has come or gone: new members are dialled, and proxies get another hello.
+void ControlPlane::onMembershipChanged() {
+    dialMembers();
+    for (const auto& [_, proxy] : proxies_.proxies()) proxy.connection->send(hello());
+    publisher_.broadcastDigest();
+}
 
-    Task<> tellRoster() {
-        co_await sleep(kRosterAfter);
-        rosterDue = false;
-        Json names = Json::object();
-        for (const auto& [name, proxy] : proxies) names[name] = proxy.address;
-        const auto packed = PeerConnection::pack(Json{{"t", "roster"}, {"foyers", std::move(names)}});
-        for (const auto& [_, proxy] : proxies) proxy.link->send(packed);
+/// Proxies get no rollouts before these have been read from a majority.
+Task<> ControlPlane::readRolloutsFirst() {
+    for (bool read = false; !read;) {
+        const auto value = co_await replica_.read(kRolloutsKey, kSecond);
+        read = value.has_value();
     }
+    rolloutsRead_ = true;
+    publisher_.onRolloutsLearned(replica_.known(kRolloutsKey).value);
+}
 
-    void learnt(const std::string& key) {
-        const auto& value = replica.known(key).value;
-        if (key == kConfigurationKey && !value.empty()) {
-            try {
-                cache.configuration(admin::version(value), std::string(admin::compressed(value)));
-            } catch (const admin::ParseError& error) {  // of a later text, say; what is held stays
-                return log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
-            }
-            tellAll(cache.cue());
-        } else if (key == kRolloutsKey) {
-            rollouts.learnt();
-            if (startedReading) pinRollouts();
-        }
-    }
+// ---- Reports to the other control plane processes. ----
 
-    void pinRollouts() {
-        const auto& text = replica.known(kRolloutsKey).value;
-        std::int64_t number = 0;
-        for (const auto& rollout : messages::decodeRollouts(text)) number = std::max(number, rollout.number);
-        if (cache.rollouts(number, text)) tellAll(cache.order());  // not where ages alone have changed
-    }
+std::set<std::string> ControlPlane::reachablePeers() const {
+    std::set<std::string> reachable;
+    for (const auto& address : peers_.connected())
+        if (replica_.hears(address)) reachable.insert(address);
+    return reachable;
+}
 
-    // Before rollouts have been read from a majority nothing is said of them.
-    Task<> readFirst() {
-        for (;;) {
-            const auto value = co_await replica.read(kRolloutsKey, kSecond);
-            if (value) break;
-        }
-        startedReading = true;
-        pinRollouts();
-    }
+void ControlPlane::sendStateReport() {
+    StateReport report;
+    for (const auto& key : kKeys)
+        if (const auto& known = replica_.known(key); known.proposalNumber.round > 0)
+            report.proposalNumbers[key] = known.proposalNumber;
+    report.reachable = reachablePeers();
+    report.ages = rollouts_.ages();
+    peers_.broadcast(PeerConnection::encode(encodeStateReport(report)));
+}
 
-    // At once where another comes to be heard, or is heard no more: a duty waits for that.
-    Task<> tellKnown() {
-        std::set<std::string> told;
-        for (Nanos at = 0;;) {
-            co_await sleep(kLookEvery);
-            auto heard = hears();
-            if (heard == told && now() - at < kTellKnownEvery) continue;
-            at = now(), told = std::move(heard);
-            sayKnown();
-        }
+/// At once where another process comes to be reachable, or ceases to be: the leases depend on it.
+Task<> ControlPlane::sendStateReports() {
+    std::set<std::string> reported;
+    for (Nanos reportedAt = 0;;) {
+        co_await sleep(kReachabilityCheckInterval);
+        auto reachable = reachablePeers();
+        if (reachable == reported && now() - reportedAt < kReportInterval) continue;
+        reportedAt = now();
+        reported = std::move(reachable);
+        sendStateReport();
     }
+}
 
-    void sayKnown() {
-        Json proposalNumbers = Json::object();
-        for (const auto& key : kKeys)
-            if (const auto& known = replica.known(key); known.proposalNumber.round > 0)
-                proposalNumbers[key] = messages::write(known.proposalNumber);
-        const auto packed = PeerConnection::pack(Json{{"t", "known"},
-                                                      {"ballots", std::move(proposalNumbers)},
-                                                      {"hears", duties.hears()},
-                                                      {"ages", rollouts.ages()}});
-        for (const auto& [address, dialer] : dialers)
-            if (dialer)
-                if (auto link = dialer->link()) link->send(packed);
+// ---- Status, start and end. ----
+
+StatusReport ControlPlane::status() const {
+    StatusReport report;
+    report.node = boot_.name;
+    report.blankDisk = !replica_.votes();
+    report.members = replica_.members().size();
+    report.connectedPeers = replica_.reached();
+    report.quorum = replica_.describe();
+    report.configuration = cache_.version() ? config::formatVersion(cache_.version()) : "";
+    report.leases = leases_.status();
+    for (const auto& [name, proxy] : proxies_.proxies())
+        report.proxies[name] = {proxy.address, proxy.incarnation, proxy.lostBy.size(),
+                                config::formatVersion(proxy.acknowledgedVersion)};
+    for (const auto& [_, endpoint] : cache_.endpoints().members()) {
+        auto& counts = report.pods[endpoint.service][endpoint.version];
+        ++(endpoint.draining ? counts.draining : counts.ready);
     }
+    if (const auto& rollouts = replica_.known(kRolloutsKey).value; !rollouts.empty())
+        report.rollouts = Json::parse(rollouts);
+    report.votes = rollouts_.votes();
+    report.adminRequests = adminServer_.requests();
+    report.adminConnections = adminServer_.connections();
+    report.listRequests = endpointDiscovery_.requests();
+    report.listRateLimited = endpointDiscovery_.rateLimited();
+    return report;
+}
 
-    // ---- Duties, each by one control node. ----
-
-    std::set<std::string> hears() const {
-        std::set<std::string> all;
-        for (const auto& [address, dialer] : dialers)
-            if (dialer && dialer->link() && replica.hearsPeer(address)) all.insert(address);
-        return all;
-    }
+void ControlPlane::run() {
+    signals(
+        io_, [this] { shutDown(); }, [this] { reloadSettings(); });
+    log("start", {});
+    replica_.open();
+    dialSeeds();
+    dialMembers();
+    startTasks();
+    io_.run();
+}
 
-    std::vector<std::string> proxyNames() const {
-        std::vector<std::string> names;
-        for (const auto& [name, _] : proxies) names.push_back(name);
-        return names;
-    }
+void ControlPlane::startTasks() {
+    spawn(io_, "links", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
+    spawn(io_, "control", adminServer_.serve(adminAcceptor_));
+    spawn(io_, "register", replica_.maintain());
+    spawn(io_, "register", readRolloutsFirst());
+    spawn(io_, "known", sendStateReports());
+    spawn(io_, "duties", leases_.run());
+    spawn(io_, "list", endpointDiscovery_.run());
+    spawn(io_, "rollouts", rollouts_.run());
+}
 
-    // ---- Status. ----
-
-    // What this control node knows; nothing is asked of others.
-    Json status() const {
-        Json told{{"node", boot.name},
-                  {"blank", !replica.isVotingMember()},
-                  {"members", replica.members().size()},
-                  {"reached", replica.connectedPeerCount()},
-                  {"register", replica.describe()},
-                  {"configuration", cache.version() ? config::formatVersion(cache.version()) : ""},
-                  {"duty", Json::array()},
-                  {"duties", duties.describe()},
-                  {"foyers", Json::object()},
-                  {"pods", Json::object()},
-                  {"rollouts", Json::parse(replica.known(kRolloutsKey).value.empty()
-                                               ? "[]"
-                                               : replica.known(kRolloutsKey).value)},
-                  {"votes", rollouts.votes()},
-                  {"calls", operatorCalls.calls()},
-                  {"list_calls", list.calls()},
-                  {"list_refused", list.refused()}};
-        for (const auto& duty : {kListDuty, kRolloutsDuty})
-            if (duties.has(duty)) told["duty"].push_back(duty);
-        for (const auto& [name, proxy] : proxies)
-            told["foyers"][name] = {{"at", proxy.address},
-                                    {"life", proxy.life},
-                                    {"missed_by", proxy.missedBy.size()},
-                                    {"configuration", config::formatVersion(proxy.applied)}};
-        for (const auto& [_, member] : cache.endpoints().members()) {
-            auto& counts = told["pods"][member.service][member.version];
-            if (counts.is_null()) counts = {0, 0};
-            auto& count = counts[member.draining ? 1 : 0];
-            count = count.get<int>() + 1;
-        }
-        return told;
-    }
+void ControlPlane::shutDown() {
+    spawn(io_, "leave", [](ControlPlane& self) -> Task<> {
+        co_await self.replica_.leave();
+        log("left", {});
+        self.io_.stop();
+    }(*this));
+}
 
-    void run() {
-        signals(
-            io,
-            [this] {
-                start(io, "leave", [](ControlPlane& self) -> Task<> {
-                    co_await self.replica.stepDown();
-                    log("left", {});
-                    self.io.stop();
-                }(*this));
-            },
-            [this] {
-                try {
-                    boot = config::BootstrapSettings::fromEnvironment();
-                    dialSeeds();
-                    log("settings_read", {});
-                } catch (const std::exception& wrong_) {
-                    log("settings_refused", {{"step", "reload"}, {"error", wrong_.what()}});
-                }
-            });
-        log("start", {});
-        replica.open();
+void ControlPlane::reloadSettings() {
+    try {
+        boot_ = config::BootstrapSettings::fromEnvironment();
         dialSeeds();
-        for (const auto& member : replica.members()) dial(member);
-        start(io, "links", servePeerConnections(io, peers, owner));
-        start(io, "control", operatorCalls.serve(control));
-        start(io, "register", replica.run());
-        start(io, "register", readFirst());
-        start(io, "known", tellKnown());
-        start(io, "duties", duties.run());
-        start(io, "list", list.poll());
-        start(io, "rollouts", rollouts.steer());
-        io.run();
+        log("settings_read", {});
+    } catch (const std::exception& error) {
+        log("settings_refused", {{"step", "reload"}, {"error", error.what()}});
     }
-
-    config::BootstrapSettings boot;
-    asio::io_context io{1};
-    ReplicaNode replica;
-    tcp::acceptor control, peers;
-    std::shared_ptr<PeerConnection::Owner> owner;
-    std::map<std::string, std::shared_ptr<Dialer>> dialers;  // by address
-    std::map<std::string, ProxyInstance> proxies;            // by name
-    subscription::ConfigurationCache cache{{}};
-    Kept keptBody, keptList;  // packed, as last asked for
-    LeaseHolder duties;
-    EndpointDiscovery list;
-    RolloutController rollouts;
-    AdminApi operatorCalls;
-    bool startedReading = false, rosterDue = false;
-};
+}
 
 }  // namespace
 
--- a/src/control_plane/lease_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -8,83 +8,99 @@
 
 namespace {
 
-constexpr Nanos kLookEvery = 100 * kMillisecond;
-constexpr Nanos kRowLife = 1500 * kMillisecond;  // three times as long as between two words of another
-constexpr Nanos kDecideWithin = 900 * kMillisecond;
+constexpr Nanos kCheckInterval = 100 * kMillisecond;
+constexpr Nanos kReportLifetime = 1500 * kMillisecond;  // reports come every 500 ms
+constexpr Nanos kUpdateTimeout = 900 * kMillisecond;
 
 }  // namespace
 
 LeaseHolder::LeaseHolder(ReplicaNode& replica, leases::ProcessIdentity self,
-                         std::function<std::set<std::string>()> hears,
-                         std::function<std::uint64_t()> listTerm)
-    : replica_(replica), self_(std::move(self)), hears_(std::move(hears)), listTerm_(std::move(listTerm)) {
-    for (const auto& name : {kListDuty, kRolloutsDuty})
-        watches_.emplace(name, leases::LeaseMonitor(name, self_));
+                         std::function<Addresses()> reachablePeers,
+                         std::function<std::uint64_t()> highestTermSeen)
+    : replica_(replica),
+      self_(std::move(self)),
+      reachablePeers_(std::move(reachablePeers)),
+      highestTermSeen_(std::move(highestTermSeen)) {
+    for (const auto& name : {kEndpointListLease, kRolloutsLease})
+        monitors_.emplace(name, leases::LeaseMonitor(name, self_));
 }
 
-const leases::Leases& LeaseHolder::held() const {
-    const auto& known = replica_.known(kDutiesKey);
-    if (known.proposalNumber != readAt_) readAt_ = known.proposalNumber, read_ = leases::read(known.value);
-    return read_;
+const leases::Leases& LeaseHolder::currentLeases() const {
+    const auto& known = replica_.known(kLeasesKey);
+    if (known.proposalNumber != decodedAt_) {
+        decodedAt_ = known.proposalNumber;
+        decoded_ = leases::decodeLeases(known.value);
+    }
+    return decoded_;
 }
 
-bool LeaseHolder::has(const std::string& duty) const {
-    if (!confirmed_ || !replica_.hasQuorumContact()) return false;
-    const auto at = held().find(duty);
-    return at != held().end() && leases::holds(at->second, self_);
+leases::Lease LeaseHolder::currentLease(const std::string& lease) const {
+    const auto at = currentLeases().find(lease);
+    return at == currentLeases().end() ? leases::Lease() : at->second;
 }
 
-std::uint64_t LeaseHolder::term(const std::string& duty) const {
-    const auto at = held().find(duty);
-    return at == held().end() ? 0 : at->second.term;
+bool LeaseHolder::holdsLease(const std::string& lease) const {
+    if (!confirmed_ || !replica_.hasQuorumContact()) return false;
+    return leases::isHeldBy(currentLease(lease), self_);
 }
 
-void LeaseHolder::heard(const std::string& from, const Json& hears) {
-    rows_[from] = {hears.get<std::set<std::string>>(), now()};
+std::uint64_t LeaseHolder::term(const std::string& lease) const { return currentLease(lease).term; }
+
+void LeaseHolder::onReachability(const std::string& from, Addresses reachable) {
+    reports_[from] = {std::move(reachable), now()};
 }
 
-leases::Reachability LeaseHolder::rows() const {
-    leases::Reachability rows;
-    const auto own = hears_();
-    for (const auto& [from, row] : rows_)
-        if (own.contains(from) && now() - row.at < kRowLife) rows[from] = row.hears;
-    rows[self_.address] = own;
-    return rows;
+leases::Reachability LeaseHolder::reachability() const {
+    leases::Reachability reachability;
+    const auto own = reachablePeers_();
+    for (const auto& [from, report] : reports_)
+        if (own.contains(from) && now() - report.receivedAt < kReportLifetime)
+            reachability[from] = report.reachable;
+    reachability[self_.address] = own;
+    return reachability;
 }
 
 Task<> LeaseHolder::run() {
     for (;;) {
-        co_await sleep(kLookEvery);
-        if (!replica_.hasQuorumContact()) {
-            confirmed_ = false;
-            continue;
-        }
-        confirmed_ = true;  // in contact: every key was read from a majority since
-        for (auto& [name, watch] : watches_) {
-            const auto at = held().find(name);
-            const auto before = at == held().end() ? leases::Lease() : at->second;
-            if (watch.due(before, replica_.members(), rows(), now())) co_await take(name, before.term);
-        }
-        if (listTerm_() <= term(kListDuty) || !has(kListDuty)) continue;
-        const auto value = co_await replica_.read(kDutiesKey, kDecideWithin);  // another may have it by now
-        if (value && has(kListDuty) && listTerm_() > term(kListDuty)) co_await take(kListDuty, listTerm_());
+        co_await sleep(kCheckInterval);
+        confirmed_ = replica_.hasQuorumContact();  // in contact: every key was read from a majority since
+        if (!confirmed_) continue;
+        co_await acquireUnheldLeases();
+        co_await raiseTermToHighestSeen();
     }
 }
 
-Task<> LeaseHolder::take(std::string duty, std::uint64_t seen) {
-    const auto before = held().contains(duty) ? held().at(duty).holder : "";
-    const consensus::Change change = leases::taking(duty, self_, seen);
-    const auto value = co_await replica_.update(kDutiesKey, change, kDecideWithin);
+Task<> LeaseHolder::acquireUnheldLeases() {
+    for (auto& [name, monitor] : monitors_) {
+        const auto current = currentLease(name);
+        if (monitor.shouldAcquire(current, replica_.members(), reachability(), now()))
+            co_await acquire(name, current.term);
+    }
+}
+
+Task<> LeaseHolder::raiseTermToHighestSeen() {
+    if (highestTermSeen_() <= term(kEndpointListLease) || !holdsLease(kEndpointListLease)) co_return;
+    const auto value = co_await replica_.read(kLeasesKey, kUpdateTimeout);  // another may hold it by now
+    if (value && holdsLease(kEndpointListLease) && highestTermSeen_() > term(kEndpointListLease))
+        co_await acquire(kEndpointListLease, highestTermSeen_());
+}
+
+Task<> LeaseHolder::acquire(std::string lease, std::uint64_t termSeen) {
+    const auto before = currentLease(lease).holder;
+    // A local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
+    const consensus::Change change = leases::acquireLease(lease, self_, termSeen);
+    const auto value = co_await replica_.change(kLeasesKey, change, kUpdateTimeout);
     if (!value) co_return;
-    const auto after = leases::read(*value)[duty];
-    if (leases::holds(after, self_)) log("duty", {{"duty", duty}, {"term", after.term}, {"before", before}});
+    const auto after = leases::decodeLeases(*value)[lease];
+    if (leases::isHeldBy(after, self_))
+        log("duty", {{"duty", lease}, {"term", after.term}, {"before", before}});
 }
 
-Json LeaseHolder::describe() const {
-    Json told = Json::object();
-    for (const auto& [name, duty] : held())
-        told[name] = {{"holder", duty.holder}, {"term", duty.term}, {"mine", has(name)}};
-    return told;
+std::map<std::string, LeaseStatus> LeaseHolder::status() const {
+    std::map<std::string, LeaseStatus> status;
+    for (const auto& [name, lease] : currentLeases())
+        status[name] = {lease.holder, lease.term, holdsLease(name)};
+    return status;
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/link_messages.cpp
+++ b/src/control_plane/link_messages.cpp
@@ -65,7 +65,7 @@
 
 Json encodeStateReport(const StateReport& report) {
     Json proposalNumbers = Json::object();
-    for (const auto& [key, number] : report.proposalNumbers) proposalNumbers[key] = messages::write(number);
+    for (const auto& [key, number] : report.proposalNumbers) proposalNumbers[key] = messages::encode(number);
     Json ages = Json::array();
     for (const auto& [rollout, age] : report.ages)
         ages.push_back({rollout, age.order, age.stage, age.inStage});
--- a/src/control_plane/membership_planner.cpp
+++ b/src/control_plane/membership_planner.cpp
@@ -14,7 +14,7 @@
                                      ReplicaStorage& storage, EpochTracker& epochs,
                                      QuorumContactMonitor& contact, Learner& learner)
     : boot_(boot),
-      address_(boot.internal(boot.ip)),
+      address_(boot.peerAddress(boot.ip)),
       peers_(peers),
       storage_(storage),
       epochs_(epochs),
@@ -109,7 +109,7 @@
         if (one.present &&
             epochs_.open().find(one.member.address, epochs_.isFounded() ? one.member.disk : ""))
             present.push_back(one.member.address);
-    const auto turn = hashing::chosen(present, "members", 1);
+    const auto turn = hashing::rendezvousSelect(present, "members", 1);
     return turn.empty() ? "" : turn.front();
 }
 
--- a/src/control_plane/peer_dialers.hpp
+++ b/src/control_plane/peer_dialers.hpp
@@ -15,7 +15,7 @@
   public:
     /// `self`: this process's own address, which is never dialled. `owner` gets the connections' events.
     PeerDialers(transport::asio::io_context& io, std::string self,
-                std::shared_ptr<transport::PeerConnection::Owner> owner)
+                std::shared_ptr<transport::PeerConnection::Callbacks> owner)
         : io_(io), self_(std::move(self)), owner_(std::move(owner)) {}
 
     /// Keeps a connection to `address` from now on.
@@ -33,7 +33,7 @@
   private:
     transport::asio::io_context& io_;
     const std::string self_;
-    std::shared_ptr<transport::PeerConnection::Owner> owner_;
+    std::shared_ptr<transport::PeerConnection::Callbacks> owner_;
     std::map<std::string, std::shared_ptr<transport::Dialer>> dialers_;  // by address
 };
 
--- a/src/control_plane/peer_messages.cpp
+++ b/src/control_plane/peer_messages.cpp
@@ -46,7 +46,7 @@
 
 Json encode(const AcceptedNumbers& accepted) {
     Json encoded = Json::object();
-    for (const auto& [key, proposalNumber] : accepted) encoded[key] = messages::write(proposalNumber);
+    for (const auto& [key, proposalNumber] : accepted) encoded[key] = messages::encode(proposalNumber);
     return encoded;
 }
 
@@ -200,7 +200,7 @@
 
 Json encode(const LearnMessage& message) {
     return {
-        {kType, kLearnType}, {kKey, message.key}, {kProposalNumber, messages::write(message.proposalNumber)}};
+        {kType, kLearnType}, {kKey, message.key}, {kProposalNumber, messages::encode(message.proposalNumber)}};
 }
 
 LearnMessage decodeLearnMessage(const Json& from) {
--- a/src/control_plane/proposer.cpp
+++ b/src/control_plane/proposer.cpp
@@ -140,7 +140,7 @@
     if (consensus::isSuccessorKey(key)) return;
     const auto proposalNumber = proposal.proposalNumber();
     if (proposalNumber > learner_.known(key).proposalNumber)
-        peers_.broadcast(PeerConnection::pack(encode(LearnMessage{key, proposalNumber})));
+        peers_.broadcast(PeerConnection::encode(encode(LearnMessage{key, proposalNumber})));
     learner_.learn(key, proposalNumber, proposal.value());
 }
 
--- a/src/control_plane/proxy_registry.cpp
+++ b/src/control_plane/proxy_registry.cpp
@@ -43,7 +43,7 @@
 /// One roster for all that came and went of late: at a start a whole fleet says hello at once.
 void ProxyRegistry::scheduleRoster() {
     if (std::exchange(rosterScheduled_, true)) return;
-    start(io_, "roster", sendRoster());
+    spawn(io_, "roster", sendRoster());
 }
 
 Task<> ProxyRegistry::sendRoster() {
@@ -51,7 +51,7 @@
     rosterScheduled_ = false;
     std::map<std::string, std::string> addresses;
     for (const auto& [name, proxy] : proxies_) addresses[name] = proxy.address;
-    broadcast(PeerConnection::pack(encodeRoster(addresses)));
+    broadcast(PeerConnection::encode(encodeRoster(addresses)));
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/quorum_contact_monitor.cpp
+++ b/src/control_plane/quorum_contact_monitor.cpp
@@ -11,7 +11,7 @@
                                            ReplicaStorage& storage, EpochTracker& epochs, Learner& learner,
                                            Hooks hooks)
     : boot_(boot),
-      address_(boot.internal(boot.ip)),
+      address_(boot.peerAddress(boot.ip)),
       peers_(peers),
       storage_(storage),
       epochs_(epochs),
@@ -116,7 +116,7 @@
 void QuorumContactMonitor::pingAll() {
     auto current = status();
     const bool isNew = current != statusSent_;
-    const auto encoded = PeerConnection::pack(encode(makePing(isNew)));
+    const auto encoded = PeerConnection::encode(encode(makePing(isNew)));
     statusSent_ = std::move(current);
     peers_.broadcast(encoded);
 }
--- a/src/control_plane/reconfiguration_driver.cpp
+++ b/src/control_plane/reconfiguration_driver.cpp
@@ -73,7 +73,7 @@
         !contact_.hasContact() || epochs_.reconfiguration() || wantedSince_ > 0 || acceptedSince_ > 0;
     if (running_ || (!pending && now() - checkedAt_ < kPlanEvery)) return;
     checkedAt_ = now();
-    start(io_, "members", step());
+    spawn(io_, "members", step());
 }
 
 Nanos ReconfigurationDriver::drawJitter() const {
@@ -181,7 +181,7 @@
     broker_.end(id);
     const bool done = currentStep() == Step::done;
     if (done && epochs_.open().number < to.number) epochs_.adopt(to);
-    if (epochs_.open().number == to.number) peers_.broadcast(PeerConnection::pack(encode(epochs_.notice())));
+    if (epochs_.open().number == to.number) peers_.broadcast(PeerConnection::encode(encode(epochs_.notice())));
     co_return done;
 }
 
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -12,7 +12,7 @@
 
 std::vector<std::string> seedAddresses(const config::BootstrapSettings& boot) {
     std::vector<std::string> seeds;
-    for (const auto& seed : boot.seeds) seeds.push_back(boot.internal(hostOf(seed)));
+    for (const auto& seed : boot.seeds) seeds.push_back(boot.peerAddress(hostOf(seed)));
     std::sort(seeds.begin(), seeds.end());
     seeds.erase(std::unique(seeds.begin(), seeds.end()), seeds.end());
     return seeds;
@@ -24,7 +24,7 @@
                          Opener opener)
     : boot_(boot),
       owner_(std::move(owner)),
-      address_(boot.internal(boot.ip)),
+      address_(boot.peerAddress(boot.ip)),
       seeds_(seedAddresses(boot)),
       storage_(io, {address_, seeds_, boot.bootstrap}, std::move(opener), storageHooks()),
       learner_(storage_, [this](const std::string& key) { owner_.onValueLearned(key); }),
--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -167,7 +167,7 @@
 
 void ReplicaStorage::startQueue() {
     working_ = true;
-    start(io_, "register copy", processQueue());
+    spawn(io_, "register copy", processQueue());
 }
 
 std::optional<consensus::Update> ReplicaStorage::evaluate(const Job& job, consensus::Reply& reply) {
--- a/src/control_plane/request_broker.cpp
+++ b/src/control_plane/request_broker.cpp
@@ -33,7 +33,7 @@
             const auto connection = peers_.connection(member.address);
             if (!connection) continue;
             if (!encoded)
-                encoded = PeerConnection::pack(encode(RequestMessage{id, staged.stage, staged.request}));
+                encoded = PeerConnection::encode(encode(RequestMessage{id, staged.stage, staged.request}));
             connection->send(encoded);
         }
     }
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -2,7 +2,6 @@
 
 #include "hashing/rendezvous.hpp"
 #include "transport/log.hpp"
-#include "verdict/stages.hpp"
 
 namespace lichenlanding::control_plane {
 
@@ -10,129 +9,160 @@
 
 namespace {
 
-constexpr Nanos kSteerEvery = 200 * kMillisecond;
-constexpr Nanos kDecideWithin = 900 * kMillisecond;
-constexpr Nanos kWriteAgesEvery = kSecond;  // a restart of all control nodes loses no more of an order's age
+constexpr Nanos kRunInterval = 200 * kMillisecond;
+constexpr Nanos kUpdateTimeout = 900 * kMillisecond;
+// A restart of all control plane processes loses no more of a rollout's age.
+constexpr Nanos kWriteAgesInterval = kSecond;
 
-// An order of one service and version may come again, with another term, once the first has ended.
-std::string nameOf(const messages::Rollout& rollout) {
-    return rollout.service + "\n" + rollout.target + "\n" + std::to_string(rollout.term);
+constexpr const char* kCompletedState = "completed";
+constexpr const char* kRolledBackState = "rolled_back";
+
+std::string voteKey(const std::string& service, const std::string& target) { return service + "\n" + target; }
+
+// A request for one service and version may come again, with another deadline, once the first has ended.
+std::string requestKey(const messages::Rollout& rollout) {
+    return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.term);
+}
+
+bool isSameRequest(const messages::Rollout& one, const messages::Rollout& other) {
+    return one.service == other.service && one.target == other.target && one.term == other.term;
+}
+
+messages::Rollout afterMove(messages::Rollout rollout, const verdict::Move& move, std::int64_t age) {
+    if (move.completed) rollout.state = kCompletedState;
+    else if (move.rolledBack) rollout.state = kRolledBackState;
+    else ++rollout.stage;
+    rollout.age = age;
+    rollout.inStage = 0;
+    return rollout;
+}
+
+/// Replaces `before` by `after`, unless the rollout has left that stage: what is decided stays decided,
+/// whichever process advances it.
+std::string applyMove(const std::string& value, const messages::Rollout& before,
+                      const messages::Rollout& after) {
+    auto rollouts = messages::decodeRollouts(value);
+    std::int64_t highest = 0;
+    for (const auto& one : rollouts) highest = std::max(highest, one.number);
+    bool changed = false;
+    for (auto& one : rollouts) {
+        if (!isSameRequest(one, after) || !one.running() || one.stage != before.stage) continue;
+        one = after;
+        one.number = highest + 1;
+        changed = true;
+    }
+    return changed ? messages::encode(rollouts) : value;
+}
+
+/// The ages known here, where they are above those that the register has.
+std::string applyAges(const std::string& value, const verdict::Ages& ages, Nanos now) {
+    auto rollouts = messages::decodeRollouts(value);
+    for (auto& one : rollouts) {
+        if (!one.running()) continue;
+        const auto age = ages.at(requestKey(one), now);
+        one.age = std::max(one.age, age.order);
+        if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
+    }
+    return messages::encode(rollouts);
 }
 
 }  // namespace
 
-void RolloutController::learnt() {
+void RolloutController::onValueLearned() {
     running_.clear();
     for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value)) {
         if (!rollout.running()) continue;
-        running_.insert(nameOf(rollout));
-        ages_.learn(nameOf(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
+        running_.insert(requestKey(rollout));
+        ages_.learn(requestKey(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
     }
     ages_.keep(running_);
 }
 
-void RolloutController::learn(const Json& ages) {
-    for (const auto& one : ages)
-        if (const auto name = one.at(0).get<std::string>(); running_.contains(name))
-            ages_.learn(name,
-                        {one.at(1).get<std::int64_t>(), one.at(2).get<int>(), one.at(3).get<std::int64_t>()},
-                        now());
+void RolloutController::onPeerAges(const std::vector<RolloutAge>& ages) {
+    for (const auto& [rollout, age] : ages)
+        if (running_.contains(rollout)) ages_.learn(rollout, age, now());
 }
 
-Json RolloutController::ages() const {
-    Json told = Json::array();
-    for (const auto& name : running_) {
-        const auto age = ages_.at(name, now());
-        told.push_back({name, age.order, age.stage, age.inStage});
-    }
-    return told;
+std::vector<RolloutAge> RolloutController::ages() const {
+    std::vector<RolloutAge> ages;
+    for (const auto& rollout : running_) ages.push_back({rollout, ages_.at(rollout, now())});
+    return ages;
 }
 
-Task<> RolloutController::writeAges() {
-    const consensus::Change older = [this](const std::string& value) {
-        auto all = messages::decodeRollouts(value);
-        for (auto& one : all) {
-            if (!one.running()) continue;
-            const auto age = ages_.at(nameOf(one), now());
-            one.age = std::max(one.age, age.order);
-            if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
-        }
-        return messages::write(all);
-    };
-    co_await replica_.update(kRolloutsKey, older, kDecideWithin);
-}
-
-void RolloutController::heard(const Json& vote) {
-    const auto key = vote.at("service").get<std::string>() + "\n" + vote.at("target").get<std::string>();
-    votes_[key][vote.at("from").get<std::string>()] = {static_cast<Verdict>(vote.at("verdict").get<int>()),
-                                                       vote.at("stage").get<int>(), now(), vote};
+void RolloutController::onVote(RolloutVote vote) {
+    auto& received = votes_[voteKey(vote.service, vote.target)][vote.voter];
+    received = {std::move(vote), now()};
 }
 
-Json RolloutController::votes() const {
-    Json told = Json::array();
+std::vector<Json> RolloutController::votes() const {
+    std::vector<Json> messages;
     for (const auto& [_, byVoter] : votes_)
-        for (const auto& [voter, vote] : byVoter)
-            if (now() - vote.at < verdict::kVoteLife) told.push_back(vote.about);
-    return told;
+        for (const auto& [voter, received] : byVoter)
+            if (now() - received.receivedAt < verdict::kVoteLife) messages.push_back(received.vote.message);
+    return messages;
 }
 
-Task<> RolloutController::steer() {
+Task<> RolloutController::run() {
     for (;;) {
-        co_await sleep(kSteerEvery);
-        if (!held_()) continue;
+        co_await sleep(kRunInterval);
+        if (!holdsLease_()) continue;
         for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value))
-            if (rollout.running()) co_await steer(rollout);
-        if (running_.empty() || now() - written_ < kWriteAgesEvery) continue;
-        written_ = now();
+            if (rollout.running()) co_await advance(rollout);
+        if (running_.empty() || now() - agesWrittenAt_ < kWriteAgesInterval) continue;
+        agesWrittenAt_ = now();
         co_await writeAges();
     }
 }
 
-Task<> RolloutController::steer(messages::Rollout rollout) {
-    const auto key = rollout.service + "\n" + rollout.target;
-    const auto chosen = hashing::chosen(proxies_(), key, verdict::kVoterCount);
-    verdict::VoteCounts votes;
-    votes.voters = chosen.size();
-    Json said = Json::array();
-    for (const auto& voter : chosen) {
-        const auto at = votes_[key].find(voter);
-        if (at == votes_[key].end() || now() - at->second.at > verdict::kVoteLife) continue;
-        votes.on += at->second.verdict == Verdict::on && at->second.stage == rollout.stage;
-        votes.back += at->second.verdict == Verdict::back;
-        said.push_back(at->second.about);
+RolloutController::Tally RolloutController::tally(const messages::Rollout& rollout) const {
+    const auto key = voteKey(rollout.service, rollout.target);
+    const auto voters = hashing::rendezvousSelect(proxyNames_(), key, verdict::kVoterCount);
+    Tally tally;
+    tally.counts.voters = voters.size();
+    const auto votes = votes_.find(key);
+    if (votes == votes_.end()) return tally;
+    for (const auto& voter : voters) {
+        const auto at = votes->second.find(voter);
+        if (at == votes->second.end() || now() - at->second.receivedAt > verdict::kVoteLife) continue;
+        const auto& vote = at->second.vote;
+        tally.counts.on += vote.verdict == Verdict::on && vote.stage == rollout.stage;
+        tally.counts.back += vote.verdict == Verdict::back;
+        tally.messages.push_back(vote.message);
     }
-    const auto age = ages_.at(nameOf(rollout), now());
+    return tally;
+}
+
+Task<> RolloutController::advance(messages::Rollout rollout) {
+    const auto votes = tally(rollout);
+    const auto age = ages_.at(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
-    const auto move = verdict::nextMove(rollout.stage, votes, age.order, inStage, rollout.term);
+    const auto move = verdict::nextMove(rollout.stage, votes.counts, age.order, inStage, rollout.term);
     if (!move) co_return;
-    auto to = rollout;
-    if (move->completed || move->rolledBack) to.state = move->completed ? "completed" : "rolled_back";
-    else ++to.stage;
-    to.age = age.order, to.inStage = 0;
+    const auto after = afterMove(rollout, *move, age.order);
     const char* why = move->why;
-    log("rollout", {{"service", to.service},
-                    {"target", to.target},
-                    {"state", to.state},
-                    {"stage", to.stage},
+    log("rollout", {{"service", after.service},
+                    {"target", after.target},
+                    {"state", after.state},
+                    {"stage", after.stage},
                     {"why", why},
                     {"elapsed_ms", age.order},
-                    {"votes", said}});
-    // A local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
-    const consensus::Change decide = [rollout, to](const std::string& value) {
-        auto all = messages::decodeRollouts(value);
-        std::int64_t number = 0;
-        for (const auto& one : all) number = std::max(number, one.number);
-        bool changed = false;
-        for (auto& one : all) {
-            // What is decided stays decided, whoever else steers.
-            if (one.service != to.service || one.target != to.target || one.term != to.term ||
-                !one.running() || one.stage != rollout.stage)
-                continue;
-            one = to, one.number = number + 1, changed = true;
-        }
-        return changed ? messages::write(all) : value;
+                    {"votes", votes.messages}});
+    co_await writeMove(rollout, after);
+}
+
+// In both, the change is a local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
+Task<> RolloutController::writeMove(messages::Rollout before, messages::Rollout after) {
+    const consensus::Change change = [before, after](const std::string& value) {
+        return applyMove(value, before, after);
+    };
+    co_await replica_.change(kRolloutsKey, change, kUpdateTimeout);
+}
+
+Task<> RolloutController::writeAges() {
+    const consensus::Change change = [this](const std::string& value) {
+        return applyAges(value, ages_, now());
     };
-    co_await replica_.update(kRolloutsKey, decide, kDecideWithin);
+    co_await replica_.change(kRolloutsKey, change, kUpdateTimeout);
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -81,7 +81,7 @@
         for (const auto& address : own->second)
             if (members.contains(address) && address != current.holder && address != self_.address)
                 candidates.push_back(address);
-    const auto ranked = hashing::chosen(candidates, lease_, candidates.size());
+    const auto ranked = hashing::rendezvousSelect(candidates, lease_, candidates.size());
     const auto rank = std::find(ranked.begin(), ranked.end(), self_.address) - ranked.begin();
     const bool neverHeld = current.term == 0;
     return (neverHeld ? 0 : kUnreachableFor) + rank * kCandidateDelay;
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -70,12 +70,12 @@
 Json encode(const consensus::Request& request) {
     Json encoded{{kKind, static_cast<int>(request.kind)}, {kEpoch, request.epoch}};
     if (!request.key.empty()) encoded[kKey] = request.key;
-    if (request.proposalNumber.round > 0) encoded[kProposalNumber] = messages::write(request.proposalNumber);
+    if (request.proposalNumber.round > 0) encoded[kProposalNumber] = messages::encode(request.proposalNumber);
     if (request.kind == consensus::Request::Kind::accept)
         encoded[kValue] = messages::encodeBytes(request.value);
-    if (request.held.round > 0) encoded[kHeldNumber] = messages::write(request.held);
+    if (request.held.round > 0) encoded[kHeldNumber] = messages::encode(request.held);
     for (const auto& [key, proposalNumber] : request.holds)
-        encoded[kHeldNumbers][key] = messages::write(proposalNumber);
+        encoded[kHeldNumbers][key] = messages::encode(proposalNumber);
     if (request.to) encoded[kSuccessor] = encode(*request.to);
     if (request.from) encoded[kPredecessor] = encode(*request.from);
     if (request.open) encoded[kOpen] = true;
@@ -109,9 +109,9 @@
 Json encode(const consensus::Reply& reply) {
     Json encoded{{kRejected, reply.rejected}, {kAccepted, reply.accepted},
                  {kEpoch, reply.epoch},       {kSealed, reply.sealed},
-                 {kWrites, reply.writes},     {kState, messages::write(reply.state)}};
+                 {kWrites, reply.writes},     {kState, messages::encode(reply.state)}};
     if (reply.valueOmitted) encoded[kValueOmitted] = true;
-    for (const auto& [key, state] : reply.states) encoded[kStates][key] = messages::write(state);
+    for (const auto& [key, state] : reply.states) encoded[kStates][key] = messages::encode(state);
     return encoded;
 }
 
--- a/src/scale_test/platform.cpp
+++ b/src/scale_test/platform.cpp
@@ -27,7 +27,7 @@
       acceptor_(listen(io, "127.0.0.1:0")),
       callsLeft_(static_cast<double>(plan.listCallsPerSecond)) {
     while (endpointsMade_ < plan_.pods) endpoints_.push_back(pod(plan_, endpointsMade_++));
-    start(io_, "platform", accept());
+    spawn(io_, "platform", accept());
 }
 
 std::string Platform::address() const {
@@ -83,7 +83,7 @@
         ErrorCode code;
         auto socket = co_await acceptor_.async_accept(withErrorCode(code));
         if (code) co_return;
-        start(io_, "platform", serve(std::move(socket)));
+        spawn(io_, "platform", serve(std::move(socket)));
     }
 }
 
--- a/src/scale_test/scale_phases.cpp
+++ b/src/scale_test/scale_phases.cpp
@@ -134,7 +134,7 @@
         change.acknowledged = now();
         for (std::int64_t proxy = 0; proxy < plan_.realProxies; ++proxy) {
             ++open;
-            start(io_, "route", collectServed(proxy, n, &change.served, &open));
+            spawn(io_, "route", collectServed(proxy, n, &change.served, &open));
         }
         const Nanos next = began + n * plan_.changeEveryMs * kMillisecond;
         if (now() < next) co_await sleep(next - now());
@@ -202,7 +202,7 @@
     int open = 0;
     for (std::int64_t n = 0; n < plan_.podChanges; ++n) {
         ++open;
-        start(io_, "pod", collectDrained(&last, &open));
+        spawn(io_, "pod", collectDrained(&last, &open));
         co_await sleep(plan_.podChangeEveryMs * kMillisecond);
     }
     const auto allEnded = [&] { return open == 0; };
--- a/src/scale_test/sizes.cpp
+++ b/src/scale_test/sizes.cpp
@@ -46,10 +46,10 @@
         measured({{"t", "configuration"}, {"version", 1}, {"squeezed", messages::encodeBytes(compressed)}});
     told["squeeze_ms"] = squeezing;
     told["body_bytes"] = body.size();
-    told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = config::Configuration::read(body); });
+    told["read_ms"] = millis([&] { [[maybe_unused]] const auto read = config::Configuration::parse(body); });
 
     Json list = Json::array();
-    for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(messages::write(pod(plan, n)));
+    for (std::int64_t n = 0; n < plan.pods; ++n) list.push_back(messages::encode(pod(plan, n)));
     all["list"] =
         measured({{"t", "pods"}, {"change", 1}, {"stamp", 1}, {"set", list}, {"gone", Json::array()}});
     if (plan.pods > 0)
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -437,7 +437,7 @@
         while (!cast.replica(leaver).isVotingMember()) ++leaver;
         const auto leave = [&](Cast& of, int at) {
             bool left = false;
-            start(of.io, "leave", [](ReplicaNode& replica, bool& left_) -> Task<> {
+            spawn(of.io, "leave", [](ReplicaNode& replica, bool& left_) -> Task<> {
                 co_await replica.stepDown();
                 left_ = true;
             }(of.replica(at), left));
--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -105,7 +105,7 @@
     std::shared_ptr<Caller> connect(int receiveBuffer = 0) {
         if (!door) {
             door = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-            start(io, "control", server.serve(*door));
+            spawn(io, "control", server.serve(*door));
         }
         auto caller = std::make_shared<Caller>(io);
         caller->socket.open(tcp::v4());
@@ -120,14 +120,14 @@
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
     void send(const std::shared_ptr<Caller>& caller, const std::string& sent) {
-        start(io, "send", [](std::shared_ptr<Caller> caller_, std::string sent_) -> Task<> {
+        spawn(io, "send", [](std::shared_ptr<Caller> caller_, std::string sent_) -> Task<> {
             ErrorCode code;
             co_await asio::async_write(caller_->socket, asio::buffer(sent_), withErrorCode(code));
         }(caller, sent));
     }
     // Reads so many answers, or to the end of the connection.
     void listenTo(const std::shared_ptr<Caller>& caller, int answers) {
-        start(io, "listen", [](std::shared_ptr<Caller> caller_, int answers_) -> Task<> {
+        spawn(io, "listen", [](std::shared_ptr<Caller> caller_, int answers_) -> Task<> {
             for (; answers_ > 0; --answers_) {
                 http::response<http::string_body> response;
                 ErrorCode code;
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -86,7 +86,7 @@
             if (anew) disk.restore({});
             return std::make_unique<ScriptedBook>(disk);
         });
-        owner = std::make_shared<PeerConnection::Owner>();
+        owner = std::make_shared<PeerConnection::Callbacks>();
         owner->greet = [this](PeerConnection& link) {
             open.push_back(link.weak_from_this());
             auto hello = replica->helloFields();
@@ -95,7 +95,7 @@
         };
         owner->heard = [this](PeerConnection& link, const Json& message) {
             if (away == 0) return heard(link, message);
-            start(io, "on its way",
+            spawn(io, "on its way",
                   [](Member& self, std::shared_ptr<PeerConnection> link_, Json message_) -> Task<> {
                       co_await sleep(self.away);
                       self.heard(*link_, message_);
@@ -107,9 +107,9 @@
         };
         door = std::make_unique<tcp::acceptor>(listen(io, at()));
         replica->open();
-        start(io, "links", servePeerConnections(io, *door, owner));
-        start(io, "maintain", replica->run());
-        for (const auto& seed : boot.seeds) dial(boot.internal(hostOf(seed)));
+        spawn(io, "links", servePeerConnections(io, *door, owner));
+        spawn(io, "maintain", replica->run());
+        for (const auto& seed : boot.seeds) dial(boot.peerAddress(hostOf(seed)));
     }
     void heard(PeerConnection& link, const Json& message) {
         if (cut || gone) return;  // a cut says nothing: links stay up, words are lost
@@ -123,7 +123,7 @@
         replica->onHello(message);
         for (const auto& address : message.at("members")) dial(address.get<std::string>());
     }
-    std::string at() const { return boot.internal(boot.ip); }
+    std::string at() const { return boot.peerAddress(boot.ip); }
     void dial(const std::string& address) {
         if (gone || address == at() || dialers.contains(address)) return;
         dialers[address] = std::make_shared<Dialer>(io, address, owner);
@@ -146,7 +146,7 @@
     std::function<void(const PeerConnection&, const Json&)>
         overheard;  // of each message, once its sender is known
     std::unique_ptr<ReplicaNode> replica;
-    std::shared_ptr<PeerConnection::Owner> owner;
+    std::shared_ptr<PeerConnection::Callbacks> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;
     std::vector<std::weak_ptr<PeerConnection>> open;
     std::unique_ptr<tcp::acceptor> door;
