--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -70,7 +70,7 @@
 AdminApi::Register AdminApi::Register::of(ReplicaNode& replica) {
     return {[&replica] { return replica.hasQuorumContact(); },
             [&replica](std::string key, consensus::Change change, Nanos timeout) {
-                return replica.change(std::move(key), std::move(change), timeout);
+                return replica.update(std::move(key), std::move(change), timeout);
             },
             [&replica](std::string key, Nanos timeout) { return replica.read(std::move(key), timeout); }};
 }
--- a/src/control_plane/admin_server.cpp
+++ b/src/control_plane/admin_server.cpp
@@ -103,7 +103,7 @@
 Task<bool> AdminServer::awaitRequest(Connection& connection) {
     connection.enter(Phase::idle);
     if (connection.buffer.size() > 0) co_return true;
-    connection.stream.expires_after(span(limits_.idle));
+    connection.stream.expires_after(toDuration(limits_.idle));
     ErrorCode code;
     const auto bytes = co_await connection.stream.async_read_some(connection.buffer.prepare(kReadBytes),
                                                                   withErrorCode(code));
@@ -119,7 +119,7 @@
     parser.body_limit(kMaxBodyBytes);
     parser.header_limit(kMaxHeaderBytes);
     ErrorCode code;
-    stream.expires_after(span(limits_.header));
+    stream.expires_after(toDuration(limits_.header));
     co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
     if (code || parser.is_done()) co_return code;
     stream.expires_after(span(limits_.body));
@@ -135,7 +135,7 @@
 Task<bool> AdminServer::respond(Connection& connection, AdminResponse& response, Nanos timeout) {
     response.prepare_payload();
     connection.enter(Phase::responding);
-    connection.stream.expires_after(span(timeout));
+    connection.stream.expires_after(toDuration(timeout));
     ErrorCode code;
     co_await http::async_write(connection.stream, response, withErrorCode(code));
     co_return !code && response.keep_alive();
--- a/src/control_plane/configuration_publisher.cpp
+++ b/src/control_plane/configuration_publisher.cpp
@@ -19,19 +19,19 @@
 void ConfigurationPublisher::onConfigurationLearned(const std::string& value) {
     if (value.empty()) return;
     try {
-        cache_.configuration(admin::version(value), std::string(admin::compressed(value)));
+        cache_.setConfiguration(admin::version(value), std::string(admin::compressed(value)));
     } catch (const admin::ParseError& error) {  // written by a later version, say
         log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
         return;
     }
-    broadcast(cache_.cue());
+    broadcast(cache_.versionsMessage());
 }
 
 void ConfigurationPublisher::onRolloutsLearned(const std::string& value) {
     std::int64_t number = 0;
     for (const auto& rollout : messages::decodeRollouts(value)) number = std::max(number, rollout.number);
-    const bool changed = cache_.rollouts(number, value);  // false where ages alone are others
-    if (changed) broadcast(cache_.order());
+    const bool changed = cache_.setRollouts(number, value);  // false where ages alone are others
+    if (changed) broadcast(cache_.rolloutsMessage());
 }
 
 void ConfigurationPublisher::onDigest(PeerConnection& proxy, const Json& digest) { answer(proxy, digest); }
@@ -40,24 +40,24 @@
     const bool contact = quorumContact_();
     if (want.contains(kWantConfiguration) && cache_.version() > 0) {
         proxy.send(
-            encodeOnce(configuration_, {cache_.version(), contact}, [&] { return stamped(cache_.body()); }));
+            encodeOnce(configuration_, {cache_.version(), contact}, [&] { return stamped(cache_.configurationMessage()); }));
         want.erase(kWantConfiguration);
     }
     if (cache_.wantsFullList(want)) {
         const auto& version = cache_.endpointListVersion();
         proxy.send(encodeOnce(endpointList_, {version.term, version.sequence, contact},
-                              [&] { return stamped(cache_.whole()); }));
+                              [&] { return stamped(cache_.fullEndpointsMessage()); }));
         want.erase(kWantEndpoints);
     }
     answer(proxy, want);
 }
 
 void ConfigurationPublisher::answer(PeerConnection& proxy, const Json& message) const {
-    cache_.heard(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
+    cache_.handleMessage(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
                  [&](Json reply) { proxy.send(stamped(std::move(reply))); });
 }
 
-void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const { proxy.send(stamped(cache_.digest())); }
+void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const { proxy.send(stamped(cache_.digestMessage())); }
 
 void ConfigurationPublisher::broadcast(const Json& message) const {
     proxies_.broadcast(PeerConnection::encode(stamped(message)));
--- a/src/control_plane/configuration_publisher.hpp
+++ b/src/control_plane/configuration_publisher.hpp
@@ -27,7 +27,7 @@
     void onWant(transport::PeerConnection& proxy, Json want);
 
     void sendDigest(transport::PeerConnection& proxy) const;
-    void broadcastDigest() const { broadcast(cache_.digest()); }
+    void broadcastDigest() const { broadcast(cache_.digestMessage()); }
     void broadcast(const Json& message) const;
 
   private:
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -87,7 +87,7 @@
       replica_(io_, boot_,
                {[this](const std::string& key) { onValueLearned(key); }, [this] { onMembershipChanged(); }},
                ReplicaNode::onDisk(boot_)),
-      adminAcceptor_(listen(io_, boot_.control)),
+      adminAcceptor_(listen(io_, boot_.controlPlaneAddress)),
       peerAcceptor_(listen(io_, address())),
       connectionEvents_(makeConnectionEvents()),
       peers_(io_, address(), connectionEvents_),
@@ -111,21 +111,21 @@
 
 std::shared_ptr<PeerConnection::Callbacks> ControlPlane::makeConnectionEvents() {
     auto events = std::make_shared<PeerConnection::Callbacks>();
-    events->greet = [this](PeerConnection&) { return hello(); };
-    events->heard = [this](PeerConnection& connection, const Json& message) {
+    events->makeHello = [this](PeerConnection&) { return hello(); };
+    events->onMessage = [this](PeerConnection& connection, const Json& message) {
         onMessage(connection, message);
     };
-    events->closed = [this](PeerConnection& connection) { onDisconnected(connection); };
+    events->onClosed = [this](PeerConnection& connection) { onDisconnected(connection); };
     return events;
 }
 
-Json ControlPlane::hello() const { return encodeHello(replica_.greeting(), boot_.name, address()); }
+Json ControlPlane::hello() const { return encodeHello(replica_.helloFields(), boot_.name, address()); }
 
 void ControlPlane::onMessage(PeerConnection& connection, const Json& message) {
     const auto type = messageType(message);
     if (type == MessageType::hello) return onHello(connection, message);
     if (type == MessageType::known) onStateReport(connection, message);
-    if (replica_.heard(connection, message)) return;
+    if (replica_.handleMessage(connection, message)) return;
     switch (type) {
         case MessageType::want:
             return publisher_.onWant(connection, message);
@@ -152,7 +152,7 @@
 void ControlPlane::onControlPlaneHello(PeerConnection& connection, const Hello& hello, const Json& message) {
     connection.peer = hello.address;
     const auto ownConnection = peers_.connectionTo(hello.address);
-    if (ownConnection.get() == &connection) replica_.joined(hello.address, connection.shared_from_this());
+    if (ownConnection.get() == &connection) replica_.onPeerConnected(hello.address, connection.shared_from_this());
     else if (!ownConnection)
         peers_.retryNow(hello.address);  // after a loss of all, those that are up first wait for the others
     replica_.onHello(message);
@@ -221,7 +221,7 @@
 std::set<std::string> ControlPlane::reachablePeers() const {
     std::set<std::string> reachable;
     for (const auto& address : peers_.connected())
-        if (replica_.hears(address)) reachable.insert(address);
+        if (replica_.hearsPeer(address)) reachable.insert(address);
     return reachable;
 }
 
@@ -253,16 +253,16 @@
 StatusReport ControlPlane::status() const {
     StatusReport report;
     report.node = boot_.name;
-    report.blankDisk = !replica_.votes();
+    report.blankDisk = !replica_.isVotingMember();
     report.members = replica_.members().size();
-    report.connectedPeers = replica_.reached();
+    report.connectedPeers = replica_.connectedPeerCount();
     report.quorum = replica_.describe();
     report.configuration = cache_.version() ? config::formatVersion(cache_.version()) : "";
     report.leases = leases_.status();
     for (const auto& [name, proxy] : proxies_.proxies())
         report.proxies[name] = {proxy.address, proxy.incarnation, proxy.lostBy.size(),
                                 config::formatVersion(proxy.acknowledgedVersion)};
-    for (const auto& [_, endpoint] : cache_.endpoints().members()) {
+    for (const auto& [_, endpoint] : cache_.endpoints().endpoints()) {
         auto& counts = report.pods[endpoint.service][endpoint.version];
         ++(endpoint.draining ? counts.draining : counts.ready);
     }
@@ -277,7 +277,7 @@
 }
 
 void ControlPlane::run() {
-    signals(
+    handleSignals(
         io_, [this] { shutDown(); }, [this] { reloadSettings(); });
     log("start", {});
     replica_.open();
@@ -290,7 +290,7 @@
 void ControlPlane::startTasks() {
     spawn(io_, "links", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
     spawn(io_, "control", adminServer_.serve(adminAcceptor_));
-    spawn(io_, "register", replica_.maintain());
+    spawn(io_, "register", replica_.run());
     spawn(io_, "register", readRolloutsFirst());
     spawn(io_, "known", sendStateReports());
     spawn(io_, "duties", leases_.run());
@@ -300,7 +300,7 @@
 
 void ControlPlane::shutDown() {
     spawn(io_, "leave", [](ControlPlane& self) -> Task<> {
-        co_await self.replica_.leave();
+        co_await self.replica_.stepDown();
         log("left", {});
         self.io_.stop();
     }(*this));
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -25,7 +25,7 @@
 
 /// Between two requests, so that they stay within the platform's rate limit for all.
 Nanos EndpointDiscovery::requestGap() const {
-    return boot_.listPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.listPerSecond * kShareOfRate)) : 0;
+    return boot_.platformCallsPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.platformCallsPerSecond * kShareOfRate)) : 0;
 }
 
 Task<> EndpointDiscovery::run() {
@@ -53,7 +53,7 @@
     try {
         co_await readPages(client, term, list);
     } catch (const std::exception& error) {
-        log("list_failed", {{"step", "list"}, {"peer", boot_.list}, {"error", error.what()}});
+        log("list_failed", {{"step", "list"}, {"peer", boot_.platformAddress}, {"error", error.what()}});
         client.reset();
         list.complete = false;
     }
@@ -71,7 +71,7 @@
         ++requests_;
         if (response.result_int() == kTooManyRequests) {
             ++rateLimited_;
-            log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", response.result_int()}});
+            log("list_refused", {{"step", "list"}, {"peer", boot_.platformAddress}, {"status", response.result_int()}});
             co_await sleep(backoff);
             backoff = std::max(firstBackoff, std::min(backoff * 2, kMaxBackoff));
             if (!readOn(term, token.empty(), startedAt)) co_return;
@@ -100,14 +100,14 @@
 }
 
 void EndpointDiscovery::onListRead(const std::vector<discovery::Endpoint>& endpoints, std::uint64_t term) {
-    const bool first = !cache_.listed() || cache_.endpointListVersion().term != term;
-    const auto change = cache_.list(endpoints, term);
-    if (!cache_.listed()) return;  // a higher term has been heard of
+    const bool first = !cache_.endpointsCurrent() || cache_.endpointListVersion().term != term;
+    const auto change = cache_.updateEndpoints(endpoints, term);
+    if (!cache_.endpointsCurrent()) return;  // a higher term has been heard of
     if (!change.is_null()) broadcast_(change);
     // Now and then digests of the whole list are compared: whatever was missed is then sent again.
     if (!first && now() - digestSentAt_ < kDigestInterval) return;
     digestSentAt_ = now();
-    broadcast_(cache_.digest());
+    broadcast_(cache_.digestMessage());
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/endpoint_list_client.cpp
+++ b/src/control_plane/endpoint_list_client.cpp
@@ -28,7 +28,7 @@
 EndpointListPage decodeEndpointListPage(const std::string& body) {
     const auto decoded = nlohmann::json::parse(body);
     EndpointListPage page;
-    for (const auto& entry : decoded.at(kListField)) page.endpoints.push_back(messages::listed(entry));
+    for (const auto& entry : decoded.at(kListField)) page.endpoints.push_back(messages::decodePlatformEntry(entry));
     const auto next = decoded.find(kNextTokenField);
     if (next != decoded.end() && !next->is_null()) page.nextToken = next->get<std::string>();
     return page;
@@ -38,16 +38,16 @@
     : io_(io), boot_(boot), stream_(std::make_unique<beast::tcp_stream>(io)) {}
 
 Task<EndpointListClient::Response> EndpointListClient::requestPage(const std::string& token) {
-    stream_->expires_after(span(kRequestTimeout));
+    stream_->expires_after(toDuration(kRequestTimeout));
     if (!connected_) {
-        co_await stream_->async_connect(endpoint(boot_.list), asio::use_awaitable);
+        co_await stream_->async_connect(parseAddress(boot_.platformAddress), asio::use_awaitable);
         configureSocket(stream_->socket(), kSilenceTimeout);
         connected_ = true;
         buffer_.clear();
     }
     http::request<http::empty_body> request(
         http::verb::get, token.empty() ? std::string(kPath) : kPath + (kTokenParameter + token), 11);
-    request.set(http::field::host, boot_.list);
+    request.set(http::field::host, boot_.platformAddress);
     co_await http::async_write(*stream_, request, asio::use_awaitable);
     http::response_parser<http::string_body> parser;
     parser.body_limit(kMaxBodyBytes);
--- a/src/control_plane/lease_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -89,7 +89,7 @@
     const auto before = currentLease(lease).holder;
     // A local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
     const consensus::Change change = leases::acquireLease(lease, self_, termSeen);
-    const auto value = co_await replica_.change(kLeasesKey, change, kUpdateTimeout);
+    const auto value = co_await replica_.update(kLeasesKey, change, kUpdateTimeout);
     if (!value) co_return;
     const auto after = leases::decodeLeases(*value)[lease];
     if (leases::isHeldBy(after, self_))
--- a/src/control_plane/membership_planner.cpp
+++ b/src/control_plane/membership_planner.cpp
@@ -31,7 +31,7 @@
 }
 
 Nanos MembershipPlanner::absentAfter() const {
-    return boot_.controlReplace > 0 ? boot_.controlReplace : boot_.syncTime * 6 / 10;
+    return boot_.controlReplaceAfter > 0 ? boot_.controlReplaceAfter : boot_.syncTime * 6 / 10;
 }
 
 bool MembershipPlanner::isAnyEligible() const {
--- a/src/control_plane/peer_dialers.cpp
+++ b/src/control_plane/peer_dialers.cpp
@@ -8,7 +8,7 @@
     if (address == self_ || dials(address)) return;
     const auto dialer = std::make_shared<Dialer>(io_, address, owner_);
     dialers_[address] = dialer;
-    dialer->go();
+    dialer->start();
 }
 
 void PeerDialers::retryNow(const std::string& address) {
@@ -17,19 +17,19 @@
 
 std::shared_ptr<PeerConnection> PeerDialers::connectionTo(const std::string& address) const {
     const auto at = dialers_.find(address);
-    return at == dialers_.end() ? nullptr : at->second->link();
+    return at == dialers_.end() ? nullptr : at->second->connection();
 }
 
 std::vector<std::string> PeerDialers::connected() const {
     std::vector<std::string> addresses;
     for (const auto& [address, dialer] : dialers_)
-        if (dialer->link()) addresses.push_back(address);
+        if (dialer->connection()) addresses.push_back(address);
     return addresses;
 }
 
 void PeerDialers::broadcast(const EncodedMessage& message) const {
     for (const auto& [_, dialer] : dialers_)
-        if (const auto connection = dialer->link()) connection->send(message);
+        if (const auto connection = dialer->connection()) connection->send(message);
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/peer_messages.cpp
+++ b/src/control_plane/peer_messages.cpp
@@ -211,7 +211,7 @@
     return decodeAcceptedNumbers(from.at(kProposalNumbers));
 }
 
-Json encode(const Hello& hello) {
+Json encode(const ReplicaHello& hello) {
     return {{kMembers, hello.members},
             {kFounded, hello.founded},
             {kHasQuorumContact, hello.hasQuorumContact},
--- a/src/control_plane/peer_messages.hpp
+++ b/src/control_plane/peer_messages.hpp
@@ -85,7 +85,7 @@
 };
 
 /// What a replica's hello tells the others.
-struct Hello {
+struct ReplicaHello {
     std::set<std::string> members;  ///< addresses of all that should be linked to, the sender among them
     bool founded = false;
     bool hasQuorumContact = false;
@@ -113,7 +113,7 @@
 /// Every number that the sender knows to be in force, by key.
 AcceptedNumbers decodeKnownMessage(const Json& from);
 /// The fields that the register adds to a hello, without its type and address.
-Json encode(const Hello& hello);
+Json encode(const ReplicaHello& hello);
 PeerStatus decodeHelloStatus(const Json& from);
 EpochNotice decodeHelloNotice(const Json& from);
 
--- a/src/control_plane/quorum_contact_monitor.cpp
+++ b/src/control_plane/quorum_contact_monitor.cpp
@@ -63,7 +63,7 @@
 }
 
 bool QuorumContactMonitor::answeredLately(const Peer& peer) const {
-    return peer.answeredAt > 0 && now() - peer.answeredAt <= boot_.controlContact;
+    return peer.answeredAt > 0 && now() - peer.answeredAt <= boot_.controlContactTime;
 }
 
 bool QuorumContactMonitor::isMajorityHeard(const consensus::Epoch& epoch) const {
--- a/src/control_plane/register_keys.hpp
+++ b/src/control_plane/register_keys.hpp
@@ -7,8 +7,8 @@
 namespace lichenlanding::control_plane {
 
 inline const std::string kConfigurationKey = "configuration", kRolloutsKey = "rollouts",
-                         kDutiesKey = "duties";
+                         kLeasesKey = "duties";
 /// Every key that outlives a change of epoch; the successor keys of epochs are not among them.
-inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kDutiesKey};
+inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kLeasesKey};
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -104,7 +104,7 @@
 void ReplicaNode::onPeerDisconnected(const std::string& address) { peers_.disconnect(address); }
 
 Json ReplicaNode::helloFields() const {
-    Hello hello;
+    ReplicaHello hello;
     // Itself too: who is heard of may be chosen as a member, and a reconfiguration asks the new ones.
     hello.members = epochs_.memberAddresses();
     hello.members.insert(address_);
--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -43,7 +43,7 @@
     Notes notes;
     try {
         store_ = opener_(false);
-        states = store_->cells();
+        states = store_->states();
         for (const auto& name : kStoredNotes) notes[name] = store_->note(name);
     } catch (const storage::StorageError& damaged) {
         log("book_damaged", {{"step", "open"}, {"error", damaged.what()}});
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -155,14 +155,14 @@
     const consensus::Change change = [before, after](const std::string& value) {
         return applyMove(value, before, after);
     };
-    co_await replica_.change(kRolloutsKey, change, kUpdateTimeout);
+    co_await replica_.update(kRolloutsKey, change, kUpdateTimeout);
 }
 
 Task<> RolloutController::writeAges() {
     const consensus::Change change = [this](const std::string& value) {
         return applyAges(value, ages_, now());
     };
-    co_await replica_.change(kRolloutsKey, change, kUpdateTimeout);
+    co_await replica_.update(kRolloutsKey, change, kUpdateTimeout);
 }
 
 }  // namespace lichenlanding::control_plane
