--- a/src/control_plane/admin_server.cpp
+++ b/src/control_plane/admin_server.cpp
@@ -122,7 +122,7 @@
     stream.expires_after(toDuration(limits_.header));
     co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
     if (code || parser.is_done()) co_return code;
-    stream.expires_after(span(limits_.body));
+    stream.expires_after(toDuration(limits_.body));
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
         const http::response<http::empty_body> proceed(http::status::continue_, 11);
         co_await http::async_write(stream, proceed, withErrorCode(code));
