--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -115,7 +115,7 @@
         proposalNumber = messages::encode(messages::decodeProposalNumber(proposalNumber));
     return all;
 }
-Json epoch(const Json& told) { return membership::write(membership::decodeEpoch(told)); }
+Json epoch(const Json& told) { return membership::encode(membership::decodeEpoch(told)); }
 
 // The message with each part that has a reader and a writer read and written.
 Json rewritten(Json told) {
@@ -129,8 +129,8 @@
     if (kind == "pong") told["held"] = proposalNumbers(told["held"]);
     if (kind == "known") told["ballots"] = proposalNumbers(told["ballots"]);
     if (kind == "learn") told["ballot"] = messages::encode(messages::decodeProposalNumber(told["ballot"]));
-    if (kind == "reg") told["request"] = membership::write(membership::decodeRequest(told["request"]));
-    if (kind == "reply") told["reply"] = membership::write(membership::decodeReply(told["reply"]));
+    if (kind == "reg") told["request"] = membership::encode(membership::decodeRequest(told["request"]));
+    if (kind == "reply") told["reply"] = membership::encode(membership::decodeReply(told["reply"]));
     if (kind == "counts") told["totals"] = messages::encode(messages::decodeTotals(told["totals"]));
     if (kind == "configuration")
         told["squeezed"] = messages::encodeBytes(messages::decodeBytes(told["squeezed"]));
@@ -218,8 +218,8 @@
 // One end of links, played by the test: greets as it is told and keeps what it hears.
 struct Played {
     explicit Played(Json greeting_) : greeting(std::move(greeting_)) {
-        owner->greet = [this](PeerConnection&) { return greeting; };
-        owner->heard = [this](PeerConnection& link, const Json& told) {
+        owner->makeHello = [this](PeerConnection&) { return greeting; };
+        owner->onMessage = [this](PeerConnection& link, const Json& told) {
             last = link.shared_from_this(), heard.push_back(told);
             try {
                 sameFields(told);
@@ -228,7 +228,7 @@
             }
             if (told.at("t") == "hello") onHello = last;
         };
-        owner->closed = [](PeerConnection&) {};
+        owner->onClosed = [](PeerConnection&) {};
     }
     const Json* find(const std::string& kind, const std::function<bool(const Json&)>& fits = {}) const {
         CPPUNIT_ASSERT_MESSAGE(wrong, wrong.empty());
@@ -331,7 +331,7 @@
             const auto opened = copied(store);
             const auto earlier = records(opened);
             LmdbReplicaStore book(opened, 8 << 20);
-            const auto cells = book.cells();
+            const auto cells = book.states();
             CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cells.size());
             std::set<std::string> names, expected{"disk", "standing", "writes", "witness"};
             if (before) expected = {"members"};
@@ -357,7 +357,7 @@
                 CPPUNIT_ASSERT(standing.open && !standing.next && !standing.before);
                 CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, standing.epoch.number);
                 CPPUNIT_ASSERT(storedMembers == standing.epoch.members);
-                CPPUNIT_ASSERT_EQUAL(notes.at("standing"), membership::write(standing).dump());
+                CPPUNIT_ASSERT_EQUAL(notes.at("standing"), membership::encode(standing).dump());
                 const auto seen =
                     Json::parse(notes.at("witness")).get<std::map<std::string, std::uint64_t>>();
                 CPPUNIT_ASSERT(seen.size() >= 4);
@@ -381,7 +381,7 @@
             const auto& address = storedMembers[copies.size()].address;
             auto& copy = copies.emplace_back(address, book.note(storage::kDiskNote));
             copy.put(
-                {book.cells(), membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
+                {book.states(), membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
             CPPUNIT_ASSERT(copy.counts());
         }
         const consensus::Epoch& epoch = copies[0].standing().epoch;
@@ -391,10 +391,10 @@
                 for (std::uint32_t place = 0; place < copies.size(); ++place) {
                     const auto step = run.step();
                     std::optional<consensus::Update> update;
-                    const auto request = membership::decodeRequest(membership::write(run.request()));
+                    const auto request = membership::decodeRequest(membership::encode(run.request()));
                     const auto reply = copies[place].evaluate(request, update);
                     if (update) copies[place].put(*update);
-                    run.on(place, step, membership::decodeReply(membership::write(reply)));
+                    run.on(place, step, membership::decodeReply(membership::encode(reply)));
                     if (run.step() != step) break;
                 }
             CPPUNIT_ASSERT(run.step() == consensus::Proposal::Step::done);
@@ -441,7 +441,7 @@
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, replica.epoch().number);
             CPPUNIT_ASSERT(storedMembers == replica.epoch().members);
             CPPUNIT_ASSERT_EQUAL(disk, replica.describe().at("disk").get<std::string>());
-            const auto hello = replica.greeting();
+            const auto hello = replica.helloFields();
             CPPUNIT_ASSERT_EQUAL(disk, hello.at("about").at("disk").get<std::string>());
             CPPUNIT_ASSERT_EQUAL(store != "c2", hello.at("about").at("seated").get<bool>());
             const auto held = hello.at("about").at("held");
@@ -449,16 +449,16 @@
                                        {"duties", {9, 1104245121}},
                                        {"rollouts", {34, 1104245121}}}),
                                  held);
-            CPPUNIT_ASSERT(!replica.votes());
+            CPPUNIT_ASSERT(!replica.isVotingMember());
             for (const auto& member : storedMembers) {
                 if (member.address == told.peerAddress(told.ip)) continue;
                 auto pong = message("pong");
                 pong["at"] = member.address, pong["disk"] = member.disk, pong["of"] = disk;
                 pong["seen"] = 1, pong["epoch"] = 4, pong["held"] = held, pong["seated"] = true;
                 pong["sent"] = now();
-                CPPUNIT_ASSERT(replica.heard(*std::make_shared<PeerConnection>(io, member.address), pong));
+                CPPUNIT_ASSERT(replica.handleMessage(*std::make_shared<PeerConnection>(io, member.address), pong));
             }
-            CPPUNIT_ASSERT_EQUAL(store != "c2", replica.votes());
+            CPPUNIT_ASSERT_EQUAL(store != "c2", replica.isVotingMember());
         }
     }
 
@@ -466,21 +466,21 @@
     void storeBeforeEpochs() {
         const std::string store = "promptbook_before_epochs", me = "127.0.1.1:7720";
         const auto opened = copied(store);
-        const auto cells = LmdbReplicaStore(opened, 8 << 20).cells();
+        const auto cells = LmdbReplicaStore(opened, 8 << 20).states();
         const auto told = boot("127.0.1.1", store);
         for (int life = 0; life < 2; ++life) {
             asio::io_context io;
             ReplicaNode replica(io, told, {[](const std::string&) {}, [] {}}, ReplicaNode::onDisk(told));
             replica.open();
             // The first life writes down what it has become. A later one first hears from another member.
-            if (life == 0) until(io, "it votes", [&] { return replica.votes(); });
+            if (life == 0) until(io, "it votes", [&] { return replica.isVotingMember(); });
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, replica.epoch().number);
             CPPUNIT_ASSERT(replica.members() ==
                            (std::set<std::string>{me, "127.0.1.2:7720", "127.0.1.3:7720"}));
             CPPUNIT_ASSERT_EQUAL("first-" + me, replica.describe().at("disk").get<std::string>());
         }
         const LmdbReplicaStore book(opened, 8 << 20);
-        CPPUNIT_ASSERT(cells == book.cells());
+        CPPUNIT_ASSERT(cells == book.states());
         CPPUNIT_ASSERT_EQUAL("first-" + me, book.note("disk"));
         const auto standing = membership::decodeEpochState(Json::parse(book.note("standing")));
         CPPUNIT_ASSERT(standing.open);
@@ -508,7 +508,7 @@
         CPPUNIT_ASSERT(!standing.open && standing.next && standing.before);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, standing.next->number);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, standing.before->number);
-        CPPUNIT_ASSERT_EQUAL(sealed, membership::write(standing).dump());
+        CPPUNIT_ASSERT_EQUAL(sealed, membership::encode(standing).dump());
     }
 
     // Each message, read and written, is the same bytes on the link.
@@ -567,7 +567,7 @@
         for (const auto* index : {"0", "1", "2"}) {
             CPPUNIT_ASSERT(!whole);
             all.push_back(bytesOf(std::string("pieces/configuration.") + index + ".bin"));
-            whole = assembly.take(all.back());
+            whole = assembly.addFrame(all.back());
         }
         CPPUNIT_ASSERT(whole.has_value());
         const auto told = decoded(*whole);
@@ -590,7 +590,7 @@
         std::vector<Json> replies;
         const auto hear = [&](ConfigurationCache& by, const Json& told, MessageSource from) {
             replies.clear();
-            CPPUNIT_ASSERT(by.heard(told, from, kSecond, [&](Json reply) {
+            CPPUNIT_ASSERT(by.handleMessage(told, from, kSecond, [&](Json reply) {
                 sameFields(reply.at("t") == "want" ? reply : sure(reply));
                 replies.push_back(std::move(reply));
             }));
@@ -606,11 +606,11 @@
         }
         CPPUNIT_ASSERT_EQUAL(decompress(compressed), admin::body(bytesOf("values/configuration.bin")));
         CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{12}, cache.endpoints().members().size());
-        CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(cache.body()));
-        CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(cache.order()));
-        CPPUNIT_ASSERT_EQUAL(message("pods_whole"), sure(cache.whole()));
-        auto mine = sure(cache.digest());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{12}, cache.endpoints().endpoints().size());
+        CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(cache.configurationMessage()));
+        CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(cache.rolloutsMessage()));
+        CPPUNIT_ASSERT_EQUAL(message("pods_whole"), sure(cache.fullEndpointsMessage()));
+        auto mine = sure(cache.digestMessage());
         mine["clock"] = digest.at("clock");
         CPPUNIT_ASSERT_EQUAL(digest, mine);
         // What others ask for.
@@ -637,21 +637,21 @@
         ConfigurationCache follower({});
         hear(follower, first, MessageSource::controlNode);
         hear(follower, message("pods_change_draining"), MessageSource::controlNode);
-        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().members().at("i-0").draining);
-        CPPUNIT_ASSERT(!follower.endpoints().members().at("i-12").draining);
+        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().endpoints().at("i-0").draining);
+        CPPUNIT_ASSERT(!follower.endpoints().endpoints().at("i-12").draining);
         hear(follower, message("pods_change_gone"), MessageSource::controlNode);
-        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().left("i-0"));
+        CPPUNIT_ASSERT(replies.empty() && follower.endpoints().hasLeft("i-0"));
         discovery::EndpointEvent aside;
-        aside.member.id = "i-99";
+        aside.endpoint.id = "i-99";
         auto held = message("pods_change_gone");
         held["gone"] = Json::array(), held["after"] = {1, 3}, held["edition"] = {1, 4};
         held["set"] = message("pods_change_draining").at("set");
         held["set"][0]["i"] = "i-99", held["set"][0]["d"] = false;
         hear(follower, held, MessageSource::controlNode);
-        CPPUNIT_ASSERT(follower.endpoints().members().contains("i-99"));
+        CPPUNIT_ASSERT(follower.endpoints().endpoints().contains("i-99"));
         hear(follower, message("pods_mended_aside"), MessageSource::controlNode);
-        CPPUNIT_ASSERT(follower.endpoints().left("i-3") && !follower.endpoints().left("i-99"));
-        CPPUNIT_ASSERT(!follower.endpoints().members().contains("i-99"));
+        CPPUNIT_ASSERT(follower.endpoints().hasLeft("i-3") && !follower.endpoints().hasLeft("i-99"));
+        CPPUNIT_ASSERT(!follower.endpoints().endpoints().contains("i-99"));
     }
 
     // The holder of the list tells a change as the earlier version told it.
@@ -671,11 +671,11 @@
             return all;
         };
         ConfigurationCache cache({});
-        CPPUNIT_ASSERT(cache.list(list(), 1).is_null());
+        CPPUNIT_ASSERT(cache.updateEndpoints(list(), 1).is_null());
         pods[leaves.id] = leaves, pods[comes.id] = comes;
-        CPPUNIT_ASSERT_EQUAL(message("pods_change_draining"), sure(cache.list(list(), 1)));
+        CPPUNIT_ASSERT_EQUAL(message("pods_change_draining"), sure(cache.updateEndpoints(list(), 1)));
         pods.erase(leaves.id);
-        CPPUNIT_ASSERT_EQUAL(message("pods_change_gone"), sure(cache.list(list(), 1)));
+        CPPUNIT_ASSERT_EQUAL(message("pods_change_gone"), sure(cache.updateEndpoints(list(), 1)));
     }
 
     // Whatever keepers of the register say to each other has the fields that it had: a write, a founding, and
@@ -693,7 +693,7 @@
         cast.until("contact", [&] { return cast.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("value"), cast.write(0, "value"));
         cast.members[1]->kill();
-        cast.until("another sits in its place", [&] { return cast.replica(3).votes(); });
+        cast.until("another sits in its place", [&] { return cast.replica(3).isVotingMember(); });
         cast.until("its word", [&] { return kinds.size() == 6; });
         for (const auto& told : all) sameFields(told);
         CPPUNIT_ASSERT(kinds == (std::set<std::string>{"learn", "ping", "pong", "reg", "reply", "standing"}));
@@ -715,7 +715,7 @@
         std::vector<std::shared_ptr<Dialer>> dialers;
         for (auto* played : {&proxy, &neighbour}) {
             dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), played->owner));
-            dialers.back()->go();
+            dialers.back()->start();
         }
         until(io, "both are greeted and enrolled", [&] {
             return proxy.find("hello") && proxy.find("digest") &&
@@ -751,12 +751,12 @@
         proxy.say("digest_of_foyer_with_sums");
         // As another control node.
         dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), controlNode.owner));
-        dialers.back()->go();
+        dialers.back()->start();
         until(io, "it dials, pings and says what it knows", [&] {
             return controlNode.find("hello") && controlNode.find("ping") && controlNode.find("known");
         });
         const auto send = [&](Json told) {
-            if (const auto link = dialers.back()->link()) link->send(told);
+            if (const auto link = dialers.back()->connection()) link->send(told);
         };
         auto ping = message("ping_whole"), known = message("known_with_ages");
         ping["at"] = ping["about"]["at"] = at(other, internal);
@@ -831,7 +831,7 @@
         asio::io_context io;
         beast::tcp_stream stream(io);
         ErrorCode code;
-        stream.socket().connect(endpoint(address), code);
+        stream.socket().connect(parseAddress(address), code);
         if (code) return "";
         http::request<http::string_body> request(http::verb::post, "/api/rpc?call=" + call, 11);
         request.set(http::field::host, "h");
--- a/tests/membership/membership.cpp
+++ b/tests/membership/membership.cpp
@@ -345,7 +345,7 @@
         Cast cast(4);
         cast.tolerance = [](config::BootstrapSettings& boot) {
             boot.machinesLost = 1;
-            boot.controlReplace = 5 * kSecond;  // also on a machine that is busy with other things
+            boot.controlReplaceAfter = 5 * kSecond;  // also on a machine that is busy with other things
         };
         for (int at = 0; at < 4; ++at) cast.launch(at, true);
         cast.until("all are in contact", [&] { return cast.hasQuorumContact({0, 1, 2, 3}); });
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -87,13 +87,13 @@
             return std::make_unique<ScriptedBook>(disk);
         });
         owner = std::make_shared<PeerConnection::Callbacks>();
-        owner->greet = [this](PeerConnection& link) {
+        owner->makeHello = [this](PeerConnection& link) {
             open.push_back(link.weak_from_this());
             auto hello = replica->helloFields();
             hello.update({{"t", "hello"}, {"at", at()}});
             return hello;
         };
-        owner->heard = [this](PeerConnection& link, const Json& message) {
+        owner->onMessage = [this](PeerConnection& link, const Json& message) {
             if (away == 0) return heard(link, message);
             spawn(io, "on its way",
                   [](Member& self, std::shared_ptr<PeerConnection> link_, Json message_) -> Task<> {
@@ -101,9 +101,9 @@
                       self.heard(*link_, message_);
                   }(*this, link.shared_from_this(), message));
         };
-        owner->closed = [this](PeerConnection& link) {
+        owner->onClosed = [this](PeerConnection& link) {
             const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && !dialer->second->link()) replica->onPeerDisconnected(link.peer);
+            if (dialer != dialers.end() && !dialer->second->connection()) replica->onPeerDisconnected(link.peer);
         };
         door = std::make_unique<tcp::acceptor>(listen(io, at()));
         replica->open();
@@ -118,7 +118,7 @@
         if (overheard) overheard(link, message);
         if (!hello) return void(replica->handleMessage(link, message));
         const auto dialer = dialers.find(link.peer);
-        if (dialer != dialers.end() && dialer->second->link().get() == &link)
+        if (dialer != dialers.end() && dialer->second->connection().get() == &link)
             replica->onPeerConnected(link.peer, link.shared_from_this());
         replica->onHello(message);
         for (const auto& address : message.at("members")) dial(address.get<std::string>());
@@ -127,7 +127,7 @@
     void dial(const std::string& address) {
         if (gone || address == at() || dialers.contains(address)) return;
         dialers[address] = std::make_shared<Dialer>(io, address, owner);
-        dialers[address]->go();
+        dialers[address]->start();
     }
     void kill() {
         gone = true;
@@ -173,7 +173,7 @@
         config::BootstrapSettings boot;
         boot.ip = "127.0.3." + std::to_string(at + 1), boot.name = boot.ip, boot.internalPorts = {port};
         boot.zone = zone(at), boot.region = "r", boot.bootstrap = bootstrap, boot.quorumMember = true;
-        boot.controlReplace = 700 * kMillisecond;
+        boot.controlReplaceAfter = 700 * kMillisecond;
         tolerance(boot);
         for (int seed = 0; seed < 3 && seed < static_cast<int>(members.size()); ++seed)
             boot.seeds.push_back("127.0.3." + std::to_string(seed + 1) + ":1");
