--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -104,7 +104,7 @@
     spawn(proxyLoop, "clients", front->serve(*clients_));
     for (const auto& pod : pods) {
         doors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
-        start(worldLoop, "pod", serve(pod));
+        spawn(worldLoop, "pod", serve(pod));
         list(pod);
     }
 }
