--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -380,11 +380,11 @@
             const LmdbReplicaStore book(copied("promptbook/" + store), 8 << 20);
             const auto& address = storedMembers[copies.size()].address;
             auto& copy = copies.emplace_back(address, book.note(storage::kDiskNote));
-            copy.put(
-                {book.states(), membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
-            CPPUNIT_ASSERT(copy.counts());
+            copy.apply({book.states(),
+                        membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
+            CPPUNIT_ASSERT(copy.isVotingMember());
         }
-        const consensus::Epoch& epoch = copies[0].standing().epoch;
+        const consensus::Epoch& epoch = copies[0].epochState().epoch;
         const auto ended = [&](const std::string& key, const consensus::Change& change, bool look) {
             consensus::Proposal run(key, epoch, 7, 1000, change, look);
             for (int turns = 0; run.step() != consensus::Proposal::Step::done && turns < 9; ++turns)
@@ -393,8 +393,8 @@
                     std::optional<consensus::Update> update;
                     const auto request = membership::decodeRequest(membership::encode(run.request()));
                     const auto reply = copies[place].evaluate(request, update);
-                    if (update) copies[place].put(*update);
-                    run.on(place, step, membership::decodeReply(membership::encode(reply)));
+                    if (update) copies[place].apply(*update);
+                    run.handleReply(place, step, membership::decodeReply(membership::encode(reply)));
                     if (run.step() != step) break;
                 }
             CPPUNIT_ASSERT(run.step() == consensus::Proposal::Step::done);
@@ -456,7 +456,8 @@
                 pong["at"] = member.address, pong["disk"] = member.disk, pong["of"] = disk;
                 pong["seen"] = 1, pong["epoch"] = 4, pong["held"] = held, pong["seated"] = true;
                 pong["sent"] = now();
-                CPPUNIT_ASSERT(replica.handleMessage(*std::make_shared<PeerConnection>(io, member.address), pong));
+                CPPUNIT_ASSERT(
+                    replica.handleMessage(*std::make_shared<PeerConnection>(io, member.address), pong));
             }
             CPPUNIT_ASSERT_EQUAL(store != "c2", replica.isVotingMember());
         }
@@ -533,7 +534,7 @@
             return membership::decodeRequest(message(name).at("request"));
         };
         using Kind = consensus::Request::Kind;
-        CPPUNIT_ASSERT(request("reg_look").kind == Kind::look);
+        CPPUNIT_ASSERT(request("reg_look").kind == Kind::read);
         CPPUNIT_ASSERT(request("reg_prepare").kind == Kind::prepare);
         CPPUNIT_ASSERT(request("reg_accept").kind == Kind::accept);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1},
@@ -548,13 +549,13 @@
         const auto reply = [](const char* name) {
             return membership::decodeReply(message(name).at("reply"));
         };
-        CPPUNIT_ASSERT(reply("reply_in_succession_refused").refused);
-        CPPUNIT_ASSERT(!reply("reply_not_taken").taken && reply("reply_taken").taken);
+        CPPUNIT_ASSERT(reply("reply_in_succession_refused").rejected);
+        CPPUNIT_ASSERT(!reply("reply_not_taken").accepted && reply("reply_taken").accepted);
         CPPUNIT_ASSERT(reply("reply_taken_spared").valueOmitted &&
                        reply("reply_in_succession_taken_sealed").sealed);
-        CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").cells.contains("epoch/4"));
+        CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").states.contains("epoch/4"));
         // A writer's number in ballots is a hash of its address; c3 was the first to propose members.
-        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.writer, numberOf("127.0.1.3:7720"));
+        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.proposer, numberOf("127.0.1.3:7720"));
         const auto totals = messages::decodeTotals(message("counts").at("totals"));
         CPPUNIT_ASSERT_EQUAL(10u, totals.at("r")[1].bins[0]);
     }
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -5,7 +5,7 @@
 #include "support/transcript.hpp"
 
 using namespace lichenlanding;
-using routing::Attempt, routing::Router, routing::AttemptEvent, routing::RoutedRequest;
+using routing::Router, routing::AttemptEvent, routing::RoutedRequest;
 
 namespace {
 
@@ -50,7 +50,7 @@
         end_(request, *last, end, status, took);
     }
     // As a host tells it: all but what ends unreached was written first.
-    void end_(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
+    void end_(RoutedRequest& request, routing::Attempt& attempt, AttemptEvent end, int status = 200,
               Nanos took = 100 * kMillisecond) {
         if (end != AttemptEvent::unreached) attempt.apply(AttemptEvent::written);
         room->onAttemptEnded(request, attempt, end, status, took, now);
@@ -63,7 +63,7 @@
     }
     config::BootstrapSettings boot;
     std::unique_ptr<Router> room;
-    std::shared_ptr<Attempt> last;
+    std::shared_ptr<routing::Attempt> last;
     Nanos now = 100 * kSecond;
 };
 
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -48,7 +48,7 @@
 
 struct ScriptedBook final : storage::ReplicaStore {
     explicit ScriptedBook(Disk& disk_) : disk(disk_) {}
-    std::map<std::string, consensus::RegisterState> cells() const override {
+    std::map<std::string, consensus::RegisterState> states() const override {
         std::lock_guard hold(disk.lock);
         return disk.cells;
     }
@@ -103,7 +103,8 @@
         };
         owner->onClosed = [this](PeerConnection& link) {
             const auto dialer = dialers.find(link.peer);
-            if (dialer != dialers.end() && !dialer->second->connection()) replica->onPeerDisconnected(link.peer);
+            if (dialer != dialers.end() && !dialer->second->connection())
+                replica->onPeerDisconnected(link.peer);
         };
         door = std::make_unique<tcp::acceptor>(listen(io, at()));
         replica->open();
