--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -16,6 +16,7 @@
 #include "config/configuration.hpp"
 #include "hashing/rendezvous.hpp"
 #include "leases/leases.hpp"
+#include "membership/codec.hpp"
 #include "messages/codec.hpp"
 #include "subscription/configuration_cache.hpp"
 #include "support/replica_node_fixture.hpp"
