--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -556,7 +556,7 @@
                        reply("reply_in_succession_taken_sealed").sealed);
         CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").states.contains("epoch/4"));
         // A writer's number in ballots is a hash of its address; c3 was the first to propose members.
-        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.proposer, numberOf("127.0.1.3:7720"));
+        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.writer, numberOf("127.0.1.3:7720"));
         const auto totals = messages::decodeTotals(message("counts").at("totals"));
         CPPUNIT_ASSERT_EQUAL(10u, totals.at("r")[1].bins[0]);
     }
