--- a/bench/metadata.cpp
+++ b/bench/metadata.cpp
@@ -25,7 +25,7 @@
 struct BinRepository {
     BinRepository() {
         const auto key = SigningKey::generate(Scheme::ed25519);
-        const Bins bins{{{key.key().id()}, 1}, bits, "bin"};
+        const HashBins bins{{{key.key().id()}, 1}, bits, "bin"};
         std::map<std::string, std::vector<int>> byBin;
         for (int target = 0; target < targetCount; ++target)
             byBin[bins.roleOf(digest("sha256", pathOf(target)))].push_back(target);
@@ -36,7 +36,7 @@
             for (const auto target : targets) addTarget(envelope, pathOf(target), "bytes");
             sign(envelope, key);
             top.put(name, 1, textOf(envelope));
-            list(top.snapshot, name + ".json", listingOf(1, "", false));
+            addListing(top.snapshot, name + ".json", listingOf(1, "", false));
         }
         top.publish();
     }
@@ -80,18 +80,18 @@
         auto set = TrustedSet::start(bins().top.firstRoot(), start);
         Update update(std::move(*set), client.kept);
         const auto drive = [&] {
-            while (update.wants().kind == Update::Want::fetch) {
-                const auto file = files.find(update.wants().path);
-                if (file == files.end()) update.missing();
-                else update.came(file->second);
-                client.kept.take(update.keep());
+            while (update.next().kind == Update::Next::fetch) {
+                const auto file = files.find(update.next().path);
+                if (file == files.end()) update.notFound();
+                else update.receive(file->second);
+                client.kept.take(update.takeTransactions());
             }
         };
         drive();
         state.ResumeTiming();
-        for (int target = 0; target < 100; ++target) update.lookFor(pathOf(target * 977));
+        for (int target = 0; target < 100; ++target) update.search(pathOf(target * 977));
         drive();
-        if (update.wants().kind != Update::Want::done) state.SkipWithError("refused");
+        if (update.next().kind != Update::Next::done) state.SkipWithError("refused");
     }
     state.SetItemsProcessed(state.iterations() * 100);
 }
--- a/bench/refresh_and_hits.cpp
+++ b/bench/refresh_and_hits.cpp
@@ -166,12 +166,12 @@
     });
 }
 
-struct Figures {
+struct LatencyFigures {
     double median = 0, high = 0, worst = 0;
     std::size_t answered = 0, bad = 0;
 };
 
-Figures load(std::uint16_t port) {
+LatencyFigures load(std::uint16_t port) {
     EventLoop loop;
     std::vector<std::unique_ptr<Connection>> all;
     std::vector<Connection*> idle;
--- a/src/command/files.cpp
+++ b/src/command/files.cpp
@@ -75,7 +75,7 @@
 metadata::UnixSeconds readInstant(const std::string& text) {
     const auto wrong = [&] { return std::invalid_argument("not an RFC 3339 time: " + text.substr(0, 60)); };
     if (text.size() < 20) throw wrong();
-    const auto time = metadata::readTime(text.substr(0, 19) + "Z");
+    const auto time = metadata::parseTime(text.substr(0, 19) + "Z");
     if (!time) throw wrong();
     auto rest = std::string_view(text).substr(19);
     if (rest[0] == '.') {
--- a/src/command/metadata_client.cpp
+++ b/src/command/metadata_client.cpp
@@ -16,7 +16,7 @@
     std::vector<std::string> mirrors, targetBases;
     double within = 30;
     bool quiet = false;
-    std::size_t atMost = 1u << 30;
+    std::size_t maxBytes = 1u << 30;
 };
 
 std::vector<sidecar::Url> urlsOf(const std::vector<std::string>& texts) {
@@ -38,7 +38,7 @@
           targetBases_(urlsOf(asked.targetBases)),
           mirrors_(asked.mirrors, 1),
           targetMirrors_(asked.targetBases, 1) {
-        patience_.within = static_cast<Nanos>(asked.within * 1e9);
+        patience_.response = static_cast<Nanos>(asked.within * 1e9);
     }
 
     int init() {
@@ -52,7 +52,7 @@
                 before && before->root().version > set->root().version)
                 return refuse({Reason::rollback, "root", set->root().version,
                                "version " + std::to_string(before->root().version) + " is trusted"});
-        KeepStep step;
+        StoreTransaction step;
         step.files.emplace_back("root.json", shipped);
         step.files.emplace_back("root_history/" + std::to_string(set->root().version) + ".root.json",
                                 shipped);
@@ -87,7 +87,7 @@
         auto set = (*store)->start({}, now_, said);
         if (!set) return refuse(set.refusal());
         Update update(std::move(*set), **store);
-        if (!target.empty()) update.lookFor(target);
+        if (!target.empty()) update.search(target);
         sidecar::FetchCounts counts;
         sidecar::MetadataRefresh refresh(loop_, mirrors_, bases_, **store, std::move(update), patience_,
                                          counts, nullptr,
@@ -99,7 +99,7 @@
         say("root " + std::to_string(trusted.root().version) + ", timestamp " +
             std::to_string(trusted.timestamp()->version) + ", snapshot " +
             std::to_string(trusted.snapshot()->version) + ", targets " +
-            std::to_string(trusted.trusted()->version) + ", until " + timeText(trusted.expires()));
+            std::to_string(trusted.trusted()->version) + ", until " + formatTime(trusted.expires()));
         if (target.empty()) return success;
         const auto& found = refresh.update().found().at(target);
         if (!found) return refuse({Reason::notFound, escaped(target, 100), 0, "no trusted role lists it"});
@@ -111,13 +111,14 @@
         auto name = percentEncoded(found.path);
         if (name.size() > 200 || name == "." || name == "..") name = digest("sha256", found.path);
         const auto path = asked_.targetFolder + "/" + name;
-        if (fileThere(path) && !fits(readFile(path), found.target.length, found.target.hashes, found.path)) {
+        if (fileThere(path) &&
+            !verifyBytes(readFile(path), found.target.length, found.target.hashes, found.path)) {
             say(path + " is there already");
             return success;
         }
         sidecar::TargetDownload download(loop_, targetMirrors_, targetBases_, patience_, counts);
         std::optional<Result<std::string>> got;
-        download.start(found, consistent, asked_.atMost, [&](Result<std::string> result) {
+        download.start(found, consistent, asked_.maxBytes, [&](Result<std::string> result) {
             got = std::move(result);
             loop_.stop();
         });
@@ -134,7 +135,7 @@
     std::vector<sidecar::Url> bases_, targetBases_;
     sidecar::EventLoop loop_;
     Mirrors mirrors_, targetMirrors_;
-    Patience patience_;
+    FetchTimeouts patience_;
 };
 
 }  // namespace
@@ -151,7 +152,7 @@
     metadata.add_option("--now", asked->now, "the time of this update, RFC 3339, in place of the clock's");
     metadata.add_option("--within", asked->within, "seconds for one answer of a mirror")
         ->check(CLI::Range(0.05, 3600.0));
-    metadata.add_option("--most-bytes", asked->atMost, "of a target, whatever is listed");
+    metadata.add_option("--most-bytes", asked->maxBytes, "of a target, whatever is listed");
     metadata.add_flag("--quiet", asked->quiet, "say nothing but refusals");
     const auto subcommand = [&](const char* name, const char* what, int (Client::*call)()) {
         auto* command = metadata.add_subcommand(name, what);
--- a/src/command/metadata_inspect.cpp
+++ b/src/command/metadata_inspect.cpp
@@ -10,8 +10,8 @@
 using namespace metadata;
 
 std::string signersText(const Envelope& envelope, const Keys& keys, const Signers& signers) {
-    std::string line = std::to_string(envelope.signers(keys, {signers.keyIds, 1'000'000})) + " good of " +
-                       std::to_string(signers.threshold) + " needed:";
+    std::string line = std::to_string(envelope.countSigners(keys, {signers.keyIds, 1'000'000})) +
+                       " good of " + std::to_string(signers.threshold) + " needed:";
     for (const auto& id : signers.keyIds) {
         const auto key = keys.find(id);
         const auto signature = envelope.signatures.find(id);
@@ -27,10 +27,10 @@
 
 int inspect(const std::string& file, const std::string& rootFile, bool json) {
     const auto bytes = readFile(file);
-    const auto whole = readJson(bytes, 64u << 20);
+    const auto whole = parseJson(bytes, 64u << 20);
     if (!whole) throw std::runtime_error(file + ": " + whole.refusal().text());
     const auto* document = member(*whole, "signed", Json::value_t::object);
-    const auto* type = document ? text(*document, "_type") : nullptr;
+    const auto* type = document ? textMember(*document, "_type") : nullptr;
     if (!type) throw std::runtime_error(file + ": no signed document");
     auto envelope = Envelope::read(bytes, *type, *type, bytes.size());
     if (!envelope) throw std::runtime_error(file + ": " + envelope.refusal().text());
@@ -39,7 +39,8 @@
         return success;
     }
     std::printf("%s, version %lld, until %s, %zu bytes\n", type->c_str(),
-                static_cast<long long>(envelope->version), timeText(envelope->expires).c_str(), bytes.size());
+                static_cast<long long>(envelope->version), formatTime(envelope->expires).c_str(),
+                bytes.size());
     const auto rootBytes = *type == "root" ? bytes : rootFile.empty() ? std::string() : readFile(rootFile);
     if (!rootBytes.empty()) {
         const auto rootEnvelope = Envelope::read(rootBytes, "root", "root", rootBytes.size());
--- a/src/command/metadata_manifest.cpp
+++ b/src/command/metadata_manifest.cpp
@@ -55,7 +55,7 @@
 int manifest(const Wish& wish) {
     std::vector<Json> reports;
     for (const auto& file : wish.files) {
-        auto read = readJson(readFile(file), 1u << 20);
+        auto read = parseJson(readFile(file), 1u << 20);
         if (!read) throw std::runtime_error(file + ": " + read.refusal().text());
         reports.push_back(std::move(*read));
     }
@@ -76,7 +76,7 @@
     for (const auto& one : *read)
         std::printf("%s runs %s, release counter %lld, told at %s%s\n", escaped(one.unit).c_str(),
                     escaped(one.path).c_str(), static_cast<long long>(one.releaseCounter),
-                    timeText(one.at).c_str(),
+                    formatTime(one.at).c_str(),
                     one.attack.empty() ? "" : (", refused " + escaped(one.attack)).c_str());
     return success;
 }
--- a/src/command/metadata_repository.cpp
+++ b/src/command/metadata_repository.cpp
@@ -76,7 +76,7 @@
         const auto bytes = readFile(wish_.file);
         Json custom;
         if (!wish_.custom.empty()) {
-            auto read = readJson(wish_.custom, 65'536);
+            auto read = parseJson(wish_.custom, 65'536);
             if (!read) throw std::runtime_error("--custom: " + read.refusal().text());
             custom = std::move(*read);
         }
@@ -103,7 +103,7 @@
         }
         std::vector<std::string> made;
         if (wish_.bits > 0) {
-            const Bins bins{signers, wish_.bits, wish_.name};
+            const HashBins bins{signers, wish_.bits, wish_.name};
             orThrow(delegateBins(targets, bins, keys));
             if (wish_.bits > 16) throw std::runtime_error("at most 16 bits: each bin is a file");
             for (std::uint64_t number = 0; number < std::uint64_t{1} << wish_.bits; ++number) {
@@ -152,7 +152,7 @@
     }
 
     int signFile() {
-        auto read = readJson(readFile(wish_.file), 64u << 20);
+        auto read = parseJson(readFile(wish_.file), 64u << 20);
         if (!read || !member(*read, "signed", Json::value_t::object))
             throw std::runtime_error(wish_.file + ": no signed document");
         signWithAll(*read, {});
@@ -166,14 +166,14 @@
         const auto envelope = readEnvelope(rootText, "root", "root");
         auto root = Root::read(envelope);
         if (!root) throw std::runtime_error(root.refusal().text());
-        orThrow(envelope.verified(root->keys, root->roles["root"], "root"));
+        orThrow(envelope.verify(root->keys, root->roles["root"], "root"));
         makeFolder(published("")), makeFolder(wish_.repository + "/targets");
         const auto version = std::to_string(root->version) + ".root.json";
         if (root->version > 1) {
             const auto before = readEnvelope(
                 readFile(published(std::to_string(root->version - 1) + ".root.json")), "root", "root");
             const auto beforeRoot = Root::read(before);
-            orThrow(envelope.verified(beforeRoot->keys, beforeRoot->roles.at("root"), "root"));
+            orThrow(envelope.verify(beforeRoot->keys, beforeRoot->roles.at("root"), "root"));
         }
         if (fileThere(published(version)) && readFile(published(version)) != rootText)
             throw std::runtime_error("root: version " + std::to_string(root->version) +
@@ -186,17 +186,17 @@
         publishRole("targets", root->keys, root->roles["targets"], consistent, snapshot);
         if (documentOf(snapshot)["meta"] != before || wish_.days > 0 ||
             !signedNow(snapshot, *root, "snapshot")) {
-            if (versionOf(snapshot) > 1 || !before.empty()) changed(snapshot, until("snapshot"));
+            if (versionOf(snapshot) > 1 || !before.empty()) bumpVersion(snapshot, until("snapshot"));
             sign(snapshot, readSigningKey(keyPath("snapshot"), passphrase_));
         }
-        orThrow(signedBy(snapshot, "snapshot", "snapshot", root->keys, root->roles["snapshot"]));
+        orThrow(verifySignedBy(snapshot, "snapshot", "snapshot", root->keys, root->roles["snapshot"]));
         const auto snapshotText = textOf(snapshot);
         auto timestamp = fileThere(draft("timestamp")) ? load("timestamp") : newTimestamp(until("timestamp"));
-        if (!documentOf(timestamp)["meta"].empty()) changed(timestamp, until("timestamp"));
-        list(timestamp, "snapshot.json", listingOf(versionOf(snapshot), snapshotText, true));
+        if (!documentOf(timestamp)["meta"].empty()) bumpVersion(timestamp, until("timestamp"));
+        addListing(timestamp, "snapshot.json", listingOf(versionOf(snapshot), snapshotText, true));
         timestamp["signatures"] = Json::array();
         sign(timestamp, readSigningKey(keyPath("timestamp"), passphrase_));
-        orThrow(signedBy(timestamp, "timestamp", "timestamp", root->keys, root->roles["timestamp"]));
+        orThrow(verifySignedBy(timestamp, "timestamp", "timestamp", root->keys, root->roles["timestamp"]));
         save("snapshot", snapshot), save("timestamp", timestamp);
         writeFile(published(version), rootText);
         writeFile(published("root.json"), rootText);
@@ -225,7 +225,7 @@
     }
 
     Json load(const std::string& role) const {
-        auto read = readJson(readFile(draft(role)), 256u << 20);
+        auto read = parseJson(readFile(draft(role)), 256u << 20);
         if (!read) throw std::runtime_error(draft(role) + ": " + read.refusal().text());
         return std::move(*read);
     }
@@ -237,7 +237,7 @@
         return std::move(*read);
     }
     static bool signedNow(const Json& envelope, const Root& root, const std::string& role) {
-        return !signedBy(envelope, role, role, root.keys, root.roles.at(role));
+        return !verifySignedBy(envelope, role, role, root.keys, root.roles.at(role));
     }
 
     void signWithAll(Json& envelope, const std::vector<std::string>& only) {
@@ -253,7 +253,7 @@
         const bool unseen =
             role == "root" && !fileThere(published(std::to_string(versionOf(envelope)) + ".root.json"));
         const auto version = versionOf(envelope);
-        changed(envelope, until(role == "root" ? "root" : "targets"));
+        bumpVersion(envelope, until(role == "root" ? "root" : "targets"));
         if (unseen) documentOf(envelope)["version"] = version;
         signWithAll(envelope, {});
         save(role, envelope);
@@ -266,12 +266,12 @@
                      Json& snapshot) {
         const auto text = textOf(load(role));
         const auto envelope = readEnvelope(text, role, "targets");
-        orThrow(envelope.verified(keys, signers, role));
+        orThrow(envelope.verify(keys, signers, role));
         auto targets = Targets::read(envelope, role);
         if (!targets) throw std::runtime_error(targets.refusal().text());
         for (const auto& [path, target] : targets->targets) {
             const auto bytes = readFile(kept(path));
-            orThrow(fits(bytes, target.length, target.hashes, path));
+            orThrow(verifyBytes(bytes, target.length, target.hashes, path));
             const auto place =
                 wish_.repository + "/targets/" + (consistent ? locationOf(path, target) : path);
             makeFolder(place.substr(0, place.rfind('/')));
@@ -290,7 +290,7 @@
         writeFile(published((consistent ? std::to_string(envelope.version) + "." : "") +
                             percentEncoded(role) + ".json"),
                   text);
-        list(snapshot, role + ".json", listingOf(envelope.version, text, false));
+        addListing(snapshot, role + ".json", listingOf(envelope.version, text, false));
     }
 
     const Wish& wish_;
--- a/src/metadata/authoring.cpp
+++ b/src/metadata/authoring.cpp
@@ -6,10 +6,12 @@
 namespace {
 
 Json envelopeOf(const char* type, UnixSeconds expires) {
-    return {
-        {"signatures", Json::array()},
-        {"signed",
-         {{"_type", type}, {"spec_version", specVersion}, {"version", 1}, {"expires", timeText(expires)}}}};
+    return {{"signatures", Json::array()},
+            {"signed",
+             {{"_type", type},
+              {"spec_version", kSpecVersion},
+              {"version", 1},
+              {"expires", formatTime(expires)}}}};
 }
 
 Json idsOf(const std::vector<std::string>& ids) {
@@ -93,15 +95,15 @@
 
 std::int64_t versionOf(const Json& envelope) {
     const auto* document = member(envelope, "signed", Json::value_t::object);
-    return document ? whole(*document, "version").value_or(0) : 0;
+    return document ? integerMember(*document, "version").value_or(0) : 0;
 }
 
 std::string textOf(const Json& envelope) { return envelope.dump(1) + "\n"; }
 
-void changed(Json& envelope, UnixSeconds expires) {
+void bumpVersion(Json& envelope, UnixSeconds expires) {
     auto& document = documentOf(envelope);
     document["version"] = versionOf(envelope) + 1;
-    document["expires"] = timeText(expires);
+    document["expires"] = formatTime(expires);
     envelope["signatures"] = Json::array();
 }
 
@@ -145,7 +147,7 @@
 }
 
 Check addTarget(Json& targets, const std::string& path, std::string_view bytes, const Json& custom) {
-    if (!targetNameFits(path)) return Refusal{Reason::badName, escaped(path, 80), 0, "as a target's name"};
+    if (!isTargetName(path)) return Refusal{Reason::badName, escaped(path, 80), 0, "as a target's name"};
     auto& entry = documentOf(targets)["targets"][path];
     entry = {{"length", static_cast<std::int64_t>(bytes.size())},
              {"hashes", {{"sha256", digest("sha256", bytes)}}}};
@@ -158,7 +160,7 @@
 }
 
 Check delegate(Json& targets, const Delegation& to, const std::vector<Key>& keys) {
-    if (!roleNameFits(to.name)) return Refusal{Reason::badName, escaped(to.name, 80), 0, "as a role's name"};
+    if (!isRoleName(to.name)) return Refusal{Reason::badName, escaped(to.name, 80), 0, "as a role's name"};
     if (to.paths.empty() == to.prefixes.empty())
         return Refusal{Reason::wrongShape, to.name, 0, "either path patterns or hash prefixes"};
     if (auto refusal = signable(to.signers, to.name)) return refusal;
@@ -181,8 +183,8 @@
     return {};
 }
 
-Check delegateBins(Json& targets, const Bins& to, const std::vector<Key>& keys) {
-    if (to.bits < 1 || to.bits > 32 || !roleNameFits(to.prefix + "-00000000"))
+Check delegateBins(Json& targets, const HashBins& to, const std::vector<Key>& keys) {
+    if (to.bits < 1 || to.bits > 32 || !isRoleName(to.prefix + "-00000000"))
         return Refusal{Reason::badName, escaped(to.prefix, 80), 0, "1 to 32 bits and a name's beginning"};
     if (auto refusal = signable(to.signers, to.prefix)) return refusal;
     auto& delegations = delegationsOf(targets);
@@ -220,16 +222,16 @@
     return made;
 }
 
-void list(Json& snapshot, const std::string& fileName, const Json& listing) {
+void addListing(Json& snapshot, const std::string& fileName, const Json& listing) {
     documentOf(snapshot)["meta"][fileName] = listing;
 }
 
-Check signedBy(const Json& envelope, const std::string& role, const std::string& type, const Keys& keys,
-               const Signers& signers) {
+Check verifySignedBy(const Json& envelope, const std::string& role, const std::string& type, const Keys& keys,
+                     const Signers& signers) {
     const auto text = textOf(envelope);
     const auto read = Envelope::read(text, role, type, text.size());
     if (!read) return read.refusal();
-    return read->verified(keys, signers, role);
+    return read->verify(keys, signers, role);
 }
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/authoring.hpp
+++ b/src/metadata/authoring.hpp
@@ -9,7 +9,7 @@
 
 namespace lichenlanding::metadata {
 
-constexpr const char* specVersion = "1.0.31";
+constexpr const char* kSpecVersion = "1.0.31";
 
 // A new document of version 1, unsigned.
 Json newRoot(UnixSeconds expires, bool consistent);
@@ -22,7 +22,7 @@
 std::string textOf(const Json& envelope);      // as it is published
 
 // One version more, without signatures.
-void changed(Json& envelope, UnixSeconds expires);
+void bumpVersion(Json& envelope, UnixSeconds expires);
 void sign(Json& envelope, const SigningKey& key);  // in place of an earlier signature of that key
 
 // Keys of a role, in a root; a key that no role has any more goes with it. Adding one that is there changes
@@ -38,15 +38,15 @@
 
 // Appended behind those there are, or in place of the one of the same name.
 Check delegate(Json& targets, const Delegation& to, const std::vector<Key>& keys);
-Check delegateBins(Json& targets, const Bins& to, const std::vector<Key>& keys);
+Check delegateBins(Json& targets, const HashBins& to, const std::vector<Key>& keys);
 bool revoke(Json& targets, const std::string& role);
 
 // What a snapshot or a timestamp says of a file.
 Json listingOf(std::int64_t version, std::string_view bytes, bool hashed);
-void list(Json& snapshot, const std::string& fileName, const Json& listing);
+void addListing(Json& snapshot, const std::string& fileName, const Json& listing);
 
 // Whether a document is signed by its role's threshold, for the tool to tell before it publishes.
-Check signedBy(const Json& envelope, const std::string& role, const std::string& type, const Keys& keys,
-               const Signers& signers);
+Check verifySignedBy(const Json& envelope, const std::string& role, const std::string& type, const Keys& keys,
+                     const Signers& signers);
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/json.cpp
+++ b/src/metadata/json.cpp
@@ -50,7 +50,7 @@
         return &(*slot_ = std::forward<T>(value));
     }
     bool open(Json empty) {
-        if (open_.size() >= deepest) return no("nested deeper than " + std::to_string(deepest));
+        if (open_.size() >= kMaxDepth) return no("nested deeper than " + std::to_string(kMaxDepth));
         open_.push_back(place(std::move(empty)));
         return true;
     }
@@ -118,10 +118,10 @@
 
 }  // namespace
 
-Result<Json> readJson(std::string_view text, std::size_t atMost) {
-    if (text.size() > atMost)
+Result<Json> parseJson(std::string_view text, std::size_t maxBytes) {
+    if (text.size() > maxBytes)
         return Refusal{
-            Reason::tooLong, {}, 0, std::to_string(text.size()) + " bytes of " + std::to_string(atMost)};
+            Reason::tooLong, {}, 0, std::to_string(text.size()) + " bytes of " + std::to_string(maxBytes)};
     Reader reader;
     if (!Json::sax_parse(text.begin(), text.end(), &reader))
         return Refusal{Reason::unreadable, {}, 0, reader.wrong};
@@ -140,12 +140,12 @@
     return found != object.end() && found->type() == type ? &*found : nullptr;
 }
 
-const std::string* text(const Json& object, const char* name) {
+const std::string* textMember(const Json& object, const char* name) {
     const auto* found = member(object, name, Json::value_t::string);
     return found ? &found->get_ref<const std::string&>() : nullptr;
 }
 
-std::optional<std::int64_t> whole(const Json& object, const char* name, std::int64_t least) {
+std::optional<std::int64_t> integerMember(const Json& object, const char* name, std::int64_t least) {
     if (!object.is_object()) return {};
     const auto found = object.find(name);
     if (found == object.end() || !found->is_number_integer()) return {};
--- a/src/metadata/key.cpp
+++ b/src/metadata/key.cpp
@@ -10,7 +10,7 @@
 namespace lichenlanding::metadata {
 namespace {
 
-constexpr int leastRsaBits = 2048;
+constexpr int kMinRsaBits = 2048;
 
 struct FreeBio {
     void operator()(BIO* held) const { BIO_free(held); }
@@ -67,7 +67,7 @@
                                                                            : Scheme::unknown;
         }
         case EVP_PKEY_RSA:
-            return EVP_PKEY_get_bits(key) >= leastRsaBits ? Scheme::rsaPss : Scheme::unknown;
+            return EVP_PKEY_get_bits(key) >= kMinRsaBits ? Scheme::rsaPss : Scheme::unknown;
         default:
             return Scheme::unknown;
     }
@@ -98,8 +98,8 @@
 }
 
 Result<Key> Key::read(const std::string& id, const Json& object) {
-    const auto* type = text(object, "keytype");
-    const auto* scheme = text(object, "scheme");
+    const auto* type = textMember(object, "keytype");
+    const auto* scheme = textMember(object, "scheme");
     const auto* value = member(object, "keyval", Json::value_t::object);
     if (!type || !scheme || !value)
         return Refusal{Reason::wrongShape, {}, 0, "key " + escaped(id, 64) + " lacks a field"};
@@ -110,12 +110,12 @@
     read.id_ = id;
     read.object_ = object;
     read.identity_ = "id " + id;
-    const auto* shown = text(*value, "public");
+    const auto* shown = textMember(*value, "public");
     const bool ed = *type == "ed25519", ec = *type == "ecdsa" || *type == "ecdsa-sha2-nistp256";
     if (!shown || !(ed || ec || *type == "rsa")) return read;
     RawKey key;
     if (ed) {
-        if (const auto raw = unhex(*shown); raw && raw->size() == 32)
+        if (const auto raw = parseHex(*shown); raw && raw->size() == 32)
             key.reset(EVP_PKEY_new_raw_public_key(EVP_PKEY_ED25519, nullptr, bytesOf(*raw), raw->size()));
     } else {
         key = fromPem(*shown);
@@ -157,7 +157,7 @@
     return made;
 }
 
-std::optional<std::string> unhex(std::string_view digits) {
+std::optional<std::string> parseHex(std::string_view digits) {
     const auto value = [](char digit) {
         return digit >= '0' && digit <= '9'   ? digit - '0'
                : digit >= 'a' && digit <= 'f' ? digit - 'a' + 10
--- a/src/metadata/key.hpp
+++ b/src/metadata/key.hpp
@@ -45,7 +45,7 @@
 std::string keyId(const Json& object);  // hex of SHA-256 over the canonical key object
 
 std::string hex(std::string_view bytes);
-std::optional<std::string> unhex(std::string_view digits);       // nothing if these are no whole bytes
+std::optional<std::string> parseHex(std::string_view digits);    // nothing if these are no whole bytes
 std::string digest(std::string_view name, std::string_view of);  // "sha256" or "sha512": hex; else empty
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/refusal.cpp
+++ b/src/metadata/refusal.cpp
@@ -22,10 +22,10 @@
     return line;
 }
 
-std::string escaped(std::string_view text, std::size_t atMost) {
+std::string escaped(std::string_view text, std::size_t maxBytes) {
     std::string safe;
     for (const char letter : text) {
-        if (safe.size() >= atMost) return safe + "...";
+        if (safe.size() >= maxBytes) return safe + "...";
         if (letter >= ' ' && letter < 127) {
             safe += letter;
             continue;
--- a/src/metadata/refusal.hpp
+++ b/src/metadata/refusal.hpp
@@ -71,6 +71,6 @@
 };
 
 // Text from outside, made safe for a log line: control bytes and what is no ASCII as \xNN, cut to a length.
-std::string escaped(std::string_view text, std::size_t atMost = 200);
+std::string escaped(std::string_view text, std::size_t maxBytes = 200);
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/role.cpp
+++ b/src/metadata/role.cpp
@@ -7,9 +7,9 @@
 namespace lichenlanding::metadata {
 namespace {
 
-constexpr std::size_t longestName = 200, longestPath = 1024;
-constexpr std::size_t mostKeys = 1024, mostSignatures = 1024;
-constexpr const char* topRoles[] = {"root", "timestamp", "snapshot", "targets"};
+constexpr std::size_t kMaxNameBytes = 200, kMaxPathBytes = 1024;
+constexpr std::size_t kMaxKeys = 1024, kMaxSignatures = 1024;
+constexpr const char* kTopRoles[] = {"root", "timestamp", "snapshot", "targets"};
 
 Refusal shape(const Envelope& envelope, const std::string& role, std::string detail) {
     return {Reason::wrongShape, role, envelope.version, std::move(detail)};
@@ -17,8 +17,8 @@
 
 std::optional<Signers> signersIn(const Json& object) {
     const auto* ids = member(object, "keyids", Json::value_t::array);
-    const auto threshold = whole(object, "threshold");
-    if (!ids || !threshold || ids->size() > mostKeys) return {};
+    const auto threshold = integerMember(object, "threshold");
+    if (!ids || !threshold || ids->size() > kMaxKeys) return {};
     Signers read{{}, *threshold};
     std::set<std::string> distinct;
     for (const auto& id : *ids) {
@@ -31,7 +31,7 @@
 Result<Keys> keysIn(const Json* object) {
     Keys keys;
     if (!object) return Refusal{Reason::wrongShape, {}, 0, "keys"};
-    if (object->size() > mostKeys) return Refusal{Reason::tooMany, {}, 0, "keys"};
+    if (object->size() > kMaxKeys) return Refusal{Reason::tooMany, {}, 0, "keys"};
     for (const auto& [id, value] : object->items()) {
         auto key = Key::read(id, value);
         if (!key) return key.refusal();
@@ -53,11 +53,11 @@
 }
 
 std::optional<FileInfo> fileIn(const Json& object) {
-    const auto version = whole(object, "version");
+    const auto version = integerMember(object, "version");
     if (!version) return {};
     FileInfo read{*version, {}, {}};
     if (object.contains("length")) {
-        read.length = whole(object, "length", 0);
+        read.length = integerMember(object, "length", 0);
         if (!read.length) return {};
     }
     auto hashes = hashesIn(object, false);
@@ -81,20 +81,20 @@
     if (!roles == !succinct) return shape(envelope, role, "delegations need either roles or succinct_roles");
     if (succinct) {
         const auto signers = signersIn(*succinct);
-        const auto bits = whole(*succinct, "bit_length");
-        const auto* prefix = text(*succinct, "name_prefix");
-        if (!signers || !bits || *bits > 32 || !prefix || !roleNameFits(*prefix + "-00000000"))
+        const auto bits = integerMember(*succinct, "bit_length");
+        const auto* prefix = textMember(*succinct, "name_prefix");
+        if (!signers || !bits || *bits > 32 || !prefix || !isRoleName(*prefix + "-00000000"))
             return shape(envelope, role, "succinct_roles");
-        into.bins = Bins{*signers, static_cast<int>(*bits), *prefix};
+        into.bins = HashBins{*signers, static_cast<int>(*bits), *prefix};
         return {};
     }
     for (const auto& entry : *roles) {
-        const auto* name = text(entry, "name");
+        const auto* name = textMember(entry, "name");
         const auto signers = signersIn(entry);
         const auto* terminating = member(entry, "terminating", Json::value_t::boolean);
         if (!name || !signers || !terminating) return shape(envelope, role, "a delegated role lacks a field");
-        if (!roleNameFits(*name) ||
-            std::find(std::begin(topRoles), std::end(topRoles), *name) != std::end(topRoles))
+        if (!isRoleName(*name) ||
+            std::find(std::begin(kTopRoles), std::end(kTopRoles), *name) != std::end(kTopRoles))
             return Refusal{Reason::badName, role, envelope.version, "role " + escaped(*name, 80)};
         Delegation made{*name, *signers, terminating->get<bool>(), {}, {}};
         const auto* paths = member(entry, "paths", Json::value_t::array);
@@ -109,7 +109,7 @@
                 return shape(envelope, role, "role " + escaped(*name, 80) + ": path_hash_prefixes");
         }
         const auto number = into.delegations.size();
-        if (!into.named.emplace(*name, number).second)
+        if (!into.byName.emplace(*name, number).second)
             return shape(envelope, role, "role " + escaped(*name, 80) + " twice");
         into.index.add(static_cast<std::uint32_t>(number), made.paths, made.prefixes);
         into.delegations.push_back(std::move(made));
@@ -120,7 +120,7 @@
 
 }  // namespace
 
-std::optional<UnixSeconds> readTime(std::string_view text) {
+std::optional<UnixSeconds> parseTime(std::string_view text) {
     static constexpr std::string_view form = "0000-00-00T00:00:00Z";
     if (text.size() != form.size()) return {};
     int part[6] = {}, at = 0;
@@ -142,7 +142,7 @@
            part[5];
 }
 
-std::string timeText(UnixSeconds time) {
+std::string formatTime(UnixSeconds time) {
     using namespace std::chrono;
     const sys_seconds at{seconds(time)};
     const auto midnight = floor<days>(at);
@@ -169,13 +169,13 @@
     return made;
 }
 
-bool roleNameFits(std::string_view name) {
-    return !name.empty() && name.size() <= longestName && percentEncoded(name).size() <= longestName &&
+bool isRoleName(std::string_view name) {
+    return !name.empty() && name.size() <= kMaxNameBytes && percentEncoded(name).size() <= kMaxNameBytes &&
            std::none_of(name.begin(), name.end(), [](char letter) { return letter >= 0 && letter < ' '; });
 }
 
-bool targetNameFits(std::string_view name) {
-    return !name.empty() && name.size() <= longestPath &&
+bool isTargetName(std::string_view name) {
+    return !name.empty() && name.size() <= kMaxPathBytes &&
            std::none_of(name.begin(), name.end(), [](char letter) { return letter >= 0 && letter < ' '; });
 }
 
@@ -189,8 +189,8 @@
 }
 
 Result<Envelope> Envelope::read(std::string_view text, const std::string& role, const std::string& type,
-                                std::size_t atMost) {
-    auto whole = readJson(text, atMost);
+                                std::size_t maxBytes) {
+    auto whole = parseJson(text, maxBytes);
     if (!whole) {
         auto refusal = whole.refusal();
         refusal.role = role;
@@ -200,27 +200,27 @@
     const auto* document = member(*whole, "signed", Json::value_t::object);
     const auto* signatures = member(*whole, "signatures", Json::value_t::array);
     if (!document || !signatures) return shape(read, role, "no signed document");
-    read.version = metadata::whole(*document, "version").value_or(0);
-    const auto* kind = metadata::text(*document, "_type");
+    read.version = metadata::integerMember(*document, "version").value_or(0);
+    const auto* kind = metadata::textMember(*document, "_type");
     if (!kind) return shape(read, role, "_type");
     if (*kind != type) return Refusal{Reason::wrongType, role, read.version, escaped(*kind, 40)};
-    const auto* spec = metadata::text(*document, "spec_version");
+    const auto* spec = metadata::textMember(*document, "spec_version");
     if (!spec) return shape(read, role, "spec_version");
     const bool major = spec->size() >= 3 && spec->compare(0, 2, "1.") == 0 &&
                        spec->find_first_not_of("0123456789.") == spec->npos;
     if (!major) return Refusal{Reason::wrongSpec, role, read.version, escaped(*spec, 40)};
     if (read.version < 1) return shape(read, role, "version");
-    const auto* expires = metadata::text(*document, "expires");
-    const auto time = expires ? readTime(*expires) : std::nullopt;
+    const auto* expires = metadata::textMember(*document, "expires");
+    const auto time = expires ? parseTime(*expires) : std::nullopt;
     if (!time) return shape(read, role, "expires");
-    if (signatures->size() > mostSignatures)
+    if (signatures->size() > kMaxSignatures)
         return Refusal{Reason::tooMany, role, read.version, "signatures"};
     for (const auto& one : *signatures) {
-        const auto* id = metadata::text(one, "keyid");
-        const auto* sig = metadata::text(one, "sig");
+        const auto* id = metadata::textMember(one, "keyid");
+        const auto* sig = metadata::textMember(one, "sig");
         if (!id || !sig) return shape(read, role, "signatures");
         // An empty or spoilt one counts for nothing; offline signing leaves such places.
-        if (!read.signatures.emplace(*id, unhex(*sig).value_or("")).second)
+        if (!read.signatures.emplace(*id, parseHex(*sig).value_or("")).second)
             return Refusal{Reason::repeatedKey, role, read.version, "key id " + escaped(*id, 64)};
     }
     read.type = type, read.expires = *time;
@@ -229,7 +229,7 @@
     return read;
 }
 
-std::int64_t Envelope::signers(const Keys& keys, const Signers& by) const {
+std::int64_t Envelope::countSigners(const Keys& keys, const Signers& by) const {
     std::set<std::string> good;
     for (const auto& id : by.keyIds) {
         if (static_cast<std::int64_t>(good.size()) >= by.threshold) break;
@@ -242,15 +242,15 @@
     return static_cast<std::int64_t>(good.size());
 }
 
-Check Envelope::verified(const Keys& keys, const Signers& by, const std::string& role) const {
-    const auto count = signers(keys, by);
+Check Envelope::verify(const Keys& keys, const Signers& by, const std::string& role) const {
+    const auto count = countSigners(keys, by);
     if (count >= by.threshold) return {};
     return Refusal{Reason::unsigned_, role, version,
                    std::to_string(count) + " of " + std::to_string(by.threshold) + " signatures"};
 }
 
-Check fits(std::string_view bytes, const std::optional<std::int64_t>& length,
-           const std::map<std::string, std::string>& hashes, const std::string& role) {
+Check verifyBytes(std::string_view bytes, const std::optional<std::int64_t>& length,
+                  const std::map<std::string, std::string>& hashes, const std::string& role) {
     if (length && static_cast<std::int64_t>(bytes.size()) != *length)
         return Refusal{Reason::wrongLength, role, 0,
                        std::to_string(bytes.size()) + " bytes, listed " + std::to_string(*length)};
@@ -285,7 +285,7 @@
     read.keys = std::move(*keys);
     const auto* roles = member(document, "roles", Json::value_t::object);
     if (!roles) return shape(envelope, "root", "roles");
-    for (const auto* name : topRoles) {
+    for (const auto* name : kTopRoles) {
         const auto* role = member(*roles, name, Json::value_t::object);
         const auto signers = role ? signersIn(*role) : std::nullopt;
         if (!signers) return shape(envelope, "root", std::string("role ") + name);
@@ -321,9 +321,9 @@
     Targets read;
     read.version = envelope.version, read.expires = envelope.expires;
     for (const auto& [path, entry] : targets->items()) {
-        if (!targetNameFits(path))
+        if (!isTargetName(path))
             return Refusal{Reason::badName, role, envelope.version, "target " + escaped(path, 80)};
-        const auto length = whole(entry, "length", 0);
+        const auto length = integerMember(entry, "length", 0);
         auto hashes = entry.is_object() ? hashesIn(entry, true) : std::nullopt;
         if (!length || !hashes) return shape(envelope, role, "target " + escaped(path, 80));
         const auto* custom = member(entry, "custom", Json::value_t::object);
@@ -337,7 +337,7 @@
     return read;
 }
 
-std::string Bins::roleOf(std::string_view pathHash) const {
+std::string HashBins::roleOf(std::string_view pathHash) const {
     std::uint32_t first = 0;
     std::from_chars(pathHash.data(), pathHash.data() + std::min<std::size_t>(pathHash.size(), 8), first, 16);
     char number[16];
@@ -346,7 +346,7 @@
     return prefix + "-" + number;
 }
 
-bool Bins::has(const std::string& role) const {
+bool HashBins::contains(const std::string& role) const {
     const auto digits = static_cast<std::size_t>((bits + 3) / 4);
     if (role.size() != prefix.size() + 1 + digits || role.compare(0, prefix.size(), prefix) != 0 ||
         role[prefix.size()] != '-' || !hexDigits(std::string_view(role).substr(prefix.size() + 1)))
@@ -369,9 +369,9 @@
 }
 
 const Signers* Targets::signersOf(const std::string& role) const {
-    if (bins) return bins->has(role) ? &bins->signers : nullptr;
-    const auto found = named.find(role);
-    return found == named.end() ? nullptr : &delegations[found->second].signers;
+    if (bins) return bins->contains(role) ? &bins->signers : nullptr;
+    const auto found = byName.find(role);
+    return found == byName.end() ? nullptr : &delegations[found->second].signers;
 }
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/role.hpp
+++ b/src/metadata/role.hpp
@@ -15,14 +15,14 @@
 using UnixSeconds = std::int64_t;  // metadata's times are dates, whole seconds, UTC
 
 // "2026-12-01T09:30:00Z", and no other form; nothing if it is none, or no date.
-std::optional<UnixSeconds> readTime(std::string_view text);
-std::string timeText(UnixSeconds time);
+std::optional<UnixSeconds> parseTime(std::string_view text);
+std::string formatTime(UnixSeconds time);
 
 // A role's name can be a file's name once each byte that is not a letter, digit, '.', '_', '-' or '~' is
 // written as %XX; with more than 200 bytes it cannot.
 std::string percentEncoded(std::string_view name, bool keepSlash = false);
-bool roleNameFits(std::string_view name);
-bool targetNameFits(std::string_view name);  // not empty, no control bytes, at most 1,024 bytes
+bool isRoleName(std::string_view name);
+bool isTargetName(std::string_view name);  // not empty, no control bytes, at most 1,024 bytes
 
 struct Signers {
     std::vector<std::string> keyIds;  // distinct
@@ -44,11 +44,11 @@
 
     // `type`: what "_type" must be. Unknown fields stay in the document and are covered by the signatures.
     static Result<Envelope> read(std::string_view text, const std::string& role, const std::string& type,
-                                 std::size_t atMost);
+                                 std::size_t maxBytes);
 
     // How many distinct keys of the signers have signed well. Stops once the threshold is reached.
-    std::int64_t signers(const Keys& keys, const Signers& by) const;
-    Check verified(const Keys& keys, const Signers& by, const std::string& role) const;
+    std::int64_t countSigners(const Keys& keys, const Signers& by) const;
+    Check verify(const Keys& keys, const Signers& by, const std::string& role) const;
 };
 
 struct FileInfo {
@@ -59,8 +59,8 @@
 
 // Of bytes against a listing: wrongLength, wrongHash, or nothing. A listing whose hashes are all of unknown
 // kinds is refused with wrongHash, since it protects nothing.
-Check fits(std::string_view bytes, const std::optional<std::int64_t>& length,
-           const std::map<std::string, std::string>& hashes, const std::string& role);
+Check verifyBytes(std::string_view bytes, const std::optional<std::int64_t>& length,
+                  const std::map<std::string, std::string>& hashes, const std::string& role);
 
 struct Root {
     std::int64_t version = 0;
@@ -105,13 +105,13 @@
 };
 
 // 2^bits roles, each for the paths whose hash begins with its number (TAP 15).
-struct Bins {
+struct HashBins {
     Signers signers;
     int bits = 0;  // 1 to 32
     std::string prefix;
 
     std::string roleOf(std::string_view pathHash) const;  // hex of the path's SHA-256
-    bool has(const std::string& role) const;
+    bool contains(const std::string& role) const;
 };
 
 struct Targets {
@@ -120,8 +120,8 @@
     std::map<std::string, Target> targets;  // by path
     Keys keys;                              // of the delegations
     std::vector<Delegation> delegations;    // in order of priority
-    std::map<std::string, std::size_t> named;
-    std::optional<Bins> bins;
+    std::map<std::string, std::size_t> byName;
+    std::optional<HashBins> bins;
     DelegationIndex index;
 
     static Result<Targets> read(const Envelope& envelope, const std::string& role);
--- a/src/metadata/trusted_set.cpp
+++ b/src/metadata/trusted_set.cpp
@@ -19,7 +19,7 @@
     if (!envelope) return envelope.refusal();
     auto root = Root::read(*envelope);
     if (!root) return root.refusal();
-    if (auto refusal = envelope->verified(root->keys, root->roles["root"], "root")) return *refusal;
+    if (auto refusal = envelope->verify(root->keys, root->roles["root"], "root")) return *refusal;
     return TrustedSet(std::move(*root), now, sizes);
 }
 
@@ -31,24 +31,24 @@
     if (!envelope) return envelope.refusal();
     auto next = Root::read(*envelope);
     if (!next) return next.refusal();
-    if (auto refusal = envelope->verified(root_.keys, root_.roles.at("root"), "root")) return refusal;
+    if (auto refusal = envelope->verify(root_.keys, root_.roles.at("root"), "root")) return refusal;
     if (next->version < root_.version)
         return Refusal{Reason::rollback, "root", next->version,
                        versions(next->version, "trusted", root_.version)};
     if (next->version != root_.version + 1)
         return Refusal{Reason::wrongVersion, "root", next->version,
                        versions(next->version, "wanted", root_.version + 1)};
-    if (auto refusal = envelope->verified(next->keys, next->roles.at("root"), "root")) return refusal;
+    if (auto refusal = envelope->verify(next->keys, next->roles.at("root"), "root")) return refusal;
     root_ = std::move(*next);
     return {};
 }
 
 Result<Timestamp> TrustedSet::readTimestamp(std::string_view bytes) const {
     if (snapshot_) return Refusal{Reason::wrongOrder, "timestamp", 0, "a snapshot is trusted already"};
-    if (auto refusal = rootStands()) return *refusal;
+    if (auto refusal = checkRoot()) return *refusal;
     auto envelope = Envelope::read(bytes, "timestamp", "timestamp", sizes_.timestamp);
     if (!envelope) return envelope.refusal();
-    if (auto refusal = envelope->verified(root_.keys, root_.roles.at("timestamp"), "timestamp"))
+    if (auto refusal = envelope->verify(root_.keys, root_.roles.at("timestamp"), "timestamp"))
         return *refusal;
     return Timestamp::read(*envelope);
 }
@@ -61,38 +61,37 @@
         if (next->version < timestamp_->version)
             return Refusal{Reason::rollback, "timestamp", next->version,
                            versions(next->version, "trusted", timestamp_->version)};
-        if (next->version == timestamp_->version) return timestampStands();
+        if (next->version == timestamp_->version) return checkTimestamp();
         if (next->snapshot.version < timestamp_->snapshot.version)
             return Refusal{Reason::rollback, "snapshot", next->snapshot.version,
                            versions(next->snapshot.version, "trusted", timestamp_->snapshot.version)};
     }
-    if (auto refusal = inTime(next->expires, "timestamp", next->version)) return refusal;
+    if (auto refusal = checkExpiry(next->expires, "timestamp", next->version)) return refusal;
     timestamp_ = std::move(*next);
     return {};
 }
 
-Check TrustedSet::keptTimestamp(std::string_view bytes) {
+Check TrustedSet::loadTimestamp(std::string_view bytes) {
     auto kept = readTimestamp(bytes);
     if (!kept) return kept.refusal();
     timestamp_ = std::move(*kept);
-    return timestampStands();
+    return checkTimestamp();
 }
 
 Result<Snapshot> TrustedSet::readSnapshot(std::string_view bytes) const {
     if (!targets_.empty()) return Refusal{Reason::wrongOrder, "snapshot", 0, "targets are trusted already"};
-    if (auto refusal = timestampStands()) return *refusal;
+    if (auto refusal = checkTimestamp()) return *refusal;
     auto envelope = Envelope::read(bytes, "snapshot", "snapshot", sizes_.snapshot);
     if (!envelope) return envelope.refusal();
-    if (auto refusal = envelope->verified(root_.keys, root_.roles.at("snapshot"), "snapshot"))
-        return *refusal;
+    if (auto refusal = envelope->verify(root_.keys, root_.roles.at("snapshot"), "snapshot")) return *refusal;
     return Snapshot::read(*envelope);
 }
 
 // 5.5.2 to 5.5.6; the hash first, so that nothing unlisted is even read.
 Check TrustedSet::snapshot(std::string_view bytes) {
-    if (auto refusal = timestampStands()) return refusal;
+    if (auto refusal = checkTimestamp()) return refusal;
     const auto& listing = timestamp_->snapshot;
-    if (auto refusal = fits(bytes, listing.length, listing.hashes, "snapshot"))
+    if (auto refusal = verifyBytes(bytes, listing.length, listing.hashes, "snapshot"))
         return with(*refusal, "snapshot", listing.version);
     auto next = readSnapshot(bytes);
     if (!next) return next.refusal();
@@ -109,21 +108,21 @@
                     Reason::rollback, "snapshot", next->version,
                     escaped(name, 80) + ": " + versions(found->second.version, "trusted", before.version)};
         }
-    if (auto refusal = inTime(next->expires, "snapshot", next->version)) return refusal;
+    if (auto refusal = checkExpiry(next->expires, "snapshot", next->version)) return refusal;
     snapshot_ = std::move(*next);
     return {};
 }
 
 // Its hash is not compared: the timestamp that listed it may be gone already.
-Check TrustedSet::keptSnapshot(std::string_view bytes) {
+Check TrustedSet::loadSnapshot(std::string_view bytes) {
     auto kept = readSnapshot(bytes);
     if (!kept) return kept.refusal();
     snapshot_ = std::move(*kept);
-    return snapshotStands();
+    return checkSnapshot();
 }
 
 Check TrustedSet::delegated(std::string_view bytes, const std::string& role, const std::string& parent) {
-    if (auto refusal = snapshotStands()) return refusal;
+    if (auto refusal = checkSnapshot()) return refusal;
     const auto* listing = listed(role);
     if (!listing) return Refusal{Reason::notListed, role, 0, "by the snapshot"};
     const bool top = role == "targets";
@@ -133,43 +132,42 @@
                        "its parent " + escaped(parent, 80) + " is not trusted yet"};
     const auto* signers = top ? &root_.roles.at("targets") : from->second.signersOf(role);
     if (!signers) return Refusal{Reason::notListed, role, 0, "by " + escaped(parent, 80)};
-    if (auto refusal = fits(bytes, listing->length, listing->hashes, role))
+    if (auto refusal = verifyBytes(bytes, listing->length, listing->hashes, role))
         return with(*refusal, role, listing->version);
     auto envelope = Envelope::read(bytes, role, "targets", sizes_.targets);
     if (!envelope) return envelope.refusal();
-    if (auto refusal = envelope->verified(top ? root_.keys : from->second.keys, *signers, role))
-        return refusal;
+    if (auto refusal = envelope->verify(top ? root_.keys : from->second.keys, *signers, role)) return refusal;
     auto next = Targets::read(*envelope, role);
     if (!next) return next.refusal();
     if (next->version != listing->version)
         return Refusal{Reason::wrongVersion, role, next->version,
                        versions(next->version, "listed", listing->version)};
-    if (auto refusal = inTime(next->expires, role, next->version)) return refusal;
+    if (auto refusal = checkExpiry(next->expires, role, next->version)) return refusal;
     targets_.insert_or_assign(role, std::move(*next));
     trustedBy_.emplace(role, parent);
     return {};
 }
 
-Check TrustedSet::inTime(UnixSeconds expires, const std::string& role, std::int64_t version) const {
+Check TrustedSet::checkExpiry(UnixSeconds expires, const std::string& role, std::int64_t version) const {
     if (expires > now_) return {};
-    return Refusal{Reason::expired, role, version, "at " + timeText(expires)};
+    return Refusal{Reason::expired, role, version, "at " + formatTime(expires)};
 }
 
-Check TrustedSet::rootStands() const { return inTime(root_.expires, "root", root_.version); }
+Check TrustedSet::checkRoot() const { return checkExpiry(root_.expires, "root", root_.version); }
 
-Check TrustedSet::timestampStands() const {
-    if (auto refusal = rootStands()) return refusal;
+Check TrustedSet::checkTimestamp() const {
+    if (auto refusal = checkRoot()) return refusal;
     if (!timestamp_) return Refusal{Reason::wrongOrder, "timestamp", 0, "none is trusted yet"};
-    return inTime(timestamp_->expires, "timestamp", timestamp_->version);
+    return checkExpiry(timestamp_->expires, "timestamp", timestamp_->version);
 }
 
-Check TrustedSet::snapshotStands() const {
-    if (auto refusal = timestampStands()) return refusal;
+Check TrustedSet::checkSnapshot() const {
+    if (auto refusal = checkTimestamp()) return refusal;
     if (!snapshot_) return Refusal{Reason::wrongOrder, "snapshot", 0, "none is trusted yet"};
     if (snapshot_->version != timestamp_->snapshot.version)
         return Refusal{Reason::wrongVersion, "snapshot", snapshot_->version,
                        versions(snapshot_->version, "listed", timestamp_->snapshot.version)};
-    return inTime(snapshot_->expires, "snapshot", snapshot_->version);
+    return checkExpiry(snapshot_->expires, "snapshot", snapshot_->version);
 }
 
 const Targets* TrustedSet::trusted(const std::string& role) const {
--- a/src/metadata/trusted_set.hpp
+++ b/src/metadata/trusted_set.hpp
@@ -32,15 +32,15 @@
     Check snapshot(std::string_view bytes);
     // What was trusted before this update. Nothing if it may be used as it is; a refusal that stands*() gives
     // too means that it is the floor now.
-    Check keptTimestamp(std::string_view bytes);
-    Check keptSnapshot(std::string_view bytes);
+    Check loadTimestamp(std::string_view bytes);
+    Check loadSnapshot(std::string_view bytes);
     Check targets(std::string_view bytes) { return delegated(bytes, "targets", "root"); }
     Check delegated(std::string_view bytes, const std::string& role, const std::string& parent);
 
     // Whether what is there may be used: refuses with expired, wrongVersion or wrongOrder.
-    Check rootStands() const;
-    Check timestampStands() const;
-    Check snapshotStands() const;
+    Check checkRoot() const;
+    Check checkTimestamp() const;
+    Check checkSnapshot() const;
 
     const Root& root() const { return root_; }
     const Timestamp* timestamp() const { return timestamp_ ? &*timestamp_ : nullptr; }
@@ -58,7 +58,7 @@
         : root_(std::move(root)), now_(now), sizes_(sizes) {}
     Result<Timestamp> readTimestamp(std::string_view bytes) const;
     Result<Snapshot> readSnapshot(std::string_view bytes) const;
-    Check inTime(UnixSeconds expires, const std::string& role, std::int64_t version) const;
+    Check checkExpiry(UnixSeconds expires, const std::string& role, std::int64_t version) const;
 
     Root root_;
     std::optional<Timestamp> timestamp_;
--- a/src/metadata/update.cpp
+++ b/src/metadata/update.cpp
@@ -6,23 +6,23 @@
 
 std::string Found::location() const { return locationOf(path, target); }
 
-Update::Update(TrustedSet set, const Kept& kept, Bounds bounds)
-    : set_(std::move(set)), kept_(kept), bounds_(bounds), before_(set_.root()) {
-    askRoot();
+Update::Update(TrustedSet set, const StoredMetadata& kept, UpdateLimits bounds)
+    : set_(std::move(set)), kept_(kept), limits_(bounds), before_(set_.root()) {
+    requestRoot();
 }
 
-void Update::ask(std::string path, std::size_t atMost, const std::string& role) {
-    want_ = {Want::fetch, std::move(path), atMost, role};
+void Update::request(std::string path, std::size_t maxBytes, const std::string& role) {
+    next_ = {Next::fetch, std::move(path), maxBytes, role};
 }
 
 void Update::refuse(Refusal why) {
     refusal_ = std::move(why);
-    refused_ = want_;
-    want_ = {Want::refused, {}, 0, refusal_.role};
+    refusedRequest_ = next_;
+    next_ = {Next::refused, {}, 0, refusal_.role};
 }
 
-void Update::keepFile(const std::string& name, std::string_view bytes) {
-    keep_.push_back({{{name, std::string(bytes)}}});
+void Update::storeFile(const std::string& name, std::string_view bytes) {
+    transactions_.push_back({{{name, std::string(bytes)}}});
     changed_ = true;
 }
 
@@ -31,19 +31,19 @@
            ".json";
 }
 
-void Update::askRoot() {
-    ask(std::to_string(set_.root().version + 1) + ".root.json", set_.sizes().root, "root");
+void Update::requestRoot() {
+    request(std::to_string(set_.root().version + 1) + ".root.json", set_.sizes().root, "root");
 }
 
-void Update::came(std::string_view bytes) {
-    if (want_.kind != Want::fetch) return;
-    if (bytes.size() > want_.atMost)
+void Update::receive(std::string_view bytes) {
+    if (next_.kind != Next::fetch) return;
+    if (bytes.size() > next_.maxBytes)
         return refuse(
-            {Reason::tooLong, want_.role, 0, "more than " + std::to_string(want_.atMost) + " bytes"});
+            {Reason::tooLong, next_.role, 0, "more than " + std::to_string(next_.maxBytes) + " bytes"});
     switch (at_) {
         case At::root: {
             if (auto refusal = set_.root(bytes)) return refuse(*refusal);
-            KeepStep step;
+            StoreTransaction step;
             step.files.emplace_back("root.json", std::string(bytes));
             step.files.emplace_back("root_history/" + std::to_string(set_.root().version) + ".root.json",
                                     std::string(bytes));
@@ -56,102 +56,102 @@
                 step.files.emplace_back("timestamp.json", std::nullopt);
                 step.files.emplace_back("snapshot.json", std::nullopt);
             }
-            keep_.push_back(std::move(step));
+            transactions_.push_back(std::move(step));
             changed_ = true;
-            if (++roots_ >= bounds_.roots) return startTimestamp();
-            return askRoot();
+            if (++roots_ >= limits_.roots) return startTimestamp();
+            return requestRoot();
         }
         case At::timestamp: {
             const auto* before = set_.timestamp();
             const auto version = before ? before->version : 0;
             if (auto refusal = set_.timestamp(bytes)) return refuse(*refusal);
-            if (set_.timestamp()->version != version) keepFile("timestamp.json", bytes);
+            if (set_.timestamp()->version != version) storeFile("timestamp.json", bytes);
             return startSnapshot();
         }
         case At::snapshot:
             if (auto refusal = set_.snapshot(bytes)) return refuse(*refusal);
-            keepFile("snapshot.json", bytes);
+            storeFile("snapshot.json", bytes);
             return startTargets();
         case At::roles:
             if (auto refusal = set_.delegated(bytes, visiting_.role, visiting_.parent))
                 return refuse(*refusal);
-            keepFile(percentEncoded(visiting_.role) + ".json", bytes);
-            return searchOn();
+            storeFile(percentEncoded(visiting_.role) + ".json", bytes);
+            return continueSearch();
     }
 }
 
-void Update::missing() {
-    if (want_.kind != Want::fetch) return;
+void Update::notFound() {
+    if (next_.kind != Next::fetch) return;
     if (at_ == At::root) return startTimestamp();
-    refuse({Reason::unavailable, want_.role, 0, "no mirror has " + escaped(want_.path, 100)});
+    refuse({Reason::unavailable, next_.role, 0, "no mirror has " + escaped(next_.path, 100)});
 }
 
-void Update::failed(Refusal why) {
-    if (want_.kind != Want::fetch) return;
-    if (why.role.empty()) why.role = want_.role;
+void Update::fail(Refusal why) {
+    if (next_.kind != Next::fetch) return;
+    if (why.role.empty()) why.role = next_.role;
     refuse(std::move(why));
 }
 
-void Update::again() {
-    if (want_.kind == Want::refused && refused_.kind == Want::fetch) want_ = refused_;
+void Update::retry() {
+    if (next_.kind == Next::refused && refusedRequest_.kind == Next::fetch) next_ = refusedRequest_;
 }
 
 void Update::abort(Refusal why) {
     refuse(std::move(why));
-    refused_ = {};
-    refused_.kind = Want::refused;  // nothing to ask again for
+    refusedRequest_ = {};
+    refusedRequest_.kind = Next::refused;  // nothing to ask again for
 }
 
 void Update::startTimestamp() {
-    if (auto refusal = set_.rootStands()) return refuse(*refusal);
+    if (auto refusal = set_.checkRoot()) return refuse(*refusal);
     at_ = At::timestamp;
     const auto &now = set_.root().roles, &then = before_.roles;
     const bool rotated =
         now.at("timestamp") != then.at("timestamp") || now.at("snapshot") != then.at("snapshot");
     // As a floor; what does not verify any more is none.
     if (!rotated)
-        if (const auto bytes = kept_.read("timestamp.json")) (void)set_.keptTimestamp(*bytes);
-    ask("timestamp.json", set_.sizes().timestamp, "timestamp");
+        if (const auto bytes = kept_.read("timestamp.json")) (void)set_.loadTimestamp(*bytes);
+    request("timestamp.json", set_.sizes().timestamp, "timestamp");
 }
 
 void Update::startSnapshot() {
     at_ = At::snapshot;
     if (const auto bytes = kept_.read("snapshot.json"))
-        if (!set_.keptSnapshot(*bytes)) return startTargets();  // it is the listed one
+        if (!set_.loadSnapshot(*bytes)) return startTargets();  // it is the listed one
     const auto& listing = set_.timestamp()->snapshot;
     const auto length = listing.length ? static_cast<std::size_t>(*listing.length) : set_.sizes().snapshot;
-    ask(fileOf("snapshot", listing.version), length, "snapshot");
+    request(fileOf("snapshot", listing.version), length, "snapshot");
 }
 
 void Update::startTargets() {
     at_ = At::roles;
     visiting_ = {"targets", "root"};
     visited_ = {"targets"};
-    if (useKept("targets", "root")) return searchOn();
-    askRole("targets");
+    if (useStored("targets", "root")) return continueSearch();
+    requestRole("targets");
 }
 
-bool Update::useKept(const std::string& role, const std::string& parent) {
+bool Update::useStored(const std::string& role, const std::string& parent) {
     if (set_.trustedBy(role, parent)) return true;
     const auto bytes = kept_.read(percentEncoded(role) + ".json");
     return bytes && !set_.delegated(*bytes, role, parent);
 }
 
-void Update::askRole(const std::string& role) {
+void Update::requestRole(const std::string& role) {
     const auto* listing = set_.listed(role);
     if (!listing) return refuse({Reason::notListed, role, 0, "by the snapshot"});
     const auto length = listing->length ? static_cast<std::size_t>(*listing->length) : set_.sizes().targets;
-    ask(fileOf(role, listing->version), length, role);
+    request(fileOf(role, listing->version), length, role);
 }
 
-void Update::lookFor(const std::string& path) {
+void Update::search(const std::string& path) {
     if (found_.count(path) || std::find(searches_.begin(), searches_.end(), path) != searches_.end()) return;
     searches_.push_back(path);
-    if (want_.kind == Want::done) searchOn();
+    if (next_.kind == Next::done) continueSearch();
 }
 
 // Continues with the role just trusted, `visiting_`, until a role must be fetched or all searches are over.
-void Update::searchOn() {
+void Update::continueSearch() {
     while (!searches_.empty()) {
         const auto path = searches_.front();
         const auto* role = set_.trusted(visiting_.role);
@@ -163,15 +163,15 @@
             for (auto left = steps.size(); left-- > 0;) open_.push_back({steps[left].role, visiting_.role});
             while (!open_.empty() && visited_.count(open_.back().role)) open_.pop_back();
             if (!open_.empty()) {
-                if (static_cast<int>(visited_.size()) > bounds_.delegations)
+                if (static_cast<int>(visited_.size()) > limits_.delegations)
                     return refuse(
                         {Reason::tooMany, visiting_.role, 0, "delegations visited for " + escaped(path, 80)});
                 visiting_ = open_.back();
                 open_.pop_back();
                 visited_.insert(visiting_.role);
                 ++visitedInAll_;
-                if (useKept(visiting_.role, visiting_.parent)) continue;
-                return askRole(visiting_.role);
+                if (useStored(visiting_.role, visiting_.parent)) continue;
+                return requestRole(visiting_.role);
             }
             found_[path] = std::nullopt;
         }
@@ -180,7 +180,7 @@
         visiting_ = {"targets", "root"};
         visited_ = {"targets"};
     }
-    want_ = {Want::done, {}, 0, {}};
+    next_ = {Next::done, {}, 0, {}};
 }
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/update.hpp
+++ b/src/metadata/update.hpp
@@ -16,19 +16,19 @@
 namespace lichenlanding::metadata {
 
 // What was trusted before, by file name ("timestamp.json", a delegated role's quoted name): bytes, or none.
-class Kept {
+class StoredMetadata {
   public:
-    virtual ~Kept() = default;
+    virtual ~StoredMetadata() = default;
     virtual std::optional<std::string> read(const std::string& name) const = 0;
 };
 
-struct Bounds {
+struct UpdateLimits {
     int roots = 256;       // new versions of root in one update
     int delegations = 64;  // roles visited in one search
 };
 
 // To be made durable as one step, in this order of steps: files with their bytes; no bytes: the file goes.
-struct KeepStep {
+struct StoreTransaction {
     std::vector<std::pair<std::string, std::optional<std::string>>> files;
 };
 
@@ -40,26 +40,26 @@
 
 class Update {
   public:
-    struct Want {
+    struct Next {
         enum Kind { fetch, done, refused } kind = fetch;
-        std::string path;        // under the metadata base
-        std::size_t atMost = 0;  // bytes; more is refused as tooLong and need not be read
+        std::string path;          // under the metadata base
+        std::size_t maxBytes = 0;  // bytes; more is refused as tooLong and need not be read
         std::string role;
     };
 
-    Update(TrustedSet set, const Kept& kept, Bounds bounds = {});
+    Update(TrustedSet set, const StoredMetadata& kept, UpdateLimits bounds = {});
 
-    const Want& wants() const { return want_; }
-    void came(std::string_view bytes);
-    void missing();            // the mirrors say that there is none
-    void failed(Refusal why);  // none could be had
-    void again();              // what was refused last is wanted again: another mirror may have better
-    void abort(Refusal why);   // ends it, whatever it wants
-    std::vector<KeepStep> keep() { return std::exchange(keep_, {}); }
+    const Next& next() const { return next_; }
+    void receive(std::string_view bytes);
+    void notFound();          // the mirrors say that there is none
+    void fail(Refusal why);   // none could be had
+    void retry();             // what was refused last is wanted again: another mirror may have better
+    void abort(Refusal why);  // ends it, whatever it wants
+    std::vector<StoreTransaction> takeTransactions() { return std::exchange(transactions_, {}); }
 
     // A search through the delegations: preorder, by priority, no role twice (5.6.7). Its result is in
     // found() once nothing is wanted any more. A refusal in one ends this search and the update.
-    void lookFor(const std::string& path);
+    void search(const std::string& path);
     const std::map<std::string, std::optional<Found>>& found() const { return found_; }
 
     const Refusal& refusal() const { return refusal_; }  // once wants().kind is refused
@@ -75,25 +75,25 @@
         std::string role, parent;
     };
 
-    void ask(std::string path, std::size_t atMost, const std::string& role);
-    void askRoot();
+    void request(std::string path, std::size_t maxBytes, const std::string& role);
+    void requestRoot();
     void refuse(Refusal why);
     void startTimestamp();
     void startSnapshot();
     void startTargets();
-    bool useKept(const std::string& role, const std::string& parent);
-    void askRole(const std::string& role);
-    void searchOn();
+    bool useStored(const std::string& role, const std::string& parent);
+    void requestRole(const std::string& role);
+    void continueSearch();
     std::string fileOf(const std::string& role, std::int64_t version) const;
-    void keepFile(const std::string& name, std::string_view bytes);
+    void storeFile(const std::string& name, std::string_view bytes);
 
     TrustedSet set_;
-    const Kept& kept_;
-    Bounds bounds_;
+    const StoredMetadata& kept_;
+    UpdateLimits limits_;
     At at_ = At::root;
-    Want want_, refused_;  // refused_: what was wanted when a refusal came
+    Next next_, refusedRequest_;  // refused_: what was wanted when a refusal came
     Refusal refusal_;
-    std::vector<KeepStep> keep_;
+    std::vector<StoreTransaction> transactions_;
     int roots_ = 0, visitedInAll_ = 0;
     bool changed_ = false;
     Root before_;  // to see which roles' keys have been rotated
--- a/src/metadata/uptane.cpp
+++ b/src/metadata/uptane.cpp
@@ -5,7 +5,7 @@
 namespace lichenlanding::metadata::uptane {
 namespace {
 
-constexpr std::size_t longestManifest = 4u << 20;
+constexpr std::size_t kMaxManifestBytes = 4u << 20;
 
 Refusal shape(const std::string& role, std::string detail) {
     return {Reason::wrongShape, role, 0, std::move(detail)};
@@ -16,9 +16,9 @@
     const auto* signatures = member(envelope, "signatures", Json::value_t::array);
     if (!document || !signatures) return shape(role, "no signed document");
     for (const auto& one : *signatures) {
-        const auto* id = text(one, "keyid");
-        const auto* sig = text(one, "sig");
-        if (id && sig && *id == key.id() && key.verifies(canonical(*document), unhex(*sig).value_or("")))
+        const auto* id = textMember(one, "keyid");
+        const auto* sig = textMember(one, "sig");
+        if (id && sig && *id == key.id() && key.verifies(canonical(*document), parseHex(*sig).value_or("")))
             return {};
     }
     return Refusal{Reason::unsigned_, role, 0, "not by key " + key.id().substr(0, 12)};
@@ -26,13 +26,13 @@
 
 }  // namespace
 
-Result<std::map<std::string, Directive>> directives(const Targets& director) {
+Result<std::map<std::string, Directive>> readDirectives(const Targets& director) {
     if (!director.delegations.empty() || director.bins) return shape("director", "it delegates");
     std::map<std::string, Directive> all;
     for (const auto& [path, target] : director.targets) {
-        const auto* unit = text(target.custom, "ecuIdentifier");
-        const auto* hardware = text(target.custom, "hardwareId");
-        const auto counter = whole(target.custom, "releaseCounter", 0);
+        const auto* unit = textMember(target.custom, "ecuIdentifier");
+        const auto* hardware = textMember(target.custom, "hardwareId");
+        const auto counter = integerMember(target.custom, "releaseCounter", 0);
         if (!unit || !hardware || !counter)
             return shape("director", escaped(path, 80) + " lacks a custom field");
         if (!all.emplace(*unit, Directive{*unit, *hardware, *counter, path, target}).second)
@@ -41,7 +41,7 @@
     return all;
 }
 
-Check agrees(const Directive& directive, const std::optional<Found>& image) {
+Check verifyAgreement(const Directive& directive, const std::optional<Found>& image) {
     const auto role = escaped(directive.path, 80);
     if (!image) return Refusal{Reason::notFound, role, 0, "the image repository does not list it"};
     const auto no = [&](const char* what) { return Refusal{Reason::disagrees, role, 0, what}; };
@@ -54,15 +54,15 @@
         }
     if (common == 0) return no("no common hash");
     const auto& custom = image->target.custom;
-    if (const auto* hardware = text(custom, "hardwareId"); hardware && *hardware != directive.hardware)
+    if (const auto* hardware = textMember(custom, "hardwareId"); hardware && *hardware != directive.hardware)
         return no("hardware");
-    if (const auto counter = whole(custom, "releaseCounter", 0);
+    if (const auto counter = integerMember(custom, "releaseCounter", 0);
         counter && *counter != directive.releaseCounter)
         return no("release counter");
     return {};
 }
 
-Check mayInstall(const Directive& directive, const Installed& installed) {
+Check checkInstallable(const Directive& directive, const Installed& installed) {
     if (directive.unit != installed.unit || directive.hardware != installed.hardware)
         return Refusal{Reason::wrongUnit, escaped(directive.path, 80), 0,
                        "for " + escaped(directive.unit, 60) + " on " + escaped(directive.hardware, 60)};
@@ -76,20 +76,20 @@
 Result<Directive> Secondary::targets(std::string_view bytes, UnixSeconds now) {
     const auto envelope = Envelope::read(bytes, "targets", "targets", Sizes{}.targets);
     if (!envelope) return envelope.refusal();
-    if (const auto refusal = envelope->verified(keys_, director_, "targets")) return *refusal;
+    if (const auto refusal = envelope->verify(keys_, director_, "targets")) return *refusal;
     if (envelope->version < version_)
         return Refusal{Reason::rollback, "targets", envelope->version, "taken " + std::to_string(version_)};
     if (envelope->expires <= now)
-        return Refusal{Reason::expired, "targets", envelope->version, "at " + timeText(envelope->expires)};
+        return Refusal{Reason::expired, "targets", envelope->version, "at " + formatTime(envelope->expires)};
     const auto read = Targets::read(*envelope, "targets");
     if (!read) return read.refusal();
-    const auto all = directives(*read);
+    const auto all = readDirectives(*read);
     if (!all) return all.refusal();
     const auto mine = all->find(installed_.unit);
     if (mine == all->end())
         return Refusal{Reason::wrongUnit, "targets", envelope->version,
                        "none for " + escaped(installed_.unit, 60)};
-    if (const auto refusal = mayInstall(mine->second, installed_)) return *refusal;
+    if (const auto refusal = checkInstallable(mine->second, installed_)) return *refusal;
     version_ = envelope->version;
     directive_ = mine->second;
     return mine->second;
@@ -97,7 +97,8 @@
 
 Check Secondary::install(std::string_view image) {
     if (!directive_) return Refusal{Reason::wrongOrder, installed_.unit, 0, "no directive yet"};
-    if (auto refusal = fits(image, directive_->image.length, directive_->image.hashes, directive_->path))
+    if (auto refusal =
+            verifyBytes(image, directive_->image.length, directive_->image.hashes, directive_->path))
         return refusal;
     installed_.releaseCounter = directive_->releaseCounter;
     return {};
@@ -111,7 +112,7 @@
                   {{"ecuIdentifier", of.unit},
                    {"installedImage",
                     {{"filepath", of.path}, {"hashes", hashes}, {"releaseCounter", of.releaseCounter}}},
-                   {"time", timeText(of.at)},
+                   {"time", formatTime(of.at)},
                    {"attacksDetected", of.attack}}}};
     sign(made, unitKey);
     return made;
@@ -131,7 +132,7 @@
 
 Result<std::vector<UnitReport>> readManifest(std::string_view bytes, const Key& primaryKey,
                                              const std::map<std::string, Key>& unitKeys) {
-    const auto whole = readJson(bytes, longestManifest);
+    const auto whole = parseJson(bytes, kMaxManifestBytes);
     if (!whole) return whole.refusal();
     if (const auto refusal = signedOnce(*whole, primaryKey, "manifest")) return *refusal;
     const auto* reports = member((*whole)["signed"], "ecuVersionReports", Json::value_t::array);
@@ -140,7 +141,7 @@
     std::set<std::string> told;
     for (const auto& one : *reports) {
         const auto* document = member(one, "signed", Json::value_t::object);
-        const auto* unit = document ? text(*document, "ecuIdentifier") : nullptr;
+        const auto* unit = document ? textMember(*document, "ecuIdentifier") : nullptr;
         if (!unit) return shape("manifest", "a report names no unit");
         const auto role = escaped(*unit, 60);
         const auto key = unitKeys.find(*unit);
@@ -148,12 +149,12 @@
         if (!told.insert(*unit).second) return Refusal{Reason::repeatedKey, role, 0, "it reports twice"};
         if (const auto refusal = signedOnce(one, key->second, role)) return *refusal;
         const auto* image = member(*document, "installedImage", Json::value_t::object);
-        const auto* path = image ? text(*image, "filepath") : nullptr;
-        const auto counter = image ? metadata::whole(*image, "releaseCounter", 0) : std::nullopt;
+        const auto* path = image ? textMember(*image, "filepath") : nullptr;
+        const auto counter = image ? metadata::integerMember(*image, "releaseCounter", 0) : std::nullopt;
         const auto* hashes = image ? member(*image, "hashes", Json::value_t::object) : nullptr;
-        const auto* time = text(*document, "time");
-        const auto at = time ? readTime(*time) : std::nullopt;
-        const auto* attack = text(*document, "attacksDetected");
+        const auto* time = textMember(*document, "time");
+        const auto at = time ? parseTime(*time) : std::nullopt;
+        const auto* attack = textMember(*document, "attacksDetected");
         if (!path || !counter || !hashes || !at) return shape(role, "a report lacks a field");
         UnitReport read{*unit, *path, *counter, {}, *at, attack ? *attack : ""};
         for (const auto& [name, digits] : hashes->items())
--- a/src/metadata/uptane.hpp
+++ b/src/metadata/uptane.hpp
@@ -20,18 +20,18 @@
 
 // All directives of the director's targets, by unit. Refuses with wrongShape one that lacks a field, a second
 // one for a unit, and a director that delegates: its targets speak for themselves (5.4.4.5).
-Result<std::map<std::string, Directive>> directives(const Targets& director);
+Result<std::map<std::string, Directive>> readDirectives(const Targets& director);
 
 // The image repository lists the same image: length and at least one common hash, all common ones equal, the
 // same hardware and release counter where it tells them. Refuses with disagrees, or notFound if it has none.
-Check agrees(const Directive& directive, const std::optional<Found>& image);
+Check verifyAgreement(const Directive& directive, const std::optional<Found>& image);
 
 // What a unit has: its hardware, and the release counter of what it runs. Refuses with wrongUnit or rollback.
 struct Installed {
     std::string unit, hardware;
     std::int64_t releaseCounter = 0;
 };
-Check mayInstall(const Directive& directive, const Installed& installed);
+Check checkInstallable(const Directive& directive, const Installed& installed);
 
 // A secondary that can't verify everything: it knows the director's targets role by its keys alone, and takes
 // its targets document from the primary.
--- a/src/sidecar/metadata_refresh.cpp
+++ b/src/sidecar/metadata_refresh.cpp
@@ -15,9 +15,9 @@
 
     bool await_ready() const { return false; }
     void await_suspend(std::coroutine_handle<> waiting) {
-        const auto& wanted = refresh.update_.wants();
+        const auto& wanted = refresh.update_.next();
         refresh.fetch_.start(
-            {wanted.path, wanted.atMost, wanted.role == "root"},
+            {wanted.path, wanted.maxBytes, wanted.role == "root"},
             [this](std::string bytes, MirrorFetch::OnVerified onVerified) {
                 verify(std::move(bytes), std::move(onVerified));
             },
@@ -42,7 +42,7 @@
 };
 
 MetadataRefresh::MetadataRefresh(EventLoop& loop, Mirrors& mirrors, const std::vector<Url>& bases,
-                                 TrustStore& store, Update update, const Patience& timeouts,
+                                 TrustStore& store, Update update, const FetchTimeouts& timeouts,
                                  FetchCounts& counts, WorkerThread* worker, ResultHandler onDone)
     : loop_(loop),
       worker_(worker),
@@ -56,24 +56,24 @@
 
 // Before the next document is requested: what is trusted in memory is never ahead of what a restart finds.
 void MetadataRefresh::store() {
-    for (const auto& step : update_.keep())
+    for (const auto& step : update_.takeTransactions())
         if (auto refusal = store_.commit(step)) return update_.abort(*refusal);
 }
 
 void MetadataRefresh::verify(const std::string& bytes) {
-    update_.again();  // after another mirror's bytes were refused
-    update_.came(bytes);
+    update_.retry();  // after another mirror's bytes were refused
+    update_.receive(bytes);
     if (!refusal()) store();
 }
 
 Task MetadataRefresh::run() {
-    while (update_.wants().kind == Update::Want::fetch) {
+    while (update_.next().kind == Update::Next::fetch) {
         DocumentAwaiter awaiter(*this);
         co_await awaiter;
-        if (awaiter.result == MirrorFetch::Result::missing) update_.missing();
+        if (awaiter.result == MirrorFetch::Result::missing) update_.notFound();
         if (awaiter.result == MirrorFetch::Result::refused) {
-            update_.again();
-            update_.failed(awaiter.failure);
+            update_.retry();
+            update_.fail(awaiter.failure);
         }
         store();  // also of what ended without bytes: the end of the root chain
     }
@@ -83,12 +83,12 @@
 }
 
 Check MetadataRefresh::refusal() const {
-    if (update_.wants().kind == Update::Want::refused) return update_.refusal();
+    if (update_.next().kind == Update::Next::refused) return update_.refusal();
     return {};
 }
 
 TargetDownload::TargetDownload(EventLoop& loop, Mirrors& mirrors, const std::vector<Url>& bases,
-                               const Patience& timeouts, FetchCounts& counts)
+                               const FetchTimeouts& timeouts, FetchCounts& counts)
     : budget_(mirrors.size()), fetch_(loop, mirrors, bases, budget_, timeouts, counts) {}
 
 void TargetDownload::start(const Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone) {
@@ -100,7 +100,7 @@
     fetch_.start(
         {name, static_cast<std::size_t>(target.length)},
         [this, found](std::string bytes, const MirrorFetch::OnVerified& onVerified) {
-            auto refusal = fits(bytes, found.target.length, found.target.hashes, found.path);
+            auto refusal = verifyBytes(bytes, found.target.length, found.target.hashes, found.path);
             if (!refusal) body_ = std::move(bytes);
             onVerified(std::move(refusal));
         },
--- a/src/sidecar/metadata_refresh.hpp
+++ b/src/sidecar/metadata_refresh.hpp
@@ -16,7 +16,7 @@
     /// stored; without one that happens on the loop. `onDone` is called once, from the loop, unless this is
     /// destroyed first; it may destroy this.
     MetadataRefresh(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-                    TrustStore& store, metadata::Update update, const metadata::Patience& timeouts,
+                    TrustStore& store, metadata::Update update, const metadata::FetchTimeouts& timeouts,
                     FetchCounts& counts, WorkerThread* worker, ResultHandler onDone);
 
     void start();
@@ -32,7 +32,7 @@
 
     EventLoop& loop_;
     WorkerThread* worker_;
-    metadata::Budget budget_;
+    metadata::RetryBudget budget_;
     TrustStore& store_;
     metadata::Update update_;
     MirrorFetch fetch_;
@@ -48,13 +48,13 @@
 
     /// All references must outlive it.
     TargetDownload(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-                   const metadata::Patience& timeouts, FetchCounts& counts);
+                   const metadata::FetchTimeouts& timeouts, FetchCounts& counts);
     /// `onDone` is called once: from within this call if the target is larger than `maxBytes`, else from the
     /// loop, unless this is destroyed first.
     void start(const metadata::Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone);
 
   private:
-    metadata::Budget budget_;
+    metadata::RetryBudget budget_;
     MirrorFetch fetch_;
     std::string body_;
 };
--- a/src/sidecar/mirror_fetch.cpp
+++ b/src/sidecar/mirror_fetch.cpp
@@ -45,12 +45,12 @@
 
     bool await_ready() const { return false; }
     void await_suspend(std::coroutine_handle<> waiting) {
-        fetch.fetch_ = std::make_unique<HttpFetch>(fetch.loop_, url, fetch.document_.maxBytes,
-                                                   fetch.timeouts_.connectWithin, fetch.timeouts_.within,
-                                                   [this, waiting](FetchResponse received) {
-                                                       response = std::move(received);
-                                                       waiting.resume();
-                                                   });
+        fetch.fetch_ =
+            std::make_unique<HttpFetch>(fetch.loop_, url, fetch.document_.maxBytes, fetch.timeouts_.connect,
+                                        fetch.timeouts_.response, [this, waiting](FetchResponse received) {
+                                            response = std::move(received);
+                                            waiting.resume();
+                                        });
     }
     FetchResponse await_resume() {
         fetch.fetch_.reset();
@@ -81,7 +81,8 @@
 };
 
 MirrorFetch::MirrorFetch(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-                         metadata::Budget& budget, const metadata::Patience& timeouts, FetchCounts& counts)
+                         metadata::RetryBudget& budget, const metadata::FetchTimeouts& timeouts,
+                         FetchCounts& counts)
     : loop_(loop), mirrors_(mirrors), bases_(bases), budget_(budget), timeouts_(timeouts), counts_(counts) {}
 
 void MirrorFetch::start(Document document, Verifier verifier, ResultHandler onDone) {
@@ -112,22 +113,22 @@
             if (auto failure = co_await verification) {
                 record.add(std::move(*failure), true);
             } else {
-                mirrors_.answered(*mirror);
+                mirrors_.recordSuccess(*mirror);
                 result = Result::accepted;
                 continue;
             }
         } else if (response.statusCode == 404 || response.statusCode == 403) {
             record.add(unavailable(name + " has no " + metadata::escaped(document_.name, 100)), false);
             if (document_.oneMissingSuffices) {
-                mirrors_.answered(*mirror);
+                mirrors_.recordSuccess(*mirror);
                 result = Result::missing;
             }
             continue;  // a mirror that lags behind has not failed
         } else {
             record.add(noResponse(name, response), false);
         }
-        mirrors_.failed(*mirror, loop_.now());
-        if (response.retryAfter > 0) mirrors_.rests(*mirror, loop_.now() + response.retryAfter);
+        mirrors_.recordFailure(*mirror, loop_.now());
+        if (response.retryAfter > 0) mirrors_.backOffUntil(*mirror, loop_.now() + response.retryAfter);
     }
     finish(result, record.failure());
 }
--- a/src/sidecar/mirror_fetch.hpp
+++ b/src/sidecar/mirror_fetch.hpp
@@ -2,7 +2,7 @@
 // what is accepted.
 #pragma once
 
-#include "metadata/mirrors.hpp"
+#include "metadata/mirror_selection.hpp"
 #include "metadata/refusal.hpp"
 #include "sidecar/http_fetch.hpp"
 #include "sidecar/task.hpp"
@@ -30,7 +30,7 @@
 
     /// All references must outlive it. `bases` are the mirrors' URLs, by their index in `mirrors`.
     MirrorFetch(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
-                metadata::Budget& budget, const metadata::Patience& timeouts, FetchCounts& counts);
+                metadata::RetryBudget& budget, const metadata::FetchTimeouts& timeouts, FetchCounts& counts);
     /// `onDone` is called once, from the loop, unless this is destroyed first; it may destroy this.
     void start(Document document, Verifier verifier, ResultHandler onDone);
 
@@ -43,8 +43,8 @@
     EventLoop& loop_;
     metadata::Mirrors& mirrors_;
     const std::vector<Url>& bases_;
-    metadata::Budget& budget_;
-    metadata::Patience timeouts_;
+    metadata::RetryBudget& budget_;
+    metadata::FetchTimeouts timeouts_;
     FetchCounts& counts_;
     Document document_;
     Verifier verifier_;
--- a/src/sidecar/trust_config.cpp
+++ b/src/sidecar/trust_config.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "metadata/builds.hpp"
+#include "metadata/attested_builds.hpp"
 
 namespace lichenlanding::sidecar {
 namespace {
@@ -99,7 +99,7 @@
     std::vector<std::string> known_;
 };
 
-Json readJson(const std::string& path) {
+Json parseJson(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::stringstream text;
     if (!file || !(text << file.rdbuf())) throw std::invalid_argument(path + ": cannot be read");
@@ -112,9 +112,10 @@
 
 void readIntervals(ObjectReader& fields, TrustConfig& config) {
     auto& rhythm = config.rhythm;
-    rhythm.every = fields.integer("refreshMs", 100, 86'400'000, rhythm.every / kMillisecond) * kMillisecond;
-    rhythm.leastWait = std::min(rhythm.leastWait, rhythm.every);
-    auto& within = config.timeouts.within;
+    rhythm.regular =
+        fields.integer("refreshMs", 100, 86'400'000, rhythm.regular / kMillisecond) * kMillisecond;
+    rhythm.minBackoff = std::min(rhythm.minBackoff, rhythm.regular);
+    auto& within = config.timeouts.response;
     within = fields.integer("answerMs", 50, 3'600'000, within / kMillisecond) * kMillisecond;
     const auto megabytes = fields.integer("documentMegabytes", 1, 64, 4);
     config.sizes = metadata::Sizes::small(static_cast<std::size_t>(megabytes) * 1'000'000);
@@ -142,7 +143,7 @@
 }  // namespace
 
 TrustConfig readTrustConfig(const std::string& path) {
-    const auto json = readJson(path);
+    const auto json = parseJson(path);
     TrustConfig config;
     ObjectReader fields(json, path + ": ");
     config.root = fields.text("root", true);
@@ -151,7 +152,7 @@
     config.targets = fields.mirrors("targets", false);
     config.builds = fields.text("builds", true);
     try {
-        metadata::Builds{config.builds};
+        metadata::AttestedBuilds{config.builds};
     } catch (const std::invalid_argument& failure) {
         fields.fail("builds", failure.what());
     }
--- a/src/sidecar/trust_config.hpp
+++ b/src/sidecar/trust_config.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "metadata/mirrors.hpp"
+#include "metadata/mirror_selection.hpp"
 #include "metadata/trusted_set.hpp"
 #include "sidecar/http_fetch.hpp"
 
@@ -26,10 +26,10 @@
     std::string directory;  ///< of the store; empty: no disk lasts
     std::vector<MirrorUrl> metadata, targets;
     std::string builds;  ///< "releases/{build}"
-    metadata::Rhythm::Figures rhythm;
+    metadata::RefreshSchedule::Intervals rhythm;
     metadata::Sizes sizes = metadata::Sizes::small();  ///< limits of documents
     bool thread = true;                                ///< verify on a WorkerThread
-    metadata::Patience timeouts;
+    metadata::FetchTimeouts timeouts;
     std::optional<Address> serve;  ///< as a mirror for others
     std::size_t serveConnections = 64, serveBytes = 32u << 20;
     std::optional<Director> director;
--- a/src/sidecar/trust_manager.cpp
+++ b/src/sidecar/trust_manager.cpp
@@ -44,7 +44,7 @@
     std::vector<std::string> names;
     for (const auto& url : urls) names.push_back(url.url.address.text());
     Mirrors mirrors(std::move(names), seed);
-    for (std::size_t at = 0; at < urls.size(); ++at) mirrors.drains(at, urls[at].draining);
+    for (std::size_t at = 0; at < urls.size(); ++at) mirrors.setDraining(at, urls[at].draining);
     return mirrors;
 }
 
@@ -54,7 +54,7 @@
         const auto stays = [&](auto& mirror) {
             return mirror.url.text() == bases[at].text() && !mirror.draining;
         };
-        mirrors.drains(at, std::none_of(configured.begin(), configured.end(), stays));
+        mirrors.setDraining(at, std::none_of(configured.begin(), configured.end(), stays));
     }
 }
 
@@ -121,7 +121,7 @@
 // time was before the expiry of a timestamp that was valid then, so a wrong clock does no lasting harm.
 void TrustManager::restoreClock() {
     const auto stored = images_.store->read(kClockFile);
-    const auto last = stored ? readTime(*stored) : std::nullopt;
+    const auto last = stored ? parseTime(*stored) : std::nullopt;
     clockStoredAt_ = last.value_or(0);
     if (!last || *last <= clock()) return;
     log(LogEvent::metadata, "the wall clock is " + std::to_string(*last - clock()) +
@@ -131,8 +131,8 @@
 
 void TrustManager::storeClock() {
     if (clock() < clockStoredAt_ + kClockStoreInterval) return;
-    KeepStep step;
-    step.files.emplace_back(kClockFile, timeText(clock()));
+    StoreTransaction step;
+    step.files.emplace_back(kClockFile, formatTime(clock()));
     if (const auto refusal = images_.store->commit(step)) return log(LogEvent::metadata, refusal->text());
     clockStoredAt_ = clock();
 }
@@ -140,7 +140,7 @@
 void TrustManager::start() { refreshTimer_.start(0); }
 
 void TrustManager::track(int build) {
-    if (!builds_.named(build) || stopped_) return;
+    if (!builds_.track(build) || stopped_) return;
     if (refresh_) refreshSoon_ = true;
     else if (counts_.refreshes > 0) refreshTimer_.start(0);
 }
@@ -159,7 +159,7 @@
 void TrustManager::applyPendingConfig() {
     if (!pendingConfig_ || refresh_ || download_ || stopped_) return;
     const auto config = *std::exchange(pendingConfig_, std::nullopt);
-    rhythm_ = Rhythm(config.rhythm, seed_ + 3);
+    rhythm_ = RefreshSchedule(config.rhythm, seed_ + 3);
     images_.mirrors = mirrorsOf(config.metadata, seed_);
     images_.bases = urlsOf(config.metadata);
     targetMirrors_ = mirrorsOf(config.targets, seed_ + 1);
@@ -197,7 +197,7 @@
     auto set = repository.store->start(repository.shippedRoot, clock(), choice, sizes_);
     if (!set) return finishRefresh(set.refusal(), 0);
     Update update(std::move(*set), *repository.store);
-    for (const auto& path : paths) update.lookFor(path);
+    for (const auto& path : paths) update.search(path);
     refresh_ = std::make_unique<MetadataRefresh>(
         loop_, repository.mirrors, repository.bases, *repository.store, std::move(update), timeouts_,
         counts_.fetches, worker_ ? &*worker_ : nullptr, std::move(onDone));
@@ -208,7 +208,7 @@
 void TrustManager::onDirectorRefreshed(MetadataRefresh& refresh) {
     const auto refusal = refresh.refusal();
     auto directives = refusal ? Result<std::map<std::string, uptane::Directive>>(*refusal)
-                              : uptane::directives(*refresh.update().set().trusted());
+                              : uptane::readDirectives(*refresh.update().set().trusted());
     director_->expires = refusal ? 0 : refresh.update().set().expires();
     refresh_.reset();
     if (!directives) {
@@ -229,11 +229,11 @@
     }
     auto expires = update.set().expires();
     if (director_) expires = std::min(expires, director_->expires);
-    const auto changes = directives_ ? builds_.settled(update.found(), expires, *directives_)
-                                     : builds_.settled(update.found(), expires);
+    const auto changes = directives_ ? builds_.update(update.found(), expires, *directives_)
+                                     : builds_.update(update.found(), expires);
     if (!changes.empty()) {
-        KeepStep step;
-        step.files.emplace_back(kBuildsFile, builds_.kept());
+        StoreTransaction step;
+        step.files.emplace_back(kBuildsFile, builds_.serialize());
         if (const auto failure = images_.store->commit(step)) log(LogEvent::metadata, failure->text());
     }
     report(changes);
@@ -265,7 +265,7 @@
     applyPendingConfig();
 }
 
-void TrustManager::report(const std::vector<Builds::Word>& attestations) {
+void TrustManager::report(const std::vector<AttestedBuilds::Change>& attestations) {
     for (const auto& [build, attestation] : attestations) {
         log(LogEvent::metadata, "build " + std::to_string(build) + " attestation: " + nameOf(attestation));
         onAttestation_(build, attestation);
@@ -274,8 +274,8 @@
 
 void TrustManager::expire() {
     if (clock() < expires_) return expiryTimer_.start(kSecond);
-    const auto changes = builds_.lapsed(clock());
-    if (!changes.empty()) log(LogEvent::metadata, "trusted metadata expired at " + timeText(expires_));
+    const auto changes = builds_.expire(clock());
+    if (!changes.empty()) log(LogEvent::metadata, "trusted metadata expired at " + formatTime(expires_));
     report(changes);
 }
 
--- a/src/sidecar/trust_manager.hpp
+++ b/src/sidecar/trust_manager.hpp
@@ -1,7 +1,7 @@
 // The sidecar's trust in signed metadata.
 #pragma once
 
-#include "metadata/builds.hpp"
+#include "metadata/attested_builds.hpp"
 #include "sidecar/metadata_refresh.hpp"
 #include "sidecar/mirror_server.hpp"
 #include "sidecar/trust_config.hpp"
@@ -33,7 +33,7 @@
         FetchCounts fetches;
     };
     const Counts& counts() const { return counts_; }
-    const metadata::Builds& builds() const { return builds_; }
+    const metadata::AttestedBuilds& builds() const { return builds_; }
     const MirrorServer* mirror() const { return mirror_.get(); }
     /// Empty if the last refresh was accepted.
     const std::string& lastRefusal() const { return lastRefusal_; }
@@ -64,7 +64,7 @@
     void onDirectorRefreshed(MetadataRefresh& refresh);
     void onImagesRefreshed(MetadataRefresh& refresh);
     void finishRefresh(const metadata::Check& refusal, metadata::UnixSeconds expires);
-    void report(const std::vector<metadata::Builds::Word>& attestations);
+    void report(const std::vector<metadata::AttestedBuilds::Change>& attestations);
     void expire();
 
     void publish(const metadata::Update& update);
@@ -76,8 +76,8 @@
     AttestationHandler onAttestation_;
     Nanos wallOffset_;  // from the monotonic to the wall clock
     metadata::UnixSeconds clockStoredAt_ = 0;
-    metadata::Builds builds_;
-    metadata::Rhythm rhythm_;
+    metadata::AttestedBuilds builds_;
+    metadata::RefreshSchedule rhythm_;
     std::uint32_t seed_;
     Repository images_;
     std::optional<Repository> director_;
@@ -86,7 +86,7 @@
     metadata::Mirrors targetMirrors_;
     std::size_t maxTargetBytes_;
     metadata::Sizes sizes_;
-    metadata::Patience timeouts_;
+    metadata::FetchTimeouts timeouts_;
     Counts counts_;
     std::string lastRefusal_;
     Timer refreshTimer_, expiryTimer_;
--- a/src/sidecar/trust_store.cpp
+++ b/src/sidecar/trust_store.cpp
@@ -18,10 +18,10 @@
     const auto opened = store->disk_->open();
     if (opened != store::PosixDisk::Opened::yes) {
         const auto reason = opened == store::PosixDisk::Opened::busy ? Reason::busy : Reason::folder;
-        return Refusal{reason, {}, 0, store->disk_->why()};
+        return Refusal{reason, {}, 0, store->disk_->lastError()};
     }
-    store->folder_ = std::make_unique<store::Folder>(*store->disk_);
-    if (const auto& trouble = store->folder_->trouble()) return Refusal{Reason::folder, {}, 0, trouble->text};
+    store->folder_ = std::make_unique<store::TransactionalDirectory>(*store->disk_);
+    if (const auto& error = store->folder_->openError()) return Refusal{Reason::folder, {}, 0, error->text};
     return store;
 }
 
@@ -33,10 +33,10 @@
     return found == memory_.end() ? std::nullopt : std::optional(found->second);
 }
 
-Check TrustStore::commit(const KeepStep& step) {
+Check TrustStore::commit(const StoreTransaction& step) {
     if (folder_) {
-        const auto trouble = folder_->commit(step.files);
-        return trouble ? Check(Refusal{Reason::folder, {}, 0, trouble->text}) : std::nullopt;
+        const auto error = folder_->commit(step.files);
+        return error ? Check(Refusal{Reason::folder, {}, 0, error->text}) : std::nullopt;
     }
     for (const auto& [name, bytes] : step.files) {
         if (bytes) memory_[name] = *bytes;
@@ -62,7 +62,7 @@
                        : stored ? std::string("the stored one is older")
                                 : "the stored one is refused, " + stored.refusal().text();
     choice = "starting from the shipped root, version " + versionOf(shipped) + ": " + cause;
-    KeepStep step;
+    StoreTransaction step;
     step.files.emplace_back(kRootFile, shippedRoot);
     step.files.emplace_back("root_history/" + versionOf(shipped) + ".root.json", shippedRoot);
     if (auto refusal = commit(step)) return *refusal;
--- a/src/store/disk.cpp
+++ b/src/store/disk.cpp
@@ -13,7 +13,7 @@
 namespace lichenlanding::store {
 namespace {
 
-constexpr const char* lockName = ".lock";
+constexpr const char* kLockName = ".lock";
 
 class Descriptor {
   public:
@@ -35,7 +35,7 @@
     if (!open) return;
     while (const auto* entry = readdir(open.get())) {
         const std::string name = entry->d_name;
-        if (name == "." || name == ".." || name == lockName) continue;
+        if (name == "." || name == ".." || name == kLockName) continue;
         struct stat what {};
         if (stat((folder + "/" + name).c_str(), &what) != 0) continue;
         if (S_ISDIR(what.st_mode) && before.empty()) namesIn(folder + "/" + name, name + "/", into);
@@ -56,15 +56,15 @@
         if (at == folder_.size() || folder_[at] == '/')
             if (mkdir(folder_.substr(0, at).c_str(), 0700) != 0 && errno != EEXIST)
                 return fails("cannot make", ""), Opened::failed;
-    lock_ = ::open(pathOf(lockName).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
-    if (lock_ < 0) return fails("cannot open", lockName), Opened::failed;
+    lock_ = ::open(pathOf(kLockName).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
+    if (lock_ < 0) return fails("cannot open", kLockName), Opened::failed;
     if (flock(lock_, LOCK_EX | LOCK_NB) == 0) return Opened::yes;
-    why_ = folder_ + " is in use by another process";
+    lastError_ = folder_ + " is in use by another process";
     return errno == EWOULDBLOCK ? Opened::busy : Opened::failed;
 }
 
 bool PosixDisk::fails(const char* what, const std::string& name) {
-    why_ = std::string(what) + " " + pathOf(name) + ": " + std::strerror(errno);
+    lastError_ = std::string(what) + " " + pathOf(name) + ": " + std::strerror(errno);
     return false;
 }
 
@@ -124,7 +124,7 @@
     }
 }
 
-std::vector<std::string> PosixDisk::names() const {
+std::vector<std::string> PosixDisk::list() const {
     std::vector<std::string> all;
     namesIn(folder_, "", all);
     std::sort(all.begin(), all.end());
--- a/src/store/disk.hpp
+++ b/src/store/disk.hpp
@@ -20,8 +20,8 @@
     virtual bool remove(const std::string& name) = 0;                         // true if it was not there
     virtual bool sync() = 0;  // names: what was renamed, made or removed before is there after a crash
     virtual std::optional<std::string> read(const std::string& name) const = 0;
-    virtual std::vector<std::string> names() const = 0;  // sorted
-    virtual std::string why() const = 0;
+    virtual std::vector<std::string> list() const = 0;  // sorted
+    virtual std::string lastError() const = 0;
 };
 
 // A folder of the real file system. Locked while it lives: a second one on the same folder, in whatever
@@ -40,14 +40,14 @@
     bool remove(const std::string& name) override;
     bool sync() override;
     std::optional<std::string> read(const std::string& name) const override;
-    std::vector<std::string> names() const override;
-    std::string why() const override { return why_; }
+    std::vector<std::string> list() const override;
+    std::string lastError() const override { return lastError_; }
 
   private:
     bool fails(const char* what, const std::string& name);
     std::string pathOf(const std::string& name) const { return folder_ + "/" + name; }
 
-    std::string folder_, why_;
+    std::string folder_, lastError_;
     std::vector<std::string> touched_;  // folders whose names await a sync
     int lock_ = -1;
 };
--- a/src/store/folder.cpp
+++ b/src/store/transactional_directory.cpp
@@ -1,4 +1,4 @@
-#include "store/folder.hpp"
+#include "store/transactional_directory.hpp"
 
 #include <cstdint>
 #include <stdexcept>
@@ -6,9 +6,9 @@
 namespace lichenlanding::store {
 namespace {
 
-constexpr const char* journalName = ".journal";
-constexpr const char* fresh = ".new";  // behind a name: not yet in force
-constexpr std::string_view magic = "lichenlanding journal 1\n";
+constexpr const char* kJournalName = ".journal";
+constexpr const char* kNewSuffix = ".new";  // behind a name: not yet in force
+constexpr std::string_view kMagic = "lichenlanding journal 1\n";
 
 // FNV-1a: tells a journal that was cut from a whole one. It is not there against an adversary, who could
 // write the files themselves; what is read back is verified as metadata is.
@@ -40,7 +40,7 @@
     return text;
 }
 
-std::string encode(const Step& step) {
+std::string encode(const Transaction& step) {
     std::string body;
     put(body, step.size());
     for (const auto& [name, bytes] : step) {
@@ -50,19 +50,19 @@
         put(body, bytes ? bytes->size() : 0);
         if (bytes) body += *bytes;
     }
-    std::string whole(magic);
+    std::string whole(kMagic);
     put(whole, sumOf(body));
     return whole + body;
 }
 
-std::optional<Step> decode(std::string_view from) {
-    if (from.substr(0, magic.size()) != magic) return {};
-    from.remove_prefix(magic.size());
+std::optional<Transaction> decode(std::string_view from) {
+    if (from.substr(0, kMagic.size()) != kMagic) return {};
+    from.remove_prefix(kMagic.size());
     const auto sum = take(from);
     if (!sum || *sum != sumOf(from)) return {};
     const auto count = take(from);
     if (!count) return {};
-    Step step;
+    Transaction step;
     for (std::uint64_t one = 0; one < *count; ++one) {
         auto name = takeText(from);
         const auto there = take(from);
@@ -79,81 +79,85 @@
 
 }  // namespace
 
-Folder::Folder(Disk& disk) : disk_(disk) { recover(); }
+TransactionalDirectory::TransactionalDirectory(Disk& disk) : disk_(disk) { recover(); }
 
-bool Folder::own(const std::string& name) { return name.empty() || name[0] == '.' || endsWith(name, fresh); }
+bool TransactionalDirectory::isReserved(const std::string& name) {
+    return name.empty() || name[0] == '.' || endsWith(name, kNewSuffix);
+}
 
-std::optional<Trouble> Folder::fails(const char* what) const {
-    return Trouble{false, std::string(what) + ": " + disk_.why()};
+std::optional<StoreError> TransactionalDirectory::fails(const char* what) const {
+    return StoreError{false, std::string(what) + ": " + disk_.lastError()};
 }
 
 // Each file beside the one in force, then over it. Repeating it changes nothing more.
-bool Folder::carryOut(const Step& step) {
+bool TransactionalDirectory::apply(const Transaction& step) {
     for (const auto& [name, bytes] : step) {
         if (!bytes) {
             if (!disk_.remove(name)) return false;
-        } else if (!disk_.write(name + fresh, *bytes) || !disk_.rename(name + fresh, name)) {
+        } else if (!disk_.write(name + kNewSuffix, *bytes) || !disk_.rename(name + kNewSuffix, name)) {
             return false;
         }
     }
     return disk_.sync();
 }
 
-std::optional<std::string> Folder::read(const std::string& name) const {
+std::optional<std::string> TransactionalDirectory::read(const std::string& name) const {
     if (pending_)
         for (const auto& [file, bytes] : *pending_)
             if (file == name) return bytes;
     return disk_.read(name);
 }
 
-void Folder::recover() {
-    trouble_.reset();
-    if (const auto journal = disk_.read(journalName)) {
+void TransactionalDirectory::recover() {
+    openError_.reset();
+    if (const auto journal = disk_.read(kJournalName)) {
         // It has its name only once it is whole and synced; one that cannot be read never got there.
         pending_ = decode(*journal);
-        if (pending_ && !carryOut(*pending_)) trouble_ = fails("a step that had begun cannot be ended");
-        if (!trouble_ && (!disk_.remove(journalName) || !disk_.sync()))
-            trouble_ = fails("the journal cannot be removed");
+        if (pending_ && !apply(*pending_)) openError_ = fails("a step that had begun cannot be ended");
+        if (!openError_ && (!disk_.remove(kJournalName) || !disk_.sync()))
+            openError_ = fails("the journal cannot be removed");
     }
-    if (trouble_) return;
+    if (openError_) return;
     pending_.reset();
-    for (const auto& name : disk_.names())
-        if (endsWith(name, fresh)) disk_.remove(name);  // harmless if it stays
+    for (const auto& name : disk_.list())
+        if (endsWith(name, kNewSuffix)) disk_.remove(name);  // harmless if it stays
 }
 
-std::optional<Trouble> Folder::commit(const Step& step) {
+std::optional<StoreError> TransactionalDirectory::commit(const Transaction& step) {
     for (const auto& [name, bytes] : step)
-        if (own(name)) throw std::invalid_argument("a step names the folder's own file " + name);
+        if (isReserved(name)) throw std::invalid_argument("a step names the folder's own file " + name);
     if (pending_) {  // the step before must end first, or its journal would undo this one
         recover();
-        if (trouble_) return trouble_;
+        if (openError_) return openError_;
     }
     return step.size() == 1 ? commitOne(step.front().first, step.front().second) : commitAll(step);
 }
 
-std::optional<Trouble> Folder::commitOne(const std::string& name, const std::optional<std::string>& bytes) {
-    if (bytes && !disk_.write(name + fresh, *bytes)) {
-        const auto trouble = fails("nothing was changed");
-        disk_.remove(name + fresh);
-        return trouble;
+std::optional<StoreError> TransactionalDirectory::commitOne(const std::string& name,
+                                                            const std::optional<std::string>& bytes) {
+    if (bytes && !disk_.write(name + kNewSuffix, *bytes)) {
+        const auto error = fails("nothing was changed");
+        disk_.remove(name + kNewSuffix);
+        return error;
     }
-    if (bytes ? !disk_.rename(name + fresh, name) : !disk_.remove(name)) return fails("nothing was changed");
+    if (bytes ? !disk_.rename(name + kNewSuffix, name) : !disk_.remove(name))
+        return fails("nothing was changed");
     if (!disk_.sync()) return fails("the change may not last");
     return {};
 }
 
-std::optional<Trouble> Folder::commitAll(const Step& step) {
-    const auto journalFresh = std::string(journalName) + fresh;
+std::optional<StoreError> TransactionalDirectory::commitAll(const Transaction& step) {
+    const auto journalFresh = std::string(kJournalName) + kNewSuffix;
     if (!disk_.write(journalFresh, encode(step))) {
-        const auto trouble = fails("nothing was changed");
+        const auto error = fails("nothing was changed");
         disk_.remove(journalFresh);
-        return trouble;
+        return error;
     }
-    if (!disk_.rename(journalFresh, journalName)) return fails("nothing was changed");
+    if (!disk_.rename(journalFresh, kJournalName)) return fails("nothing was changed");
     pending_ = step;
     if (!disk_.sync()) return fails("the change may not last");
     // From here on it has happened. What cannot be carried out now, the next step or opening ends.
-    if (carryOut(step) && disk_.remove(journalName) && disk_.sync()) pending_.reset();
+    if (apply(step) && disk_.remove(kJournalName) && disk_.sync()) pending_.reset();
     return {};
 }
 
--- a/src/store/folder.hpp
+++ b/src/store/transactional_directory.hpp
@@ -12,38 +12,38 @@
 
 namespace lichenlanding::store {
 
-struct Trouble {
+struct StoreError {
     bool busy = false;  // another process has the folder
     std::string text;   // for a person, with the system's word
 };
 
 // Files of one step; no bytes: the file goes.
-using Step = std::vector<std::pair<std::string, std::optional<std::string>>>;
+using Transaction = std::vector<std::pair<std::string, std::optional<std::string>>>;
 
-class Folder {
+class TransactionalDirectory {
   public:
     // Carries out a journal that a kill has left, and removes what never got its name.
-    explicit Folder(Disk& disk);
+    explicit TransactionalDirectory(Disk& disk);
 
-    const std::optional<Trouble>& trouble() const { return trouble_; }  // of the opening
+    const std::optional<StoreError>& openError() const { return openError_; }  // of the opening
     std::optional<std::string> read(const std::string& name) const;
 
     // Nothing: it has happened and lasts. Trouble: it has not happened, unless the text says that it may have
     // (the last sync failed); opening the folder again settles that.
-    std::optional<Trouble> commit(const Step& step);
+    std::optional<StoreError> commit(const Transaction& step);
 
-    static bool own(const std::string& name);  // the folder's own files, which no step may name
+    static bool isReserved(const std::string& name);  // the folder's own files, which no step may name
 
   private:
-    std::optional<Trouble> fails(const char* what) const;
-    std::optional<Trouble> commitOne(const std::string& name, const std::optional<std::string>& bytes);
-    std::optional<Trouble> commitAll(const Step& step);
-    bool carryOut(const Step& step);
+    std::optional<StoreError> fails(const char* what) const;
+    std::optional<StoreError> commitOne(const std::string& name, const std::optional<std::string>& bytes);
+    std::optional<StoreError> commitAll(const Transaction& step);
+    bool apply(const Transaction& step);
     void recover();
 
     Disk& disk_;
-    std::optional<Trouble> trouble_;
-    std::optional<Step> pending_;  // has happened, by its journal, and is not carried out whole
+    std::optional<StoreError> openError_;
+    std::optional<Transaction> pending_;  // has happened, by its journal, and is not carried out whole
 };
 
 }  // namespace lichenlanding::store
--- a/tests/fuzz/metadata.cpp
+++ b/tests/fuzz/metadata.cpp
@@ -35,7 +35,7 @@
 
 void asDocument(const World& world, std::string_view bytes, int which) {
     static constexpr const char* roles[] = {"root", "timestamp", "snapshot", "targets"};
-    auto document = readJson(bytes, 1 << 16);
+    auto document = parseJson(bytes, 1 << 16);
     if (!document) return;
     Json envelope = {{"signatures", Json::array()}, {"signed", *document}};
     sign(envelope, world.repository.keys.at(roles[which]));
@@ -56,7 +56,7 @@
     if (const auto targets = Targets::read(*read, "targets")) {
         for (const auto& step : targets->rolesFor("releases/1"))
             insist(targets->signersOf(step.role) != nullptr);
-        (void)uptane::directives(*targets);
+        (void)uptane::readDirectives(*targets);
     }
 }
 
@@ -71,14 +71,14 @@
         asDocument(world, bytes, which);
     } else if (which == 4) {
         // What canonical form accepts once, it writes the same again.
-        if (const auto json = readJson(bytes, 1 << 16)) {
-            const auto again = readJson(json->dump(), 1 << 17);
+        if (const auto json = parseJson(bytes, 1 << 16)) {
+            const auto again = parseJson(json->dump(), 1 << 17);
             insist(again && canonical(*again) == canonical(*json));
         }
     } else {
         const auto key = world.repository.keys.at("root").key();
         (void)uptane::readManifest(bytes, key, {{"unit", key}});
-        (void)readTime(bytes);
+        (void)parseTime(bytes);
         (void)patternMatches(bytes.substr(0, bytes.size() / 2), bytes.substr(bytes.size() / 2));
     }
     return 0;
@@ -95,7 +95,7 @@
     static constexpr const char* files[] = {"1.root.json", "timestamp.json", "2.snapshot.json",
                                             "2.targets.json"};
     for (int which = 0; which < 4; ++which) {
-        const auto whole = readJson(world.repository.files.at(files[which]), 1 << 20);
+        const auto whole = parseJson(world.repository.files.at(files[which]), 1 << 20);
         seeds.push_back(std::string(1, static_cast<char>(which)) + (*whole)["signed"].dump());
     }
     seeds.push_back("\x04{\"a\":[1,{\"b\":\"\\u00e9\"}],\"c\":-9223372036854775808}");
--- a/tests/metadata/properties.cpp
+++ b/tests/metadata/properties.cpp
@@ -112,7 +112,7 @@
         const auto made = anyJson(chance, 4);
         // What canonical form leaves as it is, JSON readers refuse: it is for signing alone. So through
         // dump().
-        const auto read = readJson(made.dump(static_cast<int>(chance() % 3) - 1), 1 << 20);
+        const auto read = parseJson(made.dump(static_cast<int>(chance() % 3) - 1), 1 << 20);
         REQUIRE(read);
         REQUIRE(canonical(*read) == canonical(made));
     }
@@ -139,7 +139,7 @@
     std::set<std::string> published;
     for (const auto* set : {&old, &now})
         for (const auto& [served, whole] : *set)
-            published.insert(canonical((*readJson(whole, 1 << 20))["signed"]));
+            published.insert(canonical((*parseJson(whole, 1 << 20))["signed"]));
     std::vector<std::string> names;
     for (const auto& [name, bytes] : now)
         if (!old.count(name) || old.at(name) != bytes) names.push_back(name);
@@ -183,7 +183,7 @@
         }
         // Whatever happened: each document kept is, in canonical form, one that was published.
         for (const auto& [file, kept] : client.kept.files) {
-            const auto read = readJson(kept, 1 << 20);
+            const auto read = parseJson(kept, 1 << 20);
             REQUIRE(read);
             REQUIRE_MESSAGE(published.count(canonical((*read)["signed"])), file << ": " << kept);
         }
--- a/tests/metadata/rhythm.cpp
+++ b/tests/metadata/rhythm.cpp
@@ -1,7 +1,7 @@
 // Whom to ask, when, and how often: the decisions of a client of mirrors, without one.
 #include <filesystem>
 
-#include "metadata/mirrors.hpp"
+#include "metadata/mirror_selection.hpp"
 #include "sidecar/trust_config.hpp"
 #include "support/trace.hpp"
 
@@ -11,7 +11,7 @@
     constexpr Nanos second = 1000 * kMs;
     std::map<Nanos, int> first;
     for (std::uint32_t seed = 1; seed <= 300; ++seed) {
-        Rhythm rhythm({60 * second, second, 60 * second}, seed);
+        RefreshSchedule rhythm({60 * second, second, 60 * second}, seed);
         const auto usual = rhythm.afterSuccess(86'400 * second);
         CHECK(usual >= 54 * second);
         CHECK(usual <= 66 * second);
@@ -46,31 +46,31 @@
         return chosen;
     };
     const auto one = choose("first", 0);
-    mirrors.answered(*one);
+    mirrors.recordSuccess(*one);
     choose("it has answered", 10 * kMs);
     tried[*one] = true;
     const auto two = choose("it is tried", 20 * kMs);
-    mirrors.failed(*two, 20 * kMs);
+    mirrors.recordFailure(*two, 20 * kMs);
     tried[*two] = true;
     const auto three = choose("the second fails", 30 * kMs);
-    mirrors.drains(*three, true);
+    mirrors.setDraining(*three, true);
     choose("the third drains", 40 * kMs);
     tried.assign(3, false);
-    mirrors.failed(*one, 50 * kMs);
-    mirrors.failed(*one, 60 * kMs);
+    mirrors.recordFailure(*one, 50 * kMs);
+    mirrors.recordFailure(*one, 60 * kMs);
     choose("all rest or drain, a first try", 70 * kMs);
     tried[*two] = true;
     choose("all rest or drain, a second try", 80 * kMs);
     tried.assign(3, false);
-    mirrors.rests(*two, 600'000 * kMs);
+    mirrors.backOffUntil(*two, 600'000 * kMs);
     choose("one asks for ten minutes", 300'000 * kMs);
-    mirrors.drains(*one, true);
+    mirrors.setDraining(*one, true);
     choose("and the other drains", 300'010 * kMs);
-    mirrors.drains(*two, true);
+    mirrors.setDraining(*two, true);
     choose("all drain", 300'020 * kMs);
-    mirrors.drains(*three, false);
+    mirrors.setDraining(*three, false);
     choose("the third is back", 300'030 * kMs);
-    Budget budget(1);
+    RetryBudget budget(1);
     int taken = 0;
     while (budget.take()) ++taken;
     trace << "asked again at most " << taken << " times with one mirror\n";
@@ -91,7 +91,7 @@
         std::ofstream(path) << text;
         try {
             const auto read = sidecar::readTrustConfig(path);
-            trace << "accepted: " << read.metadata.size() << " mirrors, every " << read.rhythm.every / kMs
+            trace << "accepted: " << read.metadata.size() << " mirrors, every " << read.rhythm.regular / kMs
                   << " ms, draining " << read.metadata.back().draining << ", documents to "
                   << read.sizes.targets << '\n';
         } catch (const std::invalid_argument& wrong) {
--- a/tests/metadata/uptane.cpp
+++ b/tests/metadata/uptane.cpp
@@ -1,6 +1,6 @@
 #include "metadata/uptane.hpp"
 
-#include "metadata/builds.hpp"
+#include "metadata/attested_builds.hpp"
 #include "support/metadata_repository.hpp"
 #include "support/trace.hpp"
 
@@ -29,7 +29,7 @@
         set->timestamp(directorClient.kept.files.at("timestamp.json"));
         set->snapshot(directorClient.kept.files.at("snapshot.json"));
         set->targets(directorClient.kept.files.at("targets.json"));
-        return uptane::directives(*set->trusted());
+        return uptane::readDirectives(*set->trusted());
     }
     std::map<std::string, std::optional<Found>> found(const std::vector<std::string>& paths) {
         imageClient.update(images.files, start + 60, paths);
@@ -48,14 +48,15 @@
     auto named = fleet.directives();
     REQUIRE(named);
     const auto directive = named->at("pods-a");
-    trace << "agreed: " << word(uptane::agrees(directive, fleet.found({"releases/42"}).at("releases/42")))
-          << '\n';
+    trace << "agreed: "
+          << word(uptane::verifyAgreement(directive, fleet.found({"releases/42"}).at("releases/42"))) << '\n';
     const auto differs = [&](const char* what, const std::function<void(Repository&)>& change) {
         Fleet other = fleet;
         change(other.images);
         other.images.publish();
         trace << what << ": "
-              << word(uptane::agrees(directive, other.found({"releases/42"}).at("releases/42"))) << '\n';
+              << word(uptane::verifyAgreement(directive, other.found({"releases/42"}).at("releases/42")))
+              << '\n';
     };
     differs("another image", [](auto& images) {
         images.target("targets", "releases/42", "image 4x", {{"hardwareId", "m2"}});
@@ -72,10 +73,11 @@
         removeTarget(images.role("targets"), "releases/42");
         images.redo("targets");
     });
-    trace << "for another unit: " << word(uptane::mayInstall(directive, {"pods-b", "m2", 1})) << '\n';
-    trace << "for other hardware: " << word(uptane::mayInstall(directive, {"pods-a", "m9", 1})) << '\n';
-    trace << "older than installed: " << word(uptane::mayInstall(directive, {"pods-a", "m2", 43})) << '\n';
-    trace << "the same again: " << word(uptane::mayInstall(directive, {"pods-a", "m2", 42})) << '\n';
+    trace << "for another unit: " << word(uptane::checkInstallable(directive, {"pods-b", "m2", 1})) << '\n';
+    trace << "for other hardware: " << word(uptane::checkInstallable(directive, {"pods-a", "m9", 1})) << '\n';
+    trace << "older than installed: " << word(uptane::checkInstallable(directive, {"pods-a", "m2", 43}))
+          << '\n';
+    trace << "the same again: " << word(uptane::checkInstallable(directive, {"pods-a", "m2", 42})) << '\n';
     const auto spoilt = [&](const char* what, const std::function<void(Repository&)>& change) {
         Fleet other = fleet;
         change(other.director);
@@ -117,7 +119,7 @@
     take("older targets", fleet.director.files.at("1.targets.json"));
     take("expired targets", second, start + 90 * day);
     auto forged = fleet.director.role("targets");
-    changed(forged, start + 900 * day);
+    bumpVersion(forged, start + 900 * day);
     sign(forged, SigningKey::generate(Scheme::ed25519));
     take("targets signed by a stranger", textOf(forged));
     fleet.director.target("targets", "releases/42", "image 40", customOf("pods-a", "m2", 40));
@@ -166,14 +168,14 @@
     static const char* words[] = {"none", "valid", "withdrawn"};
     Repository repository;
     Client client(repository.firstRoot());
-    Builds builds("releases/{build}");
-    for (int build : {41, 42, 43}) builds.named(build);
-    CHECK(!builds.named(42));
+    AttestedBuilds builds("releases/{build}");
+    for (int build : {41, 42, 43}) builds.track(build);
+    CHECK(!builds.track(42));
     const auto look = [&](const char* what) {
         repository.publish();
         client.update(repository.files, start + 60, builds.paths());
         trace << what << ":";
-        for (const auto& [build, word] : builds.settled(client.found, start + day))
+        for (const auto& [build, word] : builds.update(client.found, start + day))
             trace << ' ' << build << ' ' << words[static_cast<int>(word)];
         trace << '\n';
     };
@@ -189,28 +191,28 @@
     repository.target("targets", "releases/42", "42");
     repository.target("targets", "releases/43", "43");
     look("back, and another");
-    const auto kept = builds.kept();
+    const auto kept = builds.serialize();
     trace << "kept: " << kept << '\n';
-    Builds restarted("releases/{build}");
+    AttestedBuilds restarted("releases/{build}");
     restarted.restore(kept);
     restarted.restore("no JSON");
     trace << "after a restart:";
-    for (const auto& [build, word] : restarted.settled(client.found, start + day))
+    for (const auto& [build, word] : restarted.update(client.found, start + day))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << "\nrun out a second early:";
-    for (const auto& [build, word] : builds.lapsed(start + day - 1))
+    for (const auto& [build, word] : builds.expire(start + day - 1))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << "\nrun out:";
-    for (const auto& [build, word] : builds.lapsed(start + day))
+    for (const auto& [build, word] : builds.expire(start + day))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << "\nrun out, again:";
-    for (const auto& [build, word] : builds.lapsed(start + day))
+    for (const auto& [build, word] : builds.expire(start + day))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << '\n';
-    for (int build = 100; build < 140; ++build) builds.named(build);
+    for (int build = 100; build < 140; ++build) builds.track(build);
     trace << "looks after " << builds.paths().front() << " to " << builds.paths().back() << ", "
           << builds.paths().size() << '\n';
-    CHECK_THROWS_AS(Builds("releases"), std::invalid_argument);
-    CHECK_THROWS_AS(Builds("{build}/{build}"), std::invalid_argument);
+    CHECK_THROWS_AS(AttestedBuilds("releases"), std::invalid_argument);
+    CHECK_THROWS_AS(AttestedBuilds("{build}/{build}"), std::invalid_argument);
     matchesTrace("builds", trace.str());
 }
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -27,7 +27,7 @@
     std::stringstream tape_;
 };
 
-Json parsed(const std::string& text) { return *readJson(text, text.size()); }
+Json parsed(const std::string& text) { return *parseJson(text, text.size()); }
 
 // A document with a change, signed again by the role's own key: what only a key's holder could make.
 std::string resigned(const Repository& repository, const std::string& role, Json envelope,
@@ -59,8 +59,8 @@
     tape.refuses("an older timestamp", client, files);
     {
         Repository spoilt = repository;
-        changed(spoilt.timestamp, start + day);
-        list(spoilt.timestamp, "snapshot.json", listingOf(2, old.at("2.snapshot.json"), true));
+        bumpVersion(spoilt.timestamp, start + day);
+        addListing(spoilt.timestamp, "snapshot.json", listingOf(2, old.at("2.snapshot.json"), true));
         sign(spoilt.timestamp, spoilt.keys.at("timestamp"));
         files = spoilt.files;
         files["timestamp.json"] = textOf(spoilt.timestamp);
@@ -68,15 +68,15 @@
     }
     {
         Repository spoilt = repository;
-        list(spoilt.snapshot, "targets.json", listingOf(2, "", false));
-        changed(spoilt.snapshot, start + 7 * day), changed(spoilt.timestamp, start + day);
+        addListing(spoilt.snapshot, "targets.json", listingOf(2, "", false));
+        bumpVersion(spoilt.snapshot, start + 7 * day), bumpVersion(spoilt.timestamp, start + day);
         sign(spoilt.snapshot, spoilt.keys.at("snapshot"));
         spoilt.put("snapshot", versionOf(spoilt.snapshot), textOf(spoilt.snapshot));
         spoilt.publishTimestamp();
-        auto fresh = client;  // the timestamp is taken before the snapshot is seen, as it should be
-        tape.note("a new snapshot of older targets", fresh.update(spoilt.files));
-        CHECK(fresh.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
-        CHECK(fresh.kept.files.at("snapshot.json") == client.kept.files.at("snapshot.json"));
+        auto kNewSuffix = client;  // the timestamp is taken before the snapshot is seen, as it should be
+        tape.note("a new snapshot of older targets", kNewSuffix.update(spoilt.files));
+        CHECK(kNewSuffix.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
+        CHECK(kNewSuffix.kept.files.at("snapshot.json") == client.kept.files.at("snapshot.json"));
     }
     {
         Repository spoilt = repository;
@@ -84,15 +84,15 @@
         spoilt.publish();
         files = spoilt.files;
         files["4.targets.json"] = now.at("3.targets.json");
-        auto fresh = client;
-        tape.note("old targets under a new name", fresh.update(files));
+        auto kNewSuffix = client;
+        tape.note("old targets under a new name", kNewSuffix.update(files));
         files = spoilt.files;
         files["4.snapshot.json"] = now.at("3.snapshot.json");
-        fresh = client;
-        tape.note("mixed: a new timestamp, the old snapshot", fresh.update(files));
+        kNewSuffix = client;
+        tape.note("mixed: a new timestamp, the old snapshot", kNewSuffix.update(files));
         files.erase("4.snapshot.json");
-        fresh = client;
-        tape.note("a snapshot that no one has", fresh.update(files));
+        kNewSuffix = client;
+        tape.note("a snapshot that no one has", kNewSuffix.update(files));
     }
     files = now;
     files["2.root.json"] = now.at("1.root.json");
@@ -102,25 +102,25 @@
         Repository late = repository;
         late.timestampUntil = start + 30 * day;
         late.publish();
-        auto fresh = client;
-        tape.note("at the snapshot's end", fresh.update(late.files, start + 7 * day));
+        auto kNewSuffix = client;
+        tape.note("at the snapshot's end", kNewSuffix.update(late.files, start + 7 * day));
         late.snapshotUntil = start + 200 * day, late.timestampUntil = start + 200 * day;
         late.publish();
-        fresh = client;
-        tape.note("at the targets' end", fresh.update(late.files, start + 90 * day));
-        CHECK(fresh.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
+        kNewSuffix = client;
+        tape.note("at the targets' end", kNewSuffix.update(late.files, start + 90 * day));
+        CHECK(kNewSuffix.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
     }
     tape.refuses("at the root's end", client, now, start + 365 * day);
     {
         Repository spoilt = repository;
         spoilt.make("rel");
         spoilt.publish();
-        auto fresh = client;
-        tape.note("a role more", fresh.update(spoilt.files));
+        auto kNewSuffix = client;
+        tape.note("a role more", kNewSuffix.update(spoilt.files));
         documentOf(spoilt.snapshot)["meta"].erase("rel.json");
         spoilt.roles.erase("rel");
         spoilt.publish();
-        tape.note("and it vanishes", fresh.update(spoilt.files));
+        tape.note("and it vanishes", kNewSuffix.update(spoilt.files));
     }
     {
         Repository mixed = repository;
@@ -133,11 +133,11 @@
         document["signatures"] = Json::array();
         sign(document, mixed.keys.at("targets"));
         files["4.targets.json"] = textOf(document);
-        auto fresh = client;
-        tape.note("other targets of the same version", fresh.update(files));
+        auto kNewSuffix = client;
+        tape.note("other targets of the same version", kNewSuffix.update(files));
         files["4.targets.json"] = textOf(document) + " ";
-        fresh = client;
-        tape.note("and of another length", fresh.update(files));
+        kNewSuffix = client;
+        tape.note("and of another length", kNewSuffix.update(files));
     }
     tape.matches("metadata-sets");
 }
@@ -203,7 +203,7 @@
         stolen.snapshot["signatures"] = Json::array();
         sign(stolen.snapshot, stolen.keys.at("snapshot"));
         stolen.put("snapshot", 5000, textOf(stolen.snapshot));
-        changed(stolen.timestamp, start + day);
+        bumpVersion(stolen.timestamp, start + day);
         stolen.publishTimestamp();
         auto victim = client;
         tape.note("the snapshot's fast-forward", victim.update(stolen.files));
@@ -325,7 +325,7 @@
     Repository repository;
     Client client(repository.firstRoot());
     client.update(repository.files);
-    changed(repository.timestamp, start + day);
+    bumpVersion(repository.timestamp, start + day);
     repository.publishTimestamp();
     const auto good = repository.files.at("timestamp.json");
     const auto bytes = [&](const std::string& what, const std::string& text) {
@@ -371,9 +371,9 @@
         files["timestamp.json"] = resigned(repository, "timestamp", repository.timestamp, [](Json& of) {
             of["meta"]["snapshot.json"]["hashes"] = {{"md5", "00"}};
         });
-        Client fresh(repository.firstRoot());
-        tape.note("a hash of no known kind", fresh.update(files));
-        CHECK(!fresh.kept.read("snapshot.json"));
+        Client kNewSuffix(repository.firstRoot());
+        tape.note("a hash of no known kind", kNewSuffix.update(files));
+        CHECK(!kNewSuffix.kept.read("snapshot.json"));
     }
     bytes("signed by no one", [&] {
         auto envelope = repository.timestamp;
@@ -446,7 +446,7 @@
     Tape tape;
     Repository repository;
     const auto play = [&](const std::string& what, Repository& of, const std::vector<std::string>& paths,
-                          Bounds bounds = {}) {
+                          UpdateLimits bounds = {}) {
         of.publish();
         Client client(of.firstRoot());
         auto said = client.update(of.files, start + 60, paths, bounds);
--- a/tests/sidecar/metadata_mirrors.cpp
+++ b/tests/sidecar/metadata_mirrors.cpp
@@ -7,7 +7,7 @@
     std::stringstream trace;
     const auto play = [&](const char* what, const TrustFixture::Script& script) {
         TrustFixture fixture(2);
-        fixture.trust->timeouts.within = 300 * kMs;
+        fixture.trust->timeouts.response = 300 * kMs;
         int spoilt = -1;  // whichever is asked first
         for (int one = 0; one < 2; ++one)
             fixture.scripts[static_cast<std::size_t>(one)] = [&, one](auto& at, auto* call, auto& name) {
@@ -127,7 +127,7 @@
     TrustFixture fixture(3);
     for (auto& script : fixture.scripts)
         script = [](auto& at, auto* call, auto&) { return at.hold(call), true; };
-    fixture.trust->timeouts.within = 5000 * kMs;
+    fixture.trust->timeouts.response = 5000 * kMs;
     fixture.start(1);
     const auto held = [&] {
         for (std::size_t one = 0; one < 3; ++one)
@@ -186,10 +186,10 @@
         auto set = other.store->start(fixture.repository.firstRoot(), wall(), said);
         REQUIRE(set);
         Update update(std::move(*set), *other.store);
-        update.lookFor("releases/7");
+        update.search("releases/7");
         other.refresh = std::make_unique<sidecar::MetadataRefresh>(
-            fixture.loop, other.mirrors, other.bases, *other.store, std::move(update), metadata::Patience{},
-            other.counts, nullptr, [&](sidecar::MetadataRefresh& over) {
+            fixture.loop, other.mirrors, other.bases, *other.store, std::move(update),
+            metadata::FetchTimeouts{}, other.counts, nullptr, [&](sidecar::MetadataRefresh& over) {
                 if (over.refusal()) ++refused;
                 else if (over.update().found().at("releases/7")) ++done;
             });
--- a/tests/sidecar/trust_manager.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -135,7 +135,7 @@
     CHECK(fixture.nextRefresh().empty());
     fixture.sidecar.reset();
     // As if the last update had been accepted a day and a second later: the clock has been set back since.
-    std::ofstream(fixture.folder + "/state/clock") << timeText(wall() + day + 1);
+    std::ofstream(fixture.folder + "/state/clock") << formatTime(wall() + day + 1);
     fixture.pods.clear();
     fixture.start(1);
     CHECK(fixture.nextRefresh().substr(0, 18) == "timestamp: expired");
@@ -162,7 +162,7 @@
     std::ifstream kept(fixture.folder + "/timestamp.json");
     std::stringstream bytes;
     bytes << kept.rdbuf();
-    CHECK((*readJson(bytes.str(), 65'536))["signed"]["version"] == 2);
+    CHECK((*parseJson(bytes.str(), 65'536))["signed"]["version"] == 2);
     std::filesystem::remove(fixture.folder + "/timestamp.json.new");
     std::filesystem::remove(fixture.folder + "/targets.json.new");
     CHECK(fixture.nextRefresh().empty());
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <set>
 
-#include "store/folder.hpp"
+#include "store/transactional_directory.hpp"
 #include "support/trace.hpp"
 
 using namespace lichenlanding::store;
@@ -72,12 +72,12 @@
         const auto found = now_.find(name);
         return found == now_.end() ? std::nullopt : std::optional(found->second);
     }
-    std::vector<std::string> names() const override {
+    std::vector<std::string> list() const override {
         std::vector<std::string> all;
         for (const auto& [name, bytes] : now_) all.push_back(name);
         return all;
     }
-    std::string why() const override { return why_; }
+    std::string lastError() const override { return lastError_; }
 
     void restart() {
         for (const auto& name : dirty_) {
@@ -102,21 +102,21 @@
         if (stepsLeft >= 0 && stepsLeft-- == 0) throw Crash();
     }
     bool fails(const char* why) {
-        why_ = why;
+        lastError_ = why;
         return false;
     }
     std::map<std::string, std::string> now_, platter_;
     std::set<std::string> dirty_;
-    std::string why_;
+    std::string lastError_;
 };
 
 const std::vector<std::string> names = {"root.json", "timestamp.json", "snapshot.json",
                                         "root_history/1.root.json"};
 
 // Step n brings some files to version n, and takes some away: which, is told by n alone.
-Step stepOf(int version, std::uint32_t seed) {
+Transaction stepOf(int version, std::uint32_t seed) {
     std::mt19937 chance(seed * 1000 + static_cast<std::uint32_t>(version));
-    Step step;
+    Transaction step;
     for (const auto& name : names)
         if (chance() % 2 || (step.empty() && name == names.back())) {
             const std::string bytes = std::to_string(version) + " " + std::string(chance() % 300, 'x');
@@ -127,14 +127,14 @@
 
 using State = std::map<std::string, std::string>;
 
-void apply(State& state, const Step& step) {
+void apply(State& state, const Transaction& step) {
     for (const auto& [name, bytes] : step) {
         if (bytes) state[name] = *bytes;
         else state.erase(name);
     }
 }
 
-State stateOf(const Folder& folder) {
+State stateOf(const TransactionalDirectory& folder) {
     State state;
     for (const auto& name : names)
         if (const auto bytes = folder.read(name)) state[name] = *bytes;
@@ -149,7 +149,7 @@
         CrashingDisk counting(seed);
         int all = 0;
         {
-            Folder folder(counting);
+            TransactionalDirectory folder(counting);
             for (int version = 1; version <= 4; ++version) REQUIRE(!folder.commit(stepOf(version, seed)));
             all = counting.steps;
         }
@@ -159,13 +159,13 @@
                 State lasting, next;
                 disk.stepsLeft = at;
                 try {
-                    Folder folder(disk);
+                    TransactionalDirectory folder(disk);
                     for (int version = 1; version <= 4; ++version) {
                         const auto step = stepOf(version, seed);
                         next = lasting;
                         apply(next, step);
-                        const auto trouble = folder.commit(step);  // a crash leaves from within
-                        REQUIRE(!trouble);
+                        const auto error = folder.commit(step);  // a crash leaves from within
+                        REQUIRE(!error);
                         lasting = next;
                     }
                 } catch (const CrashingDisk::Crash&) {
@@ -176,14 +176,14 @@
                 if (disk.chance() % 2) {
                     disk.stepsLeft = static_cast<int>(disk.chance() % 6);
                     try {
-                        Folder folder(disk);
+                        TransactionalDirectory folder(disk);
                     } catch (const CrashingDisk::Crash&) {
                         ++again;
                     }
                     loses ? disk.restart() : disk.killed();
                 }
-                Folder folder(disk);
-                REQUIRE(!folder.trouble());
+                TransactionalDirectory folder(disk);
+                REQUIRE(!folder.openError());
                 const auto found = stateOf(folder);
                 REQUIRE((found == lasting || found == next));
                 (found == lasting ? before : after) += 1;
@@ -193,7 +193,7 @@
                 apply(wanted, step);
                 REQUIRE(!folder.commit(step));
                 REQUIRE(stateOf(folder) == wanted);
-                for (const auto& name : disk.names()) REQUIRE(!Folder::own(name));
+                for (const auto& name : disk.list()) REQUIRE(!TransactionalDirectory::isReserved(name));
             }
     }
     MESSAGE("crashes " << crashes << ", again while recovering " << again << ": state before " << before
@@ -207,13 +207,14 @@
 TEST_CASE("a full or a broken disk changes nothing, and says why") {
     for (std::size_t room = 0; room < 400; room += 7) {
         CrashingDisk disk(3);
-        Folder folder(disk);
+        TransactionalDirectory folder(disk);
         REQUIRE(!folder.commit({{"root.json", "1"}, {"timestamp.json", "1"}}));
         const auto before = stateOf(folder);
         disk.room = room;
-        const Step step{{"root.json", std::string(200, 'r')}, {"timestamp.json", std::string(150, 't')}};
-        if (const auto trouble = folder.commit(step)) {
-            CHECK(trouble->text == "nothing was changed: no space left");
+        const Transaction step{{"root.json", std::string(200, 'r')},
+                               {"timestamp.json", std::string(150, 't')}};
+        if (const auto error = folder.commit(step)) {
+            CHECK(error->text == "nothing was changed: no space left");
             CHECK(stateOf(folder) == before);
         } else {
             CHECK(stateOf(folder).at("timestamp.json") == std::string(150, 't'));
@@ -221,15 +222,15 @@
         disk.room = SIZE_MAX;
         REQUIRE(!folder.commit({{"root.json", "3"}}));
         CHECK(stateOf(folder).at("root.json") == "3");
-        for (const auto& name : disk.names()) CHECK(!Folder::own(name));
+        for (const auto& name : disk.list()) CHECK(!TransactionalDirectory::isReserved(name));
     }
     CrashingDisk disk(4);
-    Folder folder(disk);
+    TransactionalDirectory folder(disk);
     REQUIRE(!folder.commit({{"root.json", "1"}}));
     disk.broken = true;
-    const auto trouble = folder.commit({{"root.json", "2"}});
-    REQUIRE(trouble);
-    CHECK(trouble->text == "nothing was changed: broken");
+    const auto error = folder.commit({{"root.json", "2"}});
+    REQUIRE(error);
+    CHECK(error->text == "nothing was changed: broken");
     CHECK(folder.read("root.json") == "1");
     // The journal stands, and carrying it out fails: reading is of the new state, and so is the next
     // opening's.
@@ -241,7 +242,7 @@
     CrashingDisk disk(5);
     std::string journal;
     {
-        Folder folder(disk);
+        TransactionalDirectory folder(disk);
         REQUIRE(!folder.commit({{"root.json", "1"}, {"snapshot.json", "1"}}));
         disk.stepsLeft = 5;  // behind the journal's rename and sync
         CHECK_THROWS_AS((void)folder.commit({{"root.json", "2"}, {"snapshot.json", std::nullopt}}),
@@ -249,8 +250,8 @@
     }
     disk.killed();
     disk.broken = true;
-    Folder held(disk);
-    REQUIRE(held.trouble());
+    TransactionalDirectory held(disk);
+    REQUIRE(held.openError());
     CHECK(held.read("root.json") == "2");
     CHECK(!held.read("snapshot.json"));
     CHECK(held.commit({{"root.json", "3"}}).has_value());
@@ -271,7 +272,7 @@
         if (child == 0) {
             PosixDisk disk(path.string());
             if (disk.open() != PosixDisk::Opened::yes) _exit(3);
-            Folder folder(disk);
+            TransactionalDirectory folder(disk);
             const auto at = folder.read("root.json");
             for (int version = at ? std::atoi(at->c_str()) + 1 : 1;; ++version) {
                 const auto text = std::to_string(version);
@@ -288,8 +289,8 @@
         CHECK(WIFSIGNALED(status));
         PosixDisk disk(path.string());
         REQUIRE(disk.open() == PosixDisk::Opened::yes);
-        Folder folder(disk);
-        REQUIRE(!folder.trouble());
+        TransactionalDirectory folder(disk);
+        REQUIRE(!folder.openError());
         const auto root = folder.read("root.json");
         if (!root) continue;
         const int version = std::atoi(root->c_str());
--- a/tests/support/metadata_repository.hpp
+++ b/tests/support/metadata_repository.hpp
@@ -23,14 +23,14 @@
     return std::regex_replace(std::regex_replace(text, ids, "ID"), ports, "MIRROR");
 }
 
-class MemoryKept : public Kept {
+class MemoryKept : public StoredMetadata {
   public:
     std::map<std::string, std::string> files;
     std::optional<std::string> read(const std::string& name) const override {
         const auto found = files.find(name);
         return found == files.end() ? std::nullopt : std::optional(found->second);
     }
-    void take(const std::vector<KeepStep>& steps) {
+    void take(const std::vector<StoreTransaction>& steps) {
         for (const auto& step : steps)
             for (const auto& [name, bytes] : step.files) {
                 if (bytes) files[name] = *bytes;
@@ -60,16 +60,16 @@
         for (auto& [name, envelope] : roles) {
             sign(envelope, keys.at(name));
             put(name, versionOf(envelope), textOf(envelope));
-            list(snapshot, name + ".json", listingOf(versionOf(envelope), textOf(envelope), hashed));
+            addListing(snapshot, name + ".json", listingOf(versionOf(envelope), textOf(envelope), hashed));
         }
-        if (published_) changed(snapshot, snapshotUntil), changed(timestamp, timestampUntil);
+        if (published_) bumpVersion(snapshot, snapshotUntil), bumpVersion(timestamp, timestampUntil);
         published_ = true;
         sign(snapshot, keys.at("snapshot"));
         put("snapshot", versionOf(snapshot), textOf(snapshot));
         publishTimestamp();
     }
     void publishTimestamp() {
-        list(timestamp, "snapshot.json", listingOf(versionOf(snapshot), textOf(snapshot), true));
+        addListing(timestamp, "snapshot.json", listingOf(versionOf(snapshot), textOf(snapshot), true));
         timestamp["signatures"] = Json::array();
         sign(timestamp, keys.at("timestamp"));
         files["timestamp.json"] = textOf(timestamp);
@@ -86,7 +86,7 @@
         keys.emplace(role, SigningKey::generate(Scheme::ed25519));
         addKey(root, role, keys.at(role).key());
         removeKey(root, role, old);
-        changed(root, start + 365 * day);
+        bumpVersion(root, start + 365 * day);
     }
     Json& role(const std::string& name) { return roles.at(name); }
     // A delegated role with a key of its own.
@@ -109,7 +109,7 @@
         redo(in);
     }
     void redo(const std::string& name) {
-        if (published_) changed(role(name), start + 90 * day);
+        if (published_) bumpVersion(role(name), start + 90 * day);
         else role(name)["signatures"] = Json::array();
     }
     void put(const std::string& name, std::int64_t version, const std::string& text) {
@@ -136,22 +136,22 @@
 
     // "done" with the versions trusted, or the refusal's text.
     std::string update(const std::map<std::string, std::string>& files, UnixSeconds now = start + 60,
-                       const std::vector<std::string>& paths = {}, Bounds bounds = {}) {
+                       const std::vector<std::string>& paths = {}, UpdateLimits bounds = {}) {
         auto set = TrustedSet::start(kept.files.at("root.json"), now);
         if (!set) return set.refusal().text();
         Update update(std::move(*set), kept, bounds);
-        for (const auto& path : paths) update.lookFor(path);
+        for (const auto& path : paths) update.search(path);
         asked.clear();
-        while (update.wants().kind == Update::Want::fetch) {
-            asked.push_back(update.wants().path);
-            const auto file = files.find(update.wants().path);
-            if (file == files.end()) update.missing();
-            else update.came(file->second);
-            kept.take(update.keep());
+        while (update.next().kind == Update::Next::fetch) {
+            asked.push_back(update.next().path);
+            const auto file = files.find(update.next().path);
+            if (file == files.end()) update.notFound();
+            else update.receive(file->second);
+            kept.take(update.takeTransactions());
         }
         found = update.found();
         visited = update.visited();
-        if (update.wants().kind == Update::Want::refused) return update.refusal().text();
+        if (update.next().kind == Update::Next::refused) return update.refusal().text();
         std::stringstream said;
         said << "done: root " << update.set().root().version << ", timestamp "
              << update.set().timestamp()->version << ", snapshot " << update.set().snapshot()->version
--- a/tests/support/trust_fixture.hpp
+++ b/tests/support/trust_fixture.hpp
@@ -67,7 +67,7 @@
         std::filesystem::remove_all(folder);
         std::filesystem::remove(folder + ".root");
     }
-    Attestation attestationOf(int build) { return sidecar->trust()->builds().told(build); }
+    Attestation attestationOf(int build) { return sidecar->trust()->builds().attestationOf(build); }
     const sidecar::TrustManager::Counts& counts() { return sidecar->trust()->counts(); }
     /// Until another refresh is over; its refusal, or empty.
     std::string nextRefresh() {
