--- a/src/limits/fleet.cpp
+++ b/src/limits/fleet.cpp
@@ -4,6 +4,8 @@
 #include <cmath>
 #include <stdexcept>
 
+#include "policy/types.hpp"
+
 namespace lichenlanding::limits {
 namespace {
 
--- a/src/metadata/attested_builds.hpp
+++ b/src/metadata/attested_builds.hpp
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "metadata/uptane.hpp"
-#include "state.hpp"
+#include "policy/types.hpp"
 
 namespace lichenlanding::metadata {
 
--- a/src/policy/policy_engine.hpp
+++ b/src/policy/policy_engine.hpp
@@ -6,7 +6,7 @@
 #include <span>
 #include <string>
 
-#include "state.hpp"
+#include "policy/types.hpp"
 
 namespace lichenlanding {
 
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "state.hpp"
+#include "policy/types.hpp"
 
 namespace lichenlanding {
 
--- a/src/sidecar/call_result.hpp
+++ b/src/sidecar/call_result.hpp
@@ -1,7 +1,7 @@
 // How a call on a connection ends, and what that means to the policy.
 #pragma once
 
-#include "state.hpp"
+#include "policy/types.hpp"
 
 namespace lichenlanding::sidecar {
 
--- a/src/sidecar/messages.hpp
+++ b/src/sidecar/messages.hpp
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
+#include "policy/types.hpp"
 #include "settings.hpp"
-#include "state.hpp"
 
 namespace lichenlanding::sidecar {
 
--- a/tests/support/trace.hpp
+++ b/tests/support/trace.hpp
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "doctest/doctest.h"
-#include "state.hpp"
+#include "policy/types.hpp"
 
 using namespace lichenlanding;
 
