--- a/src/config/bootstrap_settings.hpp
+++ b/src/config/bootstrap_settings.hpp
@@ -1,5 +1,8 @@
-// What a process of the gateway is told at its start: the operators' settings file (DEPLOY, "What a process
-// is told"). Each setting is declared once below; fields that are not named here are ignored.
+/// What a process of the gateway is told at its start: the operators' settings file (DEPLOY, "What a process
+/// is told"). Fields that are not named here are ignored. Pure but for fromEnvironment(); any thread.
+///
+/// Each setting is declared once, in the two lists below, since it has three uses: the member, the reading,
+/// and its name in errors. Names in the file are the operators' and stay.
 #pragma once
 
 #include <string>
@@ -31,8 +34,8 @@
     X(platformCallsPerSecond, double, "/cloud_api/rate_per_s", false)
 
 // Member, name in `bounds`, kind, value where it is not told. control_contact: for how long the answer of a
-// member counts; control_replace: after how long without a word a member's seat goes to one that stands by
-// (0: six tenths of sync_time).
+// member counts; control_replace: after how long without a message a member's seat goes to a standby (0: six
+// tenths of sync_time).
 #define BOOT_BOUNDS(X)                                                     \
     X(drainTime, "drain", duration, 2500 * 1'000'000ll)                    \
     X(shutdownGrace, "grace", duration, 6000 * 1'000'000ll)                \
@@ -49,6 +52,7 @@
 
 namespace lichenlanding::config {
 
+/// Values as told. Durations are Nanos; ratios and counts a second are numbers.
 struct BootstrapSettings {
 #define X(member, type, place, needed) type member{};
     BOOT_SETTINGS(X)
@@ -59,14 +63,15 @@
     BOOT_BOUNDS(X)
 #undef X
 
-    Nanos heartbeat = 1500 * 1'000'000ll;  // between two words of sidecars that watch each other; above 0
+    Nanos heartbeat = 1500 * 1'000'000ll;  // between two digests of proxies that watch each other; above 0
 
-    // Of the process itself, and of any machine, by its IP: sidecars talk on the first internal port.
+    /// Where the process of the machine with this IP takes peer connections: its first internal port.
     std::string peerAddress(const std::string& ip) const;
 
-    // Throws std::runtime_error that names the field.
+    /// Throws ParseError with the field as its subject.
     static BootstrapSettings parse(std::string_view bytes);
-    static BootstrapSettings fromEnvironment();  // the file that LICHENLANDING_SETTINGS names
+    /// Reads the file that LICHENLANDING_SETTINGS names. Throws ParseError.
+    static BootstrapSettings fromEnvironment();
 };
 
 }  // namespace lichenlanding::config
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -5,9 +5,11 @@
 #include <nlohmann/json.hpp>
 #include <set>
 
+#include "errors.hpp"
 #include "text.hpp"
 
-// Each setting once: C++ member, JSON name, kind, needed or not.
+// Each setting once, since parse() reads it, explain() writes it and errors name it: member, name in the
+// file, kind, needed or not.
 #define ROUTE_SETTINGS(X)                       \
     X(host, "hostname", text, true)             \
     X(prefix, "path_prefix", text, true)        \
@@ -66,7 +68,7 @@
         if (!told) return;
         try {
             value = parseDuration(told->is_string() ? told->get<std::string>() : "");
-        } catch (const std::invalid_argument&) {
+        } catch (const ParseError&) {
             wrong(name, "must be a time as text, such as \"1500ms\" or \"2.5s\"");
         }
     }
@@ -119,6 +121,77 @@
     return made;
 }
 
+std::uint32_t parseVersion(const Reader& top) {
+    std::string text;
+    top.text(text, "config_version", true);
+    std::uint32_t version = 0;
+    const auto* end = text.data() + text.size();
+    if (text.size() != 8 || std::from_chars(text.data(), end, version, 16).ptr != end)
+        top.wrong("config_version", "must be eight hexadecimal digits");
+    return version;
+}
+
+// One entry of the list of resources, into the configuration.
+void parseResource(const Reader& entry, std::size_t index, Configuration& into) {
+    static const Json none = Json::object();
+    std::string type;
+    entry.text(type, "resource_type", true);
+    const auto* metadata = entry.field("metadata", false);
+    const auto* spec = entry.field("spec", true);
+    const Reader about{metadata ? *metadata : none, entry.path + "/metadata", entry.errors};
+    const Reader from{spec ? *spec : none, entry.path + "/spec", entry.errors};
+    if (type == "route_table") {
+        std::string name;
+        about.text(name, "name", true);
+        if (!spec) return;
+        into.routes.push_back(route(from, name));
+        into.routes.back().resourceIndex = index;
+    } else if (type == "service_table") {
+        auto& service = into.services.emplace_back();
+        about.text(service.name, "name", true);
+#define X(member, key, kind, needed) from.kind(service.member, key, needed);
+        SERVICE_SETTINGS(X)
+#undef X
+    } else if (type == "limits") {
+#define X(member, key, kind, needed) from.kind(into.clientLimits.member, key, needed);
+        CLIENT_LIMITS_SETTINGS(X)
+#undef X
+    } else if (!type.empty()) {
+        entry.wrong("resource_type", "must be route_table, service_table or limits");
+    }
+}
+
+std::set<std::string> serviceNames(const Configuration& configuration) {
+    std::set<std::string> names;
+    for (const auto& service : configuration.services) names.insert(service.name);
+    return names;
+}
+
+void checkServices(const Configuration& configuration, std::vector<std::string>& errors) {
+    std::set<std::string> seen;
+    for (const auto& service : configuration.services)
+        if (!seen.insert(service.name).second)
+            errors.push_back("service_table " + service.name + ": is there twice");
+}
+
+// Routes by host and prefix; notes services that are missing and places that are taken.
+std::unordered_map<std::string, std::size_t> indexRoutes(const Configuration& configuration,
+                                                         std::vector<std::string>& errors) {
+    std::unordered_map<std::string, std::size_t> index;
+    const auto known = serviceNames(configuration);
+    for (std::size_t at = 0; at < configuration.routes.size(); ++at) {
+        const auto& route = configuration.routes[at];
+        const auto where = "route_table " + route.name + ": ";
+        for (const auto& share : route.shares)
+            if (!known.contains(share.service))
+                errors.push_back(where + "service " + share.service + " is not in any service_table");
+        if (!index.emplace(route.host + route.prefix, at).second)
+            errors.push_back(where + "another route has the host " + route.host + " and the path_prefix " +
+                             route.prefix);
+    }
+    return index;
+}
+
 }  // namespace
 
 ValidationError::ValidationError(std::vector<std::string> found)
@@ -130,7 +203,7 @@
     double number = 0;
     const bool read = unit != text.npos && unit > 0 && parse(text.substr(0, unit), number);
     if (!read || !(number >= 0) || number > 1e9 || (kind != "ms" && kind != "s"))
-        throw std::invalid_argument("no time: " + std::string(text));
+        throw ParseError("no time: " + std::string(text), "read duration", std::string(text), "parse");
     return static_cast<Nanos>(
         std::llround(number * static_cast<double>(kind == "ms" ? kMillisecond : kSecond)));
 }
@@ -142,67 +215,29 @@
     return text;
 }
 
-const std::string& Route::serviceForDraw(std::int64_t at) const {
+const std::string& Route::serviceForDraw(std::int64_t draw) const {
     for (const auto& share : shares) {
-        if (at < share.weight) return share.service;
-        at -= share.weight;
+        if (draw < share.weight) return share.service;
+        draw -= share.weight;
     }
     return shares.back().service;
 }
 
 Configuration Configuration::parse(std::string_view bytes) {
-    Configuration made;
-    std::vector<std::string> errors;
     const auto told = Json::parse(bytes, nullptr, false);
     if (told.is_discarded()) throw ValidationError({"body: cannot be read in full as JSON"});
     if (!told.is_object()) throw ValidationError({"body: must be an object"});
+    Configuration made;
+    std::vector<std::string> errors;
     const Reader top{told, "", errors};
-    std::string version;
-    top.text(version, "config_version", true);
-    const auto* end = version.data() + version.size();
-    if (version.size() != 8 || std::from_chars(version.data(), end, made.version, 16).ptr != end)
-        top.wrong("config_version", "must be eight hexadecimal digits");
+    made.version = parseVersion(top);
     const auto* resources = top.field("resources", true);
     if (resources && !resources->is_array()) top.wrong("resources", "must be a list");
-    static const Json none = Json::object();
-    for (std::size_t at = 0; resources && resources->is_array() && at < resources->size(); ++at) {
-        const Reader entry{(*resources)[at], "/resources/" + std::to_string(at), errors};
-        std::string type, name;
-        entry.text(type, "resource_type", true);
-        const auto *metadata = entry.field("metadata", false), *spec = entry.field("spec", true);
-        const Reader about{metadata ? *metadata : none, entry.path + "/metadata", errors};
-        const Reader from{spec ? *spec : none, entry.path + "/spec", errors};
-        if (type == "route_table") {
-            about.text(name, "name", true);
-            if (spec) made.routes.push_back(route(from, name)), made.routes.back().resourceIndex = at;
-        } else if (type == "service_table") {
-            auto& service = made.services.emplace_back();
-            about.text(service.name, "name", true);
-#define X(member, key, kind, needed) from.kind(service.member, key, needed);
-            SERVICE_SETTINGS(X)
-#undef X
-        } else if (type == "limits") {
-#define X(member, key, kind, needed) from.kind(made.clientLimits.member, key, needed);
-            CLIENT_LIMITS_SETTINGS(X)
-#undef X
-        } else if (!type.empty()) {
-            entry.wrong("resource_type", "must be route_table, service_table or limits");
-        }
-    }
-    std::set<std::string> known;
-    for (const auto& service : made.services)
-        if (!known.insert(service.name).second)
-            errors.push_back("service_table " + service.name + ": is there twice");
-    for (std::size_t at = 0; at < made.routes.size(); ++at) {
-        const auto& route = made.routes[at];
-        const auto where = "route_table " + route.name + ": ";
-        for (const auto& share : route.shares)
-            if (!known.contains(share.service))
-                errors.push_back(where + "service " + share.service + " is not in any service_table");
-        if (!made.routeIndex_.emplace(route.host + route.prefix, at).second)
-            errors.push_back(where + "another route has the host " + route.host + " and the path_prefix " +
-                             route.prefix);
-    }
+    if (resources && resources->is_array())
+        for (std::size_t at = 0; at < resources->size(); ++at)
+            parseResource({(*resources)[at], "/resources/" + std::to_string(at), errors}, at, made);
+    checkServices(made, errors);
+    made.routeIndex_ = indexRoutes(made, errors);
     if (!errors.empty()) throw ValidationError(std::move(errors));
     return made;
 }
@@ -230,57 +265,79 @@
     return nullptr;
 }
 
-std::string explain(std::string_view bytes, std::string_view host, std::string_view path) {
-    const auto configuration = Configuration::parse(bytes);
-    const auto told = Json::parse(bytes);
-    const auto& resources = told.at("resources");
-    const auto shown = [](const Json& spec, const std::string& where, const char* name,
-                          const std::string& value) {
-        const bool set = spec.is_object() && spec.contains(name);
-        return std::string("  ") + name + " = " + value + "  (" +
-               (set ? where + "/spec/" + name : "default") + ")\n";
-    };
-    const auto text = [](const std::string& value) { return value; };
-    const auto duration = [](Nanos value) { return std::to_string(value / kMillisecond) + "ms"; };
-    const auto count = [](std::int64_t value) { return std::to_string(value); };
-    std::string all = "configuration " + formatVersion(configuration.version) + "\n";
-    if (const auto* route = configuration.findRoute(host, path)) {
-        const auto where = "/resources/" + std::to_string(route->resourceIndex);
-        const auto& spec = resources.at(route->resourceIndex).at("spec");
-        all += "route " + route->name + ": the longest path_prefix of this host that begins the path\n";
-#define X(member, key, kind, needed) all += shown(spec, where, key, kind(route->member));
-        ROUTE_SETTINGS(X)
+namespace {
+
+// How a value is written, by the kind of its setting.
+std::string text(const std::string& value) { return value; }
+std::string duration(Nanos value) { return std::to_string(value / kMillisecond) + "ms"; }
+std::string count(std::int64_t value) { return std::to_string(value); }
+
+// One setting: its value, and its place in the file or "default".
+std::string settingLine(const Json& spec, const std::string& resource, const char* name,
+                        const std::string& value) {
+    const bool set = spec.is_object() && spec.contains(name);
+    return std::string("  ") + name + " = " + value + "  (" + (set ? resource + "/spec/" + name : "default") +
+           ")\n";
+}
+
+std::string explainRoute(const Route& route, const Json& resources) {
+    const auto where = "/resources/" + std::to_string(route.resourceIndex);
+    const auto& spec = resources.at(route.resourceIndex).at("spec");
+    std::string all = "route " + route.name + ": the longest path_prefix of this host that begins the path\n";
+#define X(member, key, kind, needed) all += settingLine(spec, where, key, kind(route.member));
+    ROUTE_SETTINGS(X)
 #undef X
-        all += shown(spec, where, "route_class", route->repeatable ? "idempotent" : "non_idempotent");
-        for (const auto& share : route->shares)
-            all += "to service " + share.service + ", " + std::to_string(share.weight) + " of " +
-                   std::to_string(route->totalWeight) + " requests\n";
-        for (std::size_t at = 0; at < resources.size(); ++at)
-            for (const auto& share : route->shares) {
-                const auto& entry = resources.at(at);
-                if (entry.at("resource_type") != "service_table" ||
-                    entry.at("metadata").at("name") != share.service)
-                    continue;
-                const auto* service = configuration.findService(share.service);
-                const auto place = "/resources/" + std::to_string(at);
-                all += "service " + share.service + "\n";
-#define X(member, key, kind, needed) all += shown(entry.at("spec"), place, key, kind(service->member));
-                SERVICE_SETTINGS(X)
+    all += settingLine(spec, where, "route_class", route.repeatable ? "idempotent" : "non_idempotent");
+    for (const auto& share : route.shares)
+        all += "to service " + share.service + ", " + std::to_string(share.weight) + " of " +
+               std::to_string(route.totalWeight) + " requests\n";
+    return all;
+}
+
+std::string explainServices(const Route& route, const Configuration& configuration, const Json& resources) {
+    std::string all;
+    for (std::size_t at = 0; at < resources.size(); ++at)
+        for (const auto& share : route.shares) {
+            const auto& entry = resources.at(at);
+            if (entry.at("resource_type") != "service_table" ||
+                entry.at("metadata").at("name") != share.service)
+                continue;
+            const auto* service = configuration.findService(share.service);
+            const auto where = "/resources/" + std::to_string(at);
+            all += "service " + share.service + "\n";
+#define X(member, key, kind, needed) all += settingLine(entry.at("spec"), where, key, kind(service->member));
+            SERVICE_SETTINGS(X)
 #undef X
-            }
-    } else {
-        all += "no route: 404\n";
-    }
+        }
+    return all;
+}
+
+std::string explainClientLimits(const ClientLimits& limits, const Json& resources) {
     Json spec;
-    std::string place;
+    std::string where;
     for (std::size_t at = 0; at < resources.size(); ++at)
-        if (resources.at(at).at("resource_type") == "limits")
-            spec = resources.at(at).at("spec"), place = "/resources/" + std::to_string(at);
-    all += "limits of clients\n";
-#define X(member, key, kind, needed) all += shown(spec, place, key, kind(configuration.clientLimits.member));
+        if (resources.at(at).at("resource_type") == "limits") {
+            spec = resources.at(at).at("spec");
+            where = "/resources/" + std::to_string(at);
+        }
+    std::string all = "limits of clients\n";
+#define X(member, key, kind, needed) all += settingLine(spec, where, key, kind(limits.member));
     CLIENT_LIMITS_SETTINGS(X)
 #undef X
     return all;
 }
 
+}  // namespace
+
+std::string explain(std::string_view bytes, std::string_view host, std::string_view path) {
+    const auto configuration = Configuration::parse(bytes);
+    const auto told = Json::parse(bytes);
+    const auto& resources = told.at("resources");
+    std::string all = "configuration " + formatVersion(configuration.version) + "\n";
+    if (const auto* route = configuration.findRoute(host, path))
+        all += explainRoute(*route, resources) + explainServices(*route, configuration, resources);
+    else all += "no route: 404\n";
+    return all + explainClientLimits(configuration.clientLimits, resources);
+}
+
 }  // namespace lichenlanding::config
--- a/src/hashing/rendezvous.cpp
+++ b/src/hashing/rendezvous.cpp
@@ -3,6 +3,12 @@
 #include "limits/fleet.hpp"
 
 namespace lichenlanding::hashing {
+namespace {
+
+// With a tenth of all machines gone, one proxy of a thousand has lost all three that it watches.
+constexpr std::size_t kWatchedPeers = 3;
+
+}  // namespace
 
 std::uint64_t hash(std::string_view about, std::string_view name) {
     std::uint64_t value = 0xcbf29ce484222325ull;  // FNV-1a, then splitmix64's finalizer
@@ -10,7 +16,8 @@
         for (const unsigned char c : text) value = (value ^ c) * 0x100000001b3ull;
         value = (value ^ 0xff) * 0x100000001b3ull;
     };
-    add(about), add(name);
+    add(about);
+    add(name);
     value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ull;
     value = (value ^ (value >> 27)) * 0x94d049bb133111ebull;
     return value ^ (value >> 31);
@@ -23,10 +30,8 @@
 }
 
 std::vector<std::string> watchedPeers(std::vector<std::string> names, const std::string& me) {
-    // Three: with a tenth of all machines gone, one of a thousand has lost all that it watches.
-    constexpr std::size_t few = 3;
     std::erase(names, me);
-    return rendezvousSelect(names, "watch\n" + me, few);
+    return rendezvousSelect(names, "watch\n" + me, kWatchedPeers);
 }
 
 }  // namespace lichenlanding::hashing
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -13,12 +13,17 @@
 namespace lichenlanding::storage {
 namespace {
 
+// How errors have always begun: on-call searches the logs for it, and the directory has this name.
+const std::string kErrorPrefix = "promptbook";
+
+// On the disks of running clusters (docs/design/storage-format.md).
 constexpr char kFormat = 1;
 constexpr char kStateMark = 'c', kNoteMark = 'n';
 
 void check(int code, const char* step, const std::string& folder) {
     if (code != 0)
-        throw StorageError(std::string("promptbook ") + folder + ": " + step + ": " + mdb_strerror(code));
+        throw StorageError(kErrorPrefix + (" " + folder) + ": " + step + ": " + mdb_strerror(code), folder,
+                           step);
 }
 
 // A name in a folder lasts a loss of power once the folder is synced, whatever was synced of the file itself.
@@ -44,7 +49,8 @@
 template <typename T>
 T consume(std::string_view& bytes) {
     T number{};
-    if (bytes.size() < sizeof number) throw StorageError("promptbook: a record is cut short");
+    if (bytes.size() < sizeof number)
+        throw StorageError(kErrorPrefix + ": a record is cut short", "record", "read");
     std::memcpy(&number, bytes.data(), sizeof number);
     bytes.remove_prefix(sizeof number);
     return number;
@@ -58,26 +64,29 @@
 
 std::string_view verified(std::string_view bytes, const std::string& key) {
     if (bytes.size() < 5 || bytes.front() != kFormat)
-        throw StorageError("promptbook: record " + key + " is of another format");
+        throw StorageError(kErrorPrefix + ": record " + key + " is of another format", key, "read");
     auto sum = bytes.substr(bytes.size() - 4);
     bytes.remove_suffix(4);
     if (consume<std::uint32_t>(sum) != checksum(bytes))
-        throw StorageError("promptbook: record " + key + " fails its checksum");
+        throw StorageError(kErrorPrefix + ": record " + key + " fails its checksum", key, "read");
     return bytes.substr(1);
 }
 
 std::string encodeState(const consensus::RegisterState& state) {
     std::string bytes;
-    for (const auto& proposalNumber : {state.promised, state.accepted})
-        append(bytes, proposalNumber.round), append(bytes, proposalNumber.writer);
+    for (const auto& proposalNumber : {state.promised, state.accepted}) {
+        append(bytes, proposalNumber.round);
+        append(bytes, proposalNumber.writer);
+    }
     return bytes + state.value;
 }
 
 consensus::RegisterState decodeState(std::string_view bytes) {
     consensus::RegisterState state;
-    for (auto* proposalNumber : {&state.promised, &state.accepted})
-        proposalNumber->round = consume<std::uint64_t>(bytes),
+    for (auto* proposalNumber : {&state.promised, &state.accepted}) {
+        proposalNumber->round = consume<std::uint64_t>(bytes);
         proposalNumber->writer = consume<std::uint32_t>(bytes);
+    }
     state.value = bytes;
     return state;
 }
@@ -124,8 +133,10 @@
     }
 
     void put(MDB_txn* txn, char mark, const std::string& name, const std::string& bytes) const {
-        auto key = mark + name, record = withChecksum(bytes);
-        MDB_val at{key.size(), key.data()}, what{record.size(), record.data()};
+        auto key = mark + name;
+        auto record = withChecksum(bytes);
+        MDB_val at{key.size(), key.data()};
+        MDB_val what{record.size(), record.data()};
         check(mdb_put(txn, dbi, &at, &what, 0), "put", folder);
     }
 
--- a/src/storage/replica_store.hpp
+++ b/src/storage/replica_store.hpp
@@ -1,43 +1,49 @@
-// The control node's disk: states of the register by key, in LMDB. A call returns when what it wrote is
-// synced.
-//
-// Each record carries its format's number and a checksum (CRC-32), since LMDB keeps none. A book that cannot
-// be read is told as damaged; its owner then starts as on a new disk, it never guesses.
+/// The control node's store: states of the register by key, in LMDB. docs/design/storage-format.md has the
+/// records.
+///
+/// Each record carries its format's number and a checksum (CRC-32), since LMDB keeps none. A store that
+/// cannot be read is told as corrupt; its owner then starts as on a new disk and never guesses. One thread at
+/// a time.
 #pragma once
 
 #include <map>
 #include <memory>
-#include <stdexcept>
 #include <string>
 
 #include "consensus/consensus.hpp"
+#include "errors.hpp"
 
 namespace lichenlanding::storage {
 
-// Notes beside the states: the identity of the disk, its standing among the epochs (JSON), and the members as
-// a book from before there were epochs names them.
-inline const std::string kDiskNote = "disk", kStandingNote = "standing", kOldMembersNote = "members";
+// Names of notes beside the states. They are on the disks of running clusters, so they stay.
+inline const std::string kDiskNote = "disk";           // the identity of the disk
+inline const std::string kStandingNote = "standing";   // its place among the epochs, as JSON
+inline const std::string kOldMembersNote = "members";  // in stores from before there were epochs: addresses
 
-// Errors carry the step at which they arose and the file.
-struct StorageError : std::runtime_error {
-    using std::runtime_error::runtime_error;
+/// The disk refused, or a record cannot be read. `subject` is the directory or the record.
+struct StorageError : Error {
+    explicit StorageError(const std::string& what, std::string subject = "", std::string step = "")
+        : Error(what, "use the store", std::move(subject), std::move(step)) {}
 };
 
-// What a control node needs of its disk; tests have one that hangs, fails and forgets.
+/// What a control node needs of its disk; tests have one that hangs, fails and forgets.
 class ReplicaStore {
   public:
     virtual ~ReplicaStore() = default;
-    virtual std::map<std::string, consensus::RegisterState> states()
-        const = 0;  // throws DiskError where a record is damaged
-    virtual std::string note(const std::string& name) const = 0;  // "" if there is none
-    // All of it is synced on return; on a throw nothing of it counts. A cell as it is when new is taken off.
+    /// Throws StorageError where a record is corrupt.
+    virtual std::map<std::string, consensus::RegisterState> states() const = 0;
+    /// "" if there is none. Throws StorageError where a record is corrupt.
+    virtual std::string note(const std::string& name) const = 0;
+    /// All of it is synced on return; on a throw (StorageError) nothing of it counts. A state that is as when
+    /// new is deleted.
     virtual void write(const std::map<std::string, consensus::RegisterState>& states,
                        const std::map<std::string, std::string>& notes) = 0;
 };
 
+/// The store on a real disk. Owns its directory: no other process may have it open.
 class LmdbReplicaStore final : public ReplicaStore {
   public:
-    // Opens or makes the book in `folder`, which may grow to `bytes`. Throws DiskError.
+    /// Opens or makes the store in `folder`, which may grow to `bytes`. Throws StorageError.
     LmdbReplicaStore(const std::string& folder, std::size_t bytes);
     ~LmdbReplicaStore() override;
 
--- a/src/transport/compression.hpp
+++ b/src/transport/compression.hpp
@@ -1,4 +1,4 @@
-// Bytes that are much the same over and over, made small: configurations, lists of pods.
+/// Compression of bytes that repeat themselves much: configurations, lists of endpoints. Pure; any thread.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 
 namespace lichenlanding::transport {
 
-// By zlib, quick rather than tight. Short bytes stay as they are.
+/// By zlib, quick rather than tight. Short bytes stay as they are, behind a letter that says so.
 std::string compress(std::string_view bytes);
-// Throws std::runtime_error on bytes that squeeze() did not make, or of more than `most`.
+/// Throws PeerError on bytes that compress() did not make, or of more than `most`.
 std::string decompress(std::string_view compressed, std::size_t most = 256 << 20);
 
 }  // namespace lichenlanding::transport
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -4,8 +4,8 @@
 
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
-#include <stdexcept>
 
+#include "errors.hpp"
 #include "text.hpp"
 #include "transport/log.hpp"
 
@@ -16,9 +16,9 @@
     ErrorCode code;
     unsigned short port = 0;
     if (colon == address.npos || !parse(std::string_view(address).substr(colon + 1), port))
-        throw std::invalid_argument("address: no port in " + address);
+        throw ParseError("address: no port in " + address, "read address", address, "port");
     const auto ip = asio::ip::make_address(address.substr(0, colon), code);
-    if (code) throw std::invalid_argument("address: " + address + ": " + code.message());
+    if (code) throw ParseError("address: " + address + ": " + code.message(), "read address", address, "ip");
     return {ip, port};
 }
 
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,4 +1,5 @@
-// What the gateway's programs share of Boost.Asio and Beast: names, times, addresses, coroutines.
+/// What the gateway's programs share of Boost.Asio and Beast: names, times, addresses, coroutines. Everything
+/// of one io_context runs on one thread.
 #pragma once
 
 // clang-format off
@@ -32,6 +33,7 @@
 
 constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
+/// Steady time; of use only within this process.
 inline Nanos now() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
@@ -42,36 +44,41 @@
     return std::chrono::steady_clock::time_point(std::chrono::nanoseconds(at));
 }
 
+/// Completes with an error code in place of an exception.
 inline auto withErrorCode(ErrorCode& code) { return asio::redirect_error(asio::use_awaitable, code); }
 
-// "10.1.0.13:8161". Throws std::invalid_argument.
+/// "10.1.0.13:8161". Throws ParseError.
 tcp::endpoint parseAddress(const std::string& address);
+/// The part of an address before its port.
 std::string hostOf(const std::string& address);
 
-// Small writes go at once; a peer that has gone silent ends the connection after `silence`.
+/// Small writes go at once; the kernel gives the connection up where the peer acknowledges no byte for
+/// `silence`.
 void configureSocket(tcp::socket& socket, Nanos silence);
 
+/// Throws ParseError, and boost::system::system_error where the address cannot be had.
 tcp::acceptor listen(asio::io_context& io, const std::string& address);
 
-// Waits; an end of the wait by cancel() is no error.
+/// Waits; an end of the wait by cancel() is no error.
 Task<> sleep(Nanos duration);
 
-// A coroutine that is on its own: what it throws is logged with `step`.
+/// Runs a coroutine that nobody waits for: what it throws is logged with `step`, which must be a literal.
 void spawn(asio::io_context& io, const char* step, Task<> task);
 
-// One waits, others wake it. A wake before the wait is kept.
+/// One coroutine waits, others notify it. A notification before the wait is kept.
 class AsyncEvent {
   public:
     explicit AsyncEvent(asio::io_context& io) : timer_(io) {}
     void notify();
-    Task<bool> wait(Nanos until);  // false where the time came first
+    /// False where the time came first.
+    Task<bool> wait(Nanos until);
 
   private:
     asio::steady_timer timer_;
     bool notified_ = false;
 };
 
-// SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`; SIGPIPE is ignored.
+/// SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`; SIGPIPE is ignored. Once in a process.
 void handleSignals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload);
 
 }  // namespace lichenlanding::transport
--- a/src/transport/peer_connection.cpp
+++ b/src/transport/peer_connection.cpp
@@ -11,14 +11,30 @@
 
 constexpr Nanos kHeartbeatInterval = 600 * kMillisecond;
 constexpr Nanos kSilenceLimit = 2100 * kMillisecond;  // as long as bytes may stay without acknowledgement
-constexpr Nanos kDialTimeout = 900 * kMillisecond, kMaxDialPause = 800 * kMillisecond;
+constexpr Nanos kDialTimeout = 900 * kMillisecond;
+constexpr Nanos kFirstDialPause = 50 * kMillisecond;
+constexpr Nanos kMaxDialPause = 800 * kMillisecond;
+constexpr Nanos kRedialPause = 25 * kMillisecond;  // after a connection that stood
 // A machine that is down drops the opening packet, which is sent again after a second: a short first wait and
 // a new connection find it sooner once it is back.
 constexpr Nanos kFirstDialTimeout = 150 * kMillisecond;
+constexpr Nanos kAcceptPause = 10 * kMillisecond;  // after a failed accept: out of descriptors, say
 // Of bytes on their way in the kernel: what is sent next waits behind them.
 constexpr int kMaxKernelSendBuffer = 128 << 10;
 constexpr std::size_t kMaxQueuedBytes = 2 * kMaxMessageBytes;
-const std::string kHeartbeatBytes = "p\xf6";  // CBOR null
+constexpr std::size_t kMaxFrameBytes = kMaxUnchunkedBytes + 1024;
+const std::string kHeartbeatBytes = "p\xf6";  // CBOR null, not compressed; older versions send the same
+
+// Nothing where the message is not whole yet; a discarded value where it cannot be read.
+std::optional<Json> decodeFrame(ChunkReassembler& reassembler, std::string_view frame) {
+    try {
+        const auto compressed = reassembler.addFrame(frame);
+        if (!compressed) return std::nullopt;
+        return std::make_optional<Json>(Json::from_cbor(decompress(*compressed), true, false));
+    } catch (const std::exception&) {  // nlohmann throws on absurd sizes, even so
+        return std::make_optional<Json>(Json::value_t::discarded);
+    }
+}
 
 }  // namespace
 
@@ -26,13 +42,15 @@
     beast::websocket::stream<beast::tcp_stream> ws;
     explicit Stream(tcp::socket&& socket) : ws(std::move(socket)) {
         ws.binary(true);
-        ws.read_message_max(kMaxUnchunkedBytes + 1024);  // a frame; large messages come in pieces
+        ws.read_message_max(kMaxFrameBytes);
         ws.auto_fragment(false);
         ErrorCode ignored;
-        beast::get_lowest_layer(ws).socket().set_option(
-            asio::socket_base::send_buffer_size(kMaxKernelSendBuffer), ignored);
-        configureSocket(beast::get_lowest_layer(ws).socket(), kSilenceLimit);
+        tcpSocket().set_option(asio::socket_base::send_buffer_size(kMaxKernelSendBuffer), ignored);
+        configureSocket(tcpSocket(), kSilenceLimit);
     }
+    tcp::socket& tcpSocket() { return beast::get_lowest_layer(ws).socket(); }
+    void limitTime(Nanos limit) { beast::get_lowest_layer(ws).expires_after(toDuration(limit)); }
+    void unlimitTime() { beast::get_lowest_layer(ws).expires_never(); }
 };
 
 PeerConnection::PeerConnection(asio::io_context& io, std::string peer_)
@@ -63,15 +81,15 @@
     if (!open_) return;
     open_ = false;
     ErrorCode ignored;
-    beast::get_lowest_layer(stream_->ws).socket().close(ignored);
+    stream_->tcpSocket().close(ignored);
 }
 
 Task<> PeerConnection::write(std::shared_ptr<PeerConnection> self) {
     const auto stream = self->stream_;
     while (self->open_ && !self->sendQueue_.empty()) {
-        const auto bytes = self->sendQueue_.next();
+        const auto frame = self->sendQueue_.next();
         ErrorCode code;
-        co_await stream->ws.async_write(asio::buffer(*bytes), withErrorCode(code));
+        co_await stream->ws.async_write(asio::buffer(*frame), withErrorCode(code));
         self->lastSent_ = now();
         if (code) self->close();
     }
@@ -91,53 +109,59 @@
     }
 }
 
+// From an open WebSocket to its end.
 Task<> PeerConnection::run(std::shared_ptr<PeerConnection> self, std::shared_ptr<Callbacks> callbacks) {
-    const auto stream = self->stream_;
-    self->open_ = true, self->lastReceived_ = self->lastSent_ = now();
+    self->open_ = true;
+    self->lastReceived_ = self->lastSent_ = now();
     spawn(self->io_, "link beat", heartbeat(self));
-    if (const auto first = callbacks->makeHello(*self); !first.is_null()) self->send(first);
+    if (const auto hello = callbacks->makeHello(*self); !hello.is_null()) self->send(hello);
+    co_await readMessages(self, callbacks);
+    self->close();
+    callbacks->onClosed(*self);
+}
+
+Task<> PeerConnection::readMessages(std::shared_ptr<PeerConnection> self,
+                                    std::shared_ptr<Callbacks> callbacks) {
+    const auto stream = self->stream_;
     beast::flat_buffer buffer;
-    ChunkReassembler assembly;
+    ChunkReassembler reassembler;
     while (self->open_) {
         ErrorCode code;
         co_await stream->ws.async_read(buffer, withErrorCode(code));
-        if (code) break;
+        if (code) co_return;
         self->lastReceived_ = now();
-        Json message(Json::value_t::discarded);
-        try {
-            const std::string_view frame(static_cast<const char*>(buffer.data().data()), buffer.size());
-            const auto compressed = assembly.addFrame(frame);
-            buffer.consume(buffer.size());
-            if (!compressed) continue;
-            message = Json::from_cbor(decompress(*compressed), true, false);
-        } catch (
-            const std::exception&) {  // told below, as what cannot be read (nlohmann throws on absurd sizes)
-        }
+        const auto message =
+            decodeFrame(reassembler, {static_cast<const char*>(buffer.data().data()), buffer.size()});
         buffer.consume(buffer.size());
-        if (message.is_discarded()) {
-            log("link_spoilt", {{"peer", self->peer}, {"step", "read"}});
-            break;
-        }
-        try {
-            if (message.is_object()) callbacks->onMessage(*self, message);
-        } catch (const Json::exception& wrong) {
-            log("link_spoilt", {{"peer", self->peer}, {"step", "message"}, {"error", wrong.what()}});
-            break;
-        }
+        if (message && !self->deliver(*callbacks, *message)) co_return;
     }
-    self->close();
-    callbacks->onClosed(*self);
+}
+
+// False where the connection has to end.
+bool PeerConnection::deliver(const Callbacks& callbacks, const Json& message) {
+    if (message.is_discarded()) {
+        log("link_spoilt", {{"peer", peer}, {"step", "read"}});
+        return false;
+    }
+    if (!message.is_object()) return true;  // a heartbeat
+    try {
+        callbacks.onMessage(*this, message);
+    } catch (const Json::exception& wrong) {
+        log("link_spoilt", {{"peer", peer}, {"step", "message"}, {"error", wrong.what()}});
+        return false;
+    }
+    return true;
 }
 
 Task<> PeerConnection::accept(asio::io_context& io, tcp::socket socket,
                               std::shared_ptr<Callbacks> callbacks) {
     auto connection = std::make_shared<PeerConnection>(io, "unnamed");
     connection->stream_ = std::make_shared<Stream>(std::move(socket));
-    beast::get_lowest_layer(connection->stream_->ws).expires_after(toDuration(kDialTimeout));
+    connection->stream_->limitTime(kDialTimeout);
     ErrorCode code;
     co_await connection->stream_->ws.async_accept(withErrorCode(code));
     if (code) co_return;
-    beast::get_lowest_layer(connection->stream_->ws).expires_never();
+    connection->stream_->unlimitTime();
     co_await run(connection, callbacks);
 }
 
@@ -147,7 +171,7 @@
         ErrorCode code;
         auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
-        if (code) co_await sleep(10 * kMillisecond);
+        if (code) co_await sleep(kAcceptPause);
         else spawn(io, "link", PeerConnection::accept(io, std::move(socket), callbacks));
     }
 }
@@ -164,28 +188,38 @@
 }
 
 Task<> Dialer::run(std::shared_ptr<Dialer> self) {
-    const auto at = parseAddress(self->address_);
-    Nanos patience = kFirstDialTimeout;
-    for (Nanos pause = 50 * kMillisecond; !self->stopped_; pause = std::min(pause * 2, kMaxDialPause)) {
-        beast::tcp_stream dialled(self->io_);
-        dialled.expires_after(toDuration(std::exchange(patience, std::min(patience * 2, kDialTimeout))));
-        ErrorCode code;
-        co_await dialled.async_connect(at, withErrorCode(code));
-        if (!code) {
-            auto connection = std::make_shared<PeerConnection>(self->io_, self->address_);
-            connection->stream_ = std::make_shared<PeerConnection::Stream>(dialled.release_socket());
-            auto& ws = connection->stream_->ws;
-            beast::get_lowest_layer(ws).expires_after(toDuration(kDialTimeout));
-            co_await ws.async_handshake(self->address_, "/", withErrorCode(code));
-            if (!code && !self->stopped_) {
-                beast::get_lowest_layer(ws).expires_never();
-                pause = 25 * kMillisecond, patience = kFirstDialTimeout;
-                self->connection_ = connection;
-                co_await PeerConnection::run(connection, self->callbacks_);
-            }
+    const auto to = parseAddress(self->address_);
+    Nanos pause = kFirstDialPause, timeout = kFirstDialTimeout;
+    while (!self->stopped_) {
+        const auto connection = co_await dial(self, to, timeout);
+        if (connection) {
+            pause = kRedialPause;
+            timeout = kFirstDialTimeout;
+            self->connection_ = connection;
+            co_await PeerConnection::run(connection, self->callbacks_);
+        } else {
+            timeout = std::min(timeout * 2, kDialTimeout);
         }
         if (!self->stopped_) co_await self->pause_.wait(now() + pause);
+        pause = std::min(pause * 2, kMaxDialPause);
     }
 }
 
+// Null where the other side did not take the connection, or the dialer was stopped meanwhile.
+Task<std::shared_ptr<PeerConnection>> Dialer::dial(std::shared_ptr<Dialer> self, tcp::endpoint to,
+                                                   Nanos timeout) {
+    beast::tcp_stream dialled(self->io_);
+    dialled.expires_after(toDuration(timeout));
+    ErrorCode code;
+    co_await dialled.async_connect(to, withErrorCode(code));
+    if (code) co_return nullptr;
+    auto connection = std::make_shared<PeerConnection>(self->io_, self->address_);
+    connection->stream_ = std::make_shared<PeerConnection::Stream>(dialled.release_socket());
+    connection->stream_->limitTime(kDialTimeout);
+    co_await connection->stream_->ws.async_handshake(self->address_, "/", withErrorCode(code));
+    if (code || self->stopped_) co_return nullptr;
+    connection->stream_->unlimitTime();
+    co_return connection;
+}
+
 }  // namespace lichenlanding::transport
