--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -53,7 +53,7 @@
         try {
             std::rethrow_exception(failure);
         } catch (const std::exception& error) {
-            log("failure", {{"step", step}, {"error", error.what()}});
+            log("task_failed", {{"step", step}, {"error", error.what()}});
         }
     });
 }
--- a/src/transport/peer_connection.cpp
+++ b/src/transport/peer_connection.cpp
@@ -68,12 +68,12 @@
     if (!open_) return;
     sendQueue_.push(std::move(encoded));
     if (sendQueue_.bytes() > kMaxQueuedBytes) {
-        log("link_behind", {{"peer", peer}, {"step", "send"}, {"bytes", sendQueue_.bytes()}});
+        log("peer_connection_overloaded", {{"peer", peer}, {"step", "send"}, {"bytes", sendQueue_.bytes()}});
         return close();
     }
     if (!writing_) {
         writing_ = true;
-        spawn(io_, "link write", write(shared_from_this()));
+        spawn(io_, "write to peer", write(shared_from_this()));
     }
 }
 
@@ -101,7 +101,7 @@
     while (self->open_) {
         co_await sleep(self->heartbeatInterval_);
         if (now() - self->lastReceived_ > self->heartbeatInterval_ * 7 / 2) {
-            if (self->open_) log("link_silent", {{"peer", self->peer}, {"step", "beat"}});
+            if (self->open_) log("peer_connection_lost", {{"peer", self->peer}, {"step", "heartbeat"}});
             self->close();
         } else if (now() - self->lastSent_ > self->heartbeatInterval_ / 2) {
             self->send(bytes);
@@ -113,7 +113,7 @@
 Task<> PeerConnection::run(std::shared_ptr<PeerConnection> self, std::shared_ptr<Callbacks> callbacks) {
     self->open_ = true;
     self->lastReceived_ = self->lastSent_ = now();
-    spawn(self->io_, "link beat", heartbeat(self));
+    spawn(self->io_, "heartbeat", heartbeat(self));
     if (const auto hello = callbacks->makeHello(*self); !hello.is_null()) self->send(hello);
     co_await readMessages(self, callbacks);
     self->close();
@@ -140,14 +140,14 @@
 // False where the connection has to end.
 bool PeerConnection::deliver(const Callbacks& callbacks, const Json& message) {
     if (message.is_discarded()) {
-        log("link_spoilt", {{"peer", peer}, {"step", "read"}});
+        log("peer_message_rejected", {{"peer", peer}, {"step", "read"}});
         return false;
     }
     if (!message.is_object()) return true;  // a heartbeat
     try {
         callbacks.onMessage(*this, message);
     } catch (const Json::exception& wrong) {
-        log("link_spoilt", {{"peer", peer}, {"step", "message"}, {"error", wrong.what()}});
+        log("peer_message_rejected", {{"peer", peer}, {"step", "message"}, {"error", wrong.what()}});
         return false;
     }
     return true;
@@ -172,7 +172,7 @@
         auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
         if (code) co_await sleep(kAcceptPause);
-        else spawn(io, "link", PeerConnection::accept(io, std::move(socket), callbacks));
+        else spawn(io, "accept peer", PeerConnection::accept(io, std::move(socket), callbacks));
     }
 }
 
@@ -180,7 +180,7 @@
                std::shared_ptr<PeerConnection::Callbacks> callbacks)
     : io_(io), address_(std::move(address)), callbacks_(std::move(callbacks)), pause_(io) {}
 
-void Dialer::start() { spawn(io_, "dial", run(shared_from_this())); }
+void Dialer::start() { spawn(io_, "dial peer", run(shared_from_this())); }
 
 void Dialer::stop() {
     stopped_ = true;
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -42,13 +42,13 @@
             *port = free.local_endpoint().port();
         }
         platform = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-        lichenlanding::transport::spawn(io, "platform",
-                         accept(*platform, [this](const auto& request) { return list(request); }));
+        lichenlanding::transport::spawn(
+            io, "platform", accept(*platform, [this](const auto& request) { return list(request); }));
         for (const auto* name : {"i-1", "i-2"}) {
             doors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
             pods[name] = "127.0.0.1:" + std::to_string(doors.back()->local_endpoint().port());
-            lichenlanding::transport::spawn(io, "pod",
-                             accept(*doors.back(), [this](const auto& request) { return serve(request); }));
+            lichenlanding::transport::spawn(
+                io, "pod", accept(*doors.back(), [this](const auto& request) { return serve(request); }));
         }
     }
     ~House() {
@@ -409,7 +409,7 @@
         auto& proxy = house.programs["e1"];
         kill(proxy.id, SIGSTOP);
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c1", House::configuration(8, "/eight/")));
-        house.await("c1", "link_silent");  // two seconds on, a control node has given it up
+        house.await("c1", "peer_connection_lost");  // two seconds on, a control node has given it up
         kill(proxy.id, SIGCONT);
         house.await("e1", "woke");
         // How soon is a matter of this machine's speed (150 ms are waited for); it never goes back.
