--- a/tests/config/configuration.cpp
+++ b/tests/config/configuration.cpp
@@ -38,16 +38,16 @@
 
 }  // namespace
 
-class PlaybillTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(PlaybillTest);
-    CPPUNIT_TEST(refusals);
-    CPPUNIT_TEST(routes);
-    CPPUNIT_TEST(manyRoutes);
-    CPPUNIT_TEST(settings);
+class ConfigurationTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(ConfigurationTest);
+    CPPUNIT_TEST(mistakesAreAllNamed);
+    CPPUNIT_TEST(longestPrefixWins);
+    CPPUNIT_TEST(routeIsFoundAmongMany);
+    CPPUNIT_TEST(settingsFileIsReadOrRefused);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    void refusals() {
+    void mistakesAreAllNamed() {
         const auto good = route("r", "/p/", times + toA);
         std::string seen;
         const auto see = [&](const char* what, const std::string& body) {
@@ -82,7 +82,7 @@
         approve("configuration-errors", seen);
     }
 
-    void routes() {
+    void longestPrefixWins() {
         const auto configuration = Configuration::parse(whole(
             route("short", "/a/", times + toA) + "," + route("long", "/a/b/", times + toA) + "," +
             route(
@@ -103,7 +103,7 @@
         approve("configuration-routes", seen + "\n");
     }
 
-    void manyRoutes() {
+    void routeIsFoundAmongMany() {
         std::string all;
         for (int at = 0; at < 520; ++at)
             all += (at ? "," : "") +
@@ -115,7 +115,7 @@
                 configuration.findRoute("h.example", "/p" + std::to_string(at) + "/x")->name);
     }
 
-    void settings() {
+    void settingsFileIsReadOrRefused() {
         const std::string rest =
             R"("ip_address":"127.0.0.9","zone":"z","internal_ports":[7720,7735],"seed_nodes":[],"cloud_api":{"address":"127.0.0.1:1"},"new_field":[1])";
         std::string seen;
@@ -143,4 +143,4 @@
         approve("bootstrap-settings", seen);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(PlaybillTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ConfigurationTest);
--- a/tests/control_plane/endpoint_discovery.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -50,10 +50,11 @@
             if (firsts == 1) term = 2;
             return firsts < 3 ? "" : R"({"instance_list":[]})";
         };
-        boot.list = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
+        boot.platformAddress = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
         spawn(io, "platform", platform());
         spawn(io, "list", duty.run());
-        for (const Nanos began = now(); !cache.listed(); io.run_one_for(std::chrono::milliseconds(5)))
+        for (const Nanos began = now(); !cache.endpointsCurrent();
+             io.run_one_for(std::chrono::milliseconds(5)))
             CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", now() - began < 5 * kSecond);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, cache.endpointListVersion().term);
         CPPUNIT_ASSERT_EQUAL(std::string("/instances"), asked[2]);
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -10,7 +10,7 @@
 #include "support/transcript.hpp"
 #include "verdict/stages.hpp"
 
-using namespace callboard_stage;
+using namespace subscription_fixture;
 using subscription::QuorumContact;
 
 namespace {
--- a/tests/storage/replica_store.cpp
+++ b/tests/storage/replica_store.cpp
@@ -13,48 +13,48 @@
 using namespace lichenlanding;
 using storage::StorageError, storage::LmdbReplicaStore;
 
-class PromptbookTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(PromptbookTest);
-    CPPUNIT_TEST(again);
-    CPPUNIT_TEST(damaged);
-    CPPUNIT_TEST(full);
-    CPPUNIT_TEST(bounded);
+class ReplicaStoreTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(ReplicaStoreTest);
+    CPPUNIT_TEST(writtenStatesAreReadAgain);
+    CPPUNIT_TEST(changedByteFailsChecksum);
+    CPPUNIT_TEST(fullDiskRefusesWholeWrite);
+    CPPUNIT_TEST(rewritesDoNotGrowTheFile);
     CPPUNIT_TEST_SUITE_END();
 
     std::string folder;
 
-    static std::map<std::string, consensus::RegisterState> cell(const std::string& value,
-                                                                std::uint64_t round) {
-        std::map<std::string, consensus::RegisterState> cells;
-        cells["configuration"] = {{round, 7}, {round, 7}, value};
-        return cells;
+    static std::map<std::string, consensus::RegisterState> oneState(const std::string& value,
+                                                                    std::uint64_t round) {
+        std::map<std::string, consensus::RegisterState> states;
+        states["configuration"] = {{round, 7}, {round, 7}, value};
+        return states;
     }
 
   public:
     void setUp() override {
-        auto made = (std::filesystem::temp_directory_path() / "promptbook-XXXXXX").string();
+        auto made = (std::filesystem::temp_directory_path() / "replica-store-XXXXXX").string();
         CPPUNIT_ASSERT(mkdtemp(made.data()));
         folder = made;
     }
     void tearDown() override { std::filesystem::remove_all(folder); }
 
-    void again() {
+    void writtenStatesAreReadAgain() {
         {
-            LmdbReplicaStore book(folder, 8 << 20);
-            book.write(cell("first", 1), {{"members", "a,b,c"}});
-            book.write(cell(std::string(200'000, 'x'), 2), {});
+            LmdbReplicaStore store(folder, 8 << 20);
+            store.write(oneState("first", 1), {{"members", "a,b,c"}});
+            store.write(oneState(std::string(200'000, 'x'), 2), {});
         }
-        LmdbReplicaStore book(folder, 8 << 20);
-        CPPUNIT_ASSERT_EQUAL(std::string("a,b,c"), book.note("members"));
-        CPPUNIT_ASSERT_EQUAL(std::string(), book.note("none"));
-        CPPUNIT_ASSERT(book.states() == cell(std::string(200'000, 'x'), 2));
+        LmdbReplicaStore store(folder, 8 << 20);
+        CPPUNIT_ASSERT_EQUAL(std::string("a,b,c"), store.note("members"));
+        CPPUNIT_ASSERT_EQUAL(std::string(), store.note("none"));
+        CPPUNIT_ASSERT(store.states() == oneState(std::string(200'000, 'x'), 2));
     }
 
     // A byte of the value changed on disk: the checksum tells, whoever opens it.
-    void damaged() {
+    void changedByteFailsChecksum() {
         {
-            LmdbReplicaStore book(folder, 8 << 20);
-            book.write(cell("the words that are looked for", 1), {});
+            LmdbReplicaStore store(folder, 8 << 20);
+            store.write(oneState("the words that are looked for", 1), {});
         }
         std::fstream file(folder + "/data.mdb", std::ios::in | std::ios::out | std::ios::binary);
         std::stringstream bytes;
@@ -69,37 +69,37 @@
         }
         file.close();
         CPPUNIT_ASSERT(changed > 0);
-        LmdbReplicaStore book(folder, 8 << 20);
-        CPPUNIT_ASSERT_THROW(book.states(), StorageError);
+        LmdbReplicaStore store(folder, 8 << 20);
+        CPPUNIT_ASSERT_THROW(store.states(), StorageError);
     }
 
     // The disk takes no more: the write is refused whole, what was there stays, and it goes on when there is
     // room.
-    void full() {
-        auto book = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
-        book->write(cell("kept", 1), {});
+    void fullDiskRefusesWholeWrite() {
+        auto store = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
+        store->write(oneState("kept", 1), {});
         rlimit before{};
         getrlimit(RLIMIT_FSIZE, &before);
         std::signal(SIGXFSZ, SIG_IGN);
         const rlimit little{static_cast<rlim_t>(std::filesystem::file_size(folder + "/data.mdb")),
                             before.rlim_max};
         setrlimit(RLIMIT_FSIZE, &little);
-        CPPUNIT_ASSERT_THROW(book->write(cell(std::string(300'000, 'y'), 2), {}), StorageError);
+        CPPUNIT_ASSERT_THROW(store->write(oneState(std::string(300'000, 'y'), 2), {}), StorageError);
         setrlimit(RLIMIT_FSIZE, &before);
-        book = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
-        CPPUNIT_ASSERT(book->states() == cell("kept", 1));
-        book->write(cell(std::string(300'000, 'y'), 2), {});
-        CPPUNIT_ASSERT(book->states() == cell(std::string(300'000, 'y'), 2));
+        store = std::make_unique<LmdbReplicaStore>(folder, 8 << 20);
+        CPPUNIT_ASSERT(store->states() == oneState("kept", 1));
+        store->write(oneState(std::string(300'000, 'y'), 2), {});
+        CPPUNIT_ASSERT(store->states() == oneState(std::string(300'000, 'y'), 2));
     }
 
     // Three hundred configurations leave no more on disk than a few of them.
-    void bounded() {
-        LmdbReplicaStore book(folder, 8 << 20);
+    void rewritesDoNotGrowTheFile() {
+        LmdbReplicaStore store(folder, 8 << 20);
         for (int at = 1; at <= 300; ++at)
-            book.write(
-                cell(std::string(60'000, static_cast<char>('a' + at % 26)), static_cast<std::uint64_t>(at)),
-                {});
+            store.write(oneState(std::string(60'000, static_cast<char>('a' + at % 26)),
+                                 static_cast<std::uint64_t>(at)),
+                        {});
         CPPUNIT_ASSERT(std::filesystem::file_size(folder + "/data.mdb") < 600'000);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(PromptbookTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReplicaStoreTest);
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -11,7 +11,7 @@
 #include "transport/compression.hpp"
 
 using namespace keeper_stage;
-using callboard_stage::ConfigurationCache, callboard_stage::pods;
+using subscription_fixture::ConfigurationCache, subscription_fixture::pods;
 
 namespace {
 
@@ -51,9 +51,9 @@
 // What a proxy and a control node exchange when it has come up.
 Cost exchange(ConfigurationCache& controlNode, ConfigurationCache& proxy) {
     Cost cost;
-    callboard_stage::tell(controlNode, proxy, controlNode.digestMessage(),
-                          ConfigurationCache::MessageSource::controlNode,
-                          [&](const Json& message) { cost.add(message); });
+    subscription_fixture::tell(controlNode, proxy, controlNode.digestMessage(),
+                               ConfigurationCache::MessageSource::controlNode,
+                               [&](const Json& message) { cost.add(message); });
     return cost;
 }
 
--- a/tests/subscription/peer_updates.cpp
+++ b/tests/subscription/peer_updates.cpp
@@ -1,12 +1,12 @@
-// News among many proxies in virtual time: the real rooms, a scripted network. Control nodes push changes;
-// proxies watch three others each and mend their copies. Counted, never timed: messages and bytes a proxy,
-// rounds until all agree. Chance is seeded.
+// Updates among many proxies in virtual time: the real caches, a scripted network. Control nodes push
+// changes; proxies watch three others each and mend their copies. Counted, never timed: messages and bytes a
+// proxy, rounds until all agree. Chance is seeded.
 #include "hashing/rendezvous.hpp"
 #include "messages/codec.hpp"
 #include "support/subscription_fixture.hpp"
 #include "support/transcript.hpp"
 
-using namespace callboard_stage;
+using namespace subscription_fixture;
 
 namespace {
 
@@ -14,16 +14,16 @@
 constexpr Nanos heartbeat = 1500 * kMillisecond;
 
 // One control node (number 0) and proxies that it tells; links of 1 ms that lose what is cut.
-class Town {
+class Network {
   public:
-    Town(std::size_t proxies, std::uint64_t seed) : chance(seed) {
-        boards.emplace_back(ConfigurationCache::Subscriber{});
-        names.push_back("prompter");
+    Network(std::size_t proxies, std::uint64_t seed) : chance(seed) {
+        caches.emplace_back(ConfigurationCache::Subscriber{});
+        names.push_back("control-node");
         std::vector<std::string> all;
         for (std::size_t at = 1; at <= proxies; ++at) {
             names.push_back("edge-" + std::to_string(at));
             all.push_back(names.back());
-            boards.emplace_back(ConfigurationCache::Subscriber{});
+            caches.emplace_back(ConfigurationCache::Subscriber{});
             numbers[names.back()] = at;
         }
         for (std::size_t at = 1; at <= proxies; ++at)
@@ -41,17 +41,17 @@
     }
     void all(const Json& message) {
         if (message.is_null()) return;
-        for (std::size_t to = 1; to < boards.size(); ++to) send(0, to, message);
+        for (std::size_t to = 1; to < caches.size(); ++to) send(0, to, message);
     }
     // One heartbeat: digests between watchers, then everything that follows from them.
     void round() {
-        for (const auto& [from, to] : watch) send(from, to, boards[from].digestMessage());
+        for (const auto& [from, to] : watch) send(from, to, caches[from].digestMessage());
         settle();
         now += heartbeat;
     }
     void settle() {
         for (std::size_t steps = 0; !way.empty(); ++steps) {
-            CPPUNIT_ASSERT_MESSAGE("news goes round for ever", steps < 400 * boards.size());
+            CPPUNIT_ASSERT_MESSAGE("messages go round for ever", steps < 400 * caches.size());
             const auto [at, what] = *way.begin();
             way.erase(way.begin());
             now = std::max(now, at.first);
@@ -59,14 +59,14 @@
             const auto role = to == 0     ? ConfigurationCache::MessageSource::subscriber
                               : from == 0 ? ConfigurationCache::MessageSource::controlNode
                                           : ConfigurationCache::MessageSource::peerProxy;
-            boards[to].handleMessage(message, role, now,
+            caches[to].handleMessage(message, role, now,
                                      [&, from = from, to = to](const Json& reply) { send(to, from, reply); });
         }
     }
     std::size_t agreeing() const {
         std::size_t count = 0;
-        for (std::size_t at = 1; at < boards.size(); ++at) {
-            const auto mine = boards[at].digestMessage(), its = boards[0].digestMessage();
+        for (std::size_t at = 1; at < caches.size(); ++at) {
+            const auto mine = caches[at].digestMessage(), its = caches[0].digestMessage();
             count += mine["configuration"] == its["configuration"] && mine["rollouts"] == its["rollouts"] &&
                      mine.value("sums", Json()) == its["sums"];
         }
@@ -78,7 +78,7 @@
     }
 
     std::mt19937_64 chance;
-    std::vector<ConfigurationCache> boards;
+    std::vector<ConfigurationCache> caches;
     std::vector<std::string> names;
     std::map<std::string, std::size_t> numbers;
     std::vector<std::pair<std::size_t, std::size_t>> watch;
@@ -93,154 +93,155 @@
     std::uint64_t order = 0;
 };
 
-void begin(Town& town, int count) {
-    town.boards[0].setConfiguration(7, std::string(3000, 'c'));
-    town.boards[0].setRollouts(0, "[]");
-    town.boards[0].updateEndpoints(pods(0, count), 1);
-    town.all(town.boards[0].digestMessage());
-    town.settle();
-    CPPUNIT_ASSERT_EQUAL(town.boards.size() - 1, town.agreeing());
+void begin(Network& network, int count) {
+    network.caches[0].setConfiguration(7, std::string(3000, 'c'));
+    network.caches[0].setRollouts(0, "[]");
+    network.caches[0].updateEndpoints(pods(0, count), 1);
+    network.all(network.caches[0].digestMessage());
+    network.settle();
+    CPPUNIT_ASSERT_EQUAL(network.caches.size() - 1, network.agreeing());
 }
 
 }  // namespace
 
-class CompanyTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(CompanyTest);
-    CPPUNIT_TEST(cutOff);
-    CPPUNIT_TEST(anyOrder);
-    CPPUNIT_TEST(nobodyBack);
-    CPPUNIT_TEST(costs);
-    CPPUNIT_TEST(watches);
+class PeerUpdatesTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(PeerUpdatesTest);
+    CPPUNIT_TEST(updatesReachProxiesCutOffFromControlNodes);
+    CPPUNIT_TEST(cachesAgreeAfterLossAndDisorder);
+    CPPUNIT_TEST(removedEndpointsStayRemoved);
+    CPPUNIT_TEST(costsStayWithinBounds);
+    CPPUNIT_TEST(eachProxyWatchesThree);
     CPPUNIT_TEST_SUITE_END();
 
   public:
     // A third of the proxies lose every control node: what is told meanwhile reaches them by those they
     // watch.
-    void cutOff() {
-        Town town(12, 1);
-        begin(town, 40);
-        for (std::size_t at = 1; at <= 12; at += 3) town.cut[at] = true;
-        town.boards[0].setConfiguration(9, "nine");
-        town.all(town.boards[0].versionsMessage());
-        town.boards[0].setRollouts(3, "[3]");
-        town.all(town.boards[0].rolloutsMessage());
+    void updatesReachProxiesCutOffFromControlNodes() {
+        Network network(12, 1);
+        begin(network, 40);
+        for (std::size_t at = 1; at <= 12; at += 3) network.cut[at] = true;
+        network.caches[0].setConfiguration(9, "nine");
+        network.all(network.caches[0].versionsMessage());
+        network.caches[0].setRollouts(3, "[3]");
+        network.all(network.caches[0].rolloutsMessage());
         auto listed = pods(2, 44, 6);
-        town.all(town.boards[0].updateEndpoints(listed, 1));
-        town.settle();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(8), town.agreeing());
+        network.all(network.caches[0].updateEndpoints(listed, 1));
+        network.settle();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(8), network.agreeing());
         int rounds = 0;
-        for (; rounds < 4 && town.agreeing() < 12; ++rounds) town.round();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(12), town.agreeing());
+        for (; rounds < 4 && network.agreeing() < 12; ++rounds) network.round();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(12), network.agreeing());
         CPPUNIT_ASSERT(rounds <= 2);
         for (std::size_t at = 1; at <= 12; ++at) {
-            CPPUNIT_ASSERT_EQUAL(9u, town.boards[at].version());
-            CPPUNIT_ASSERT(town.boards[at].endpoints().hasLeft(pod(0).id));
-            CPPUNIT_ASSERT(town.boards[at].endpoints().endpoints().at(pod(4).id).draining);
+            CPPUNIT_ASSERT_EQUAL(9u, network.caches[at].version());
+            CPPUNIT_ASSERT(network.caches[at].endpoints().hasLeft(pod(0).id));
+            CPPUNIT_ASSERT(network.caches[at].endpoints().endpoints().at(pod(4).id).draining);
         }
     }
 
     // Messages lost (a fifth), doubled by digests, out of order: in the end all hold the same, whatever the
     // seed.
-    void anyOrder() {
+    void cachesAgreeAfterLossAndDisorder() {
         for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-            Town town(10, seed);
-            begin(town, 30);
-            town.loss = 20, town.disorder = true;
+            Network network(10, seed);
+            begin(network, 30);
+            network.loss = 20, network.disorder = true;
             for (int step = 1; step <= 8; ++step) {
                 const int first = step, last = 30 + 2 * step;
-                town.boards[0].setConfiguration(7 + static_cast<std::uint32_t>(step), std::string(100, 'x'));
-                town.all(town.boards[0].versionsMessage());
-                town.all(town.boards[0].updateEndpoints(pods(first, last, first + 2), 1 + step / 6));
-                if (step % 2) town.settle();
-                town.round();
+                network.caches[0].setConfiguration(7 + static_cast<std::uint32_t>(step),
+                                                   std::string(100, 'x'));
+                network.all(network.caches[0].versionsMessage());
+                network.all(network.caches[0].updateEndpoints(pods(first, last, first + 2), 1 + step / 6));
+                if (step % 2) network.settle();
+                network.round();
             }
-            town.loss = 0;
-            town.boards[0].updateEndpoints(pods(8, 46, 10), 2);
-            town.all(town.boards[0].digestMessage());
-            town.settle();
-            for (int round = 0; round < 3; ++round) town.round();
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(seed), std::size_t(10), town.agreeing());
+            network.loss = 0;
+            network.caches[0].updateEndpoints(pods(8, 46, 10), 2);
+            network.all(network.caches[0].digestMessage());
+            network.settle();
+            for (int round = 0; round < 3; ++round) network.round();
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("seed " + std::to_string(seed), std::size_t(10), network.agreeing());
         }
     }
 
     // A copy that has been cut off for long offers nobody what is gone, and draining pods stay so.
-    void nobodyBack() {
-        Town town(6, 3);
-        begin(town, 10);
-        town.cut[1] = true;
-        town.all(town.boards[0].updateEndpoints(pods(3, 12, 5), 1));
-        town.settle();
+    void removedEndpointsStayRemoved() {
+        Network network(6, 3);
+        begin(network, 10);
+        network.cut[1] = true;
+        network.all(network.caches[0].updateEndpoints(pods(3, 12, 5), 1));
+        network.settle();
         ConfigurationCache young{
             ConfigurationCache::Subscriber{}};  // has just come up, and hears the old copy first
         std::vector<Json> asked;
-        young.handleMessage(town.boards[1].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
-                            town.now, [&](Json reply) { asked.push_back(std::move(reply)); });
+        young.handleMessage(network.caches[1].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
+                            network.now, [&](Json reply) { asked.push_back(std::move(reply)); });
         const auto feed = [&](ConfigurationCache& from, ConfigurationCache::MessageSource role,
                               const std::vector<Json>& messages) {
             std::vector<Json> answers;
             for (const auto& message : messages)
-                from.handleMessage(message, ConfigurationCache::MessageSource::peerProxy, town.now,
+                from.handleMessage(message, ConfigurationCache::MessageSource::peerProxy, network.now,
                                    [&](Json reply) { answers.push_back(std::move(reply)); });
             std::vector<Json> next;
             for (const auto& answer : answers)
-                young.handleMessage(answer, role, town.now,
+                young.handleMessage(answer, role, network.now,
                                     [&](Json reply) { next.push_back(std::move(reply)); });
             return next;
         };
-        feed(town.boards[1], ConfigurationCache::MessageSource::peerProxy, asked);
+        feed(network.caches[1], ConfigurationCache::MessageSource::peerProxy, asked);
         CPPUNIT_ASSERT(young.endpoints().endpoints().contains(pod(0).id));  // the old copy's word, as yet
         asked.clear();
-        young.handleMessage(town.boards[2].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
-                            town.now, [&](Json reply) { asked.push_back(std::move(reply)); });
-        feed(town.boards[2], ConfigurationCache::MessageSource::peerProxy, asked);
-        CPPUNIT_ASSERT(young.endpoints().endpoints() == town.boards[0].endpoints().endpoints());
+        young.handleMessage(network.caches[2].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
+                            network.now, [&](Json reply) { asked.push_back(std::move(reply)); });
+        feed(network.caches[2], ConfigurationCache::MessageSource::peerProxy, asked);
+        CPPUNIT_ASSERT(young.endpoints().endpoints() == network.caches[0].endpoints().endpoints());
         asked.clear();
-        young.handleMessage(town.boards[1].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
-                            town.now, [&](Json reply) { asked.push_back(std::move(reply)); });
-        feed(town.boards[1], ConfigurationCache::MessageSource::peerProxy, asked);
-        CPPUNIT_ASSERT(young.endpoints().endpoints() == town.boards[0].endpoints().endpoints());
+        young.handleMessage(network.caches[1].digestMessage(), ConfigurationCache::MessageSource::peerProxy,
+                            network.now, [&](Json reply) { asked.push_back(std::move(reply)); });
+        feed(network.caches[1], ConfigurationCache::MessageSource::peerProxy, asked);
+        CPPUNIT_ASSERT(young.endpoints().endpoints() == network.caches[0].endpoints().endpoints());
         CPPUNIT_ASSERT(!young.endpoints().endpoints().contains(pod(0).id));
     }
 
-    // What news costs a proxy and the control node, at three sizes: bounds that the design note states.
-    void costs() {
+    // What updates cost a proxy and the control node, at three sizes: bounds that the design note states.
+    void costsStayWithinBounds() {
         std::string seen;
         for (const auto& [proxies, count] :
              std::vector<std::pair<std::size_t, int>>{{12, 38}, {88, 323}, {500, 2000}}) {
-            Town town(proxies, 5);
-            begin(town, count);
+            Network network(proxies, 5);
+            begin(network, count);
             const auto line = [&](const std::string& what) {
-                seen += "  " + what + ": a foyer sends " + std::to_string(town.most(town.sent)) +
-                        " messages, " + std::to_string(town.most(town.bytes)) +
-                        " bytes at most; the prompter " + std::to_string(town.sent[0]) + ", " +
-                        std::to_string(town.bytes[0]) + "\n";
-                town.forget();
+                seen += "  " + what + ": a proxy sends " + std::to_string(network.most(network.sent)) +
+                        " messages, " + std::to_string(network.most(network.bytes)) +
+                        " bytes at most; the control node " + std::to_string(network.sent[0]) + ", " +
+                        std::to_string(network.bytes[0]) + "\n";
+                network.forget();
             };
-            seen += std::to_string(proxies) + " foyers, " + std::to_string(count) + " pods\n";
+            seen += std::to_string(proxies) + " proxies, " + std::to_string(count) + " pods\n";
             line("all start");
-            town.round();
-            line("a heartbeat without news");
-            town.all(town.boards[0].updateEndpoints(pods(0, count + 1, 1), 1));
-            town.settle();
+            network.round();
+            line("a heartbeat without updates");
+            network.all(network.caches[0].updateEndpoints(pods(0, count + 1, 1), 1));
+            network.settle();
             line("two pods change");
-            town.boards[0].setConfiguration(8, std::string(3000, 'd'));
-            town.all(town.boards[0].versionsMessage());
-            town.settle();
+            network.caches[0].setConfiguration(8, std::string(3000, 'd'));
+            network.all(network.caches[0].versionsMessage());
+            network.settle();
             line("a configuration of 3,000 bytes");
-            for (std::size_t at = 1; at <= proxies; at += 10) town.cut[at] = true;
-            town.all(town.boards[0].updateEndpoints(pods(5, count + 5, 9), 1));
-            town.settle();
-            town.forget();
+            for (std::size_t at = 1; at <= proxies; at += 10) network.cut[at] = true;
+            network.all(network.caches[0].updateEndpoints(pods(5, count + 5, 9), 1));
+            network.settle();
+            network.forget();
             int rounds = 0;
-            while (town.agreeing() < proxies && rounds < 9) town.round(), ++rounds;
-            CPPUNIT_ASSERT_EQUAL(proxies, town.agreeing());
+            while (network.agreeing() < proxies && rounds < 9) network.round(), ++rounds;
+            CPPUNIT_ASSERT_EQUAL(proxies, network.agreeing());
             line("a tenth cut off, mended in " + std::to_string(rounds) + " heartbeats");
         }
         approve("peer-updates-costs", seen);
     }
 
     // Each watches three, is watched by some, and one that goes changes few lists.
-    void watches() {
+    void eachProxyWatchesThree() {
         std::vector<std::string> names;
         for (int at = 0; at < 88; ++at) names.push_back("edge-" + std::to_string(at));
         std::map<std::string, std::vector<std::string>> before;
@@ -263,4 +264,4 @@
         CPPUNIT_ASSERT_EQUAL(watchers[gone], changed);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(CompanyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PeerUpdatesTest);
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -92,7 +92,7 @@
 
 House::House(Script script_, const std::vector<std::string>& pods, double slack)
     : script(std::move(script_)) {
-    boot_.zone = "z", boot_.budgetSlack = slack;
+    boot_.zone = "z", boot_.retrySlack = slack;
     router = std::make_unique<routing::Router>(boot_, 1);
     limit(2048, 9'000'000);
     router->setProxyCount(1, now() - 10 * kSecond);
@@ -101,10 +101,10 @@
     upstream = std::make_unique<proxy::UpstreamClient>(proxyLoop);
     front = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
     clients_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
-    start(proxyLoop, "clients", front->serve(*clients_));
+    spawn(proxyLoop, "clients", front->serve(*clients_));
     for (const auto& pod : pods) {
         doors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
-        start(worldLoop, "pod", serve(pod));
+        spawn(worldLoop, "pod", serve(pod));
         list(pod);
     }
 }
@@ -139,7 +139,7 @@
     client->socket.set_option(tcp::no_delay(true));
     client->socket.non_blocking(true);
     all_.push_back(client);
-    start(worldLoop, "client", listen_(client));
+    spawn(worldLoop, "client", listen_(client));
     if (!bytes.empty()) write(client, bytes, ids);
     return client;
 }
@@ -243,7 +243,7 @@
         socket->set_option(tcp::no_delay(true));
         ++connections[pod];
         sockets_[pod].push_back(socket);
-        start(worldLoop, "pod connection", hear(pod, socket));
+        spawn(worldLoop, "pod connection", hear(pod, socket));
     }
 }
 
--- a/tests/support/subscription_fixture.hpp
+++ b/tests/support/subscription_fixture.hpp
@@ -1,9 +1,9 @@
-// Lists of pods, and configuration caches that tell one another, without links or time.
+/// Lists of endpoints, and configuration caches that exchange messages, without connections or time.
 #pragma once
 
 #include "subscription/configuration_cache.hpp"
 
-namespace callboard_stage {
+namespace subscription_fixture {
 
 using namespace lichenlanding;
 using subscription::ConfigurationCache;
@@ -22,8 +22,8 @@
     return all;
 }
 
-// A message of a control node to a proxy, or of a neighbour to another, and all that follows from it, both
-// ways until nobody has more to say; `each` is shown every message.
+/// Delivers a message of a control node to a proxy, or of a proxy to another, and all answers to it, both
+/// ways until there are no more; `each` is shown every message.
 inline void tell(
     ConfigurationCache& from, ConfigurationCache& to, Json message,
     ConfigurationCache::MessageSource role = ConfigurationCache::MessageSource::controlNode,
@@ -45,4 +45,4 @@
     }
 }
 
-}  // namespace callboard_stage
+}  // namespace subscription_fixture
--- a/tests/transport/chunks.cpp
+++ b/tests/transport/chunks.cpp
@@ -1,5 +1,5 @@
-// Large messages on a link go in pieces: what arrives, in which order, and what a spoilt or missing piece
-// does. A slow line in virtual time; then two real links.
+// Large messages on a connection go in chunks: what arrives, in which order, and what a corrupt or missing
+// chunk does. A slow line in virtual time; then two real connections.
 #include "transport/chunks.hpp"
 
 #include <random>
@@ -20,20 +20,20 @@
 
 }  // namespace
 
-class PiecesTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(PiecesTest);
-    CPPUNIT_TEST(slowLine);
-    CPPUNIT_TEST(anySize);
-    CPPUNIT_TEST(spoilt);
-    CPPUNIT_TEST(overLinks);
+class ChunksTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(ChunksTest);
+    CPPUNIT_TEST(smallMessagesPassOnSlowLine);
+    CPPUNIT_TEST(messagesOfAnySizeArriveWhole);
+    CPPUNIT_TEST(corruptChunksAreRefused);
+    CPPUNIT_TEST(smallMessagesOvertakeOnConnections);
     CPPUNIT_TEST_SUITE_END();
 
   public:
     // 2 Mbit/s, half a megabyte, a small message each tenth of a second. As one frame it would show the
-    // reader no sign of life for longer than a link is given up after.
-    void slowLine() {
+    // reader no sign of life for longer than a connection is given up after.
+    void smallMessagesPassOnSlowLine() {
         constexpr double nanosPerByte = 8 * 1e9 / 2e6;
-        constexpr Nanos silentAfter = 2100 * kMillisecond;  // as in wings/link
+        constexpr Nanos silentAfter = 2100 * kMillisecond;  // as in transport/peer_connection.cpp
         const auto large = bytes(600'000, 'z');
         CPPUNIT_ASSERT(static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte) > silentAfter);
         SendQueue out;
@@ -66,7 +66,7 @@
                        static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte * 1.01));
     }
 
-    void anySize() {
+    void messagesOfAnySizeArriveWhole() {
         for (const std::size_t size :
              {std::size_t{0}, std::size_t{1}, kMaxUnchunkedBytes, kMaxUnchunkedBytes + 1, 3 * kChunkBytes - 1,
               3 * kChunkBytes, 3 * kChunkBytes + 1, std::size_t{5'000'000}}) {
@@ -95,8 +95,8 @@
         }
     }
 
-    // Each way to spoil the pieces of a message is found, at the piece or at the end.
-    void spoilt() {
+    // Each way to spoil the chunks of a message is found, at the chunk or at the end.
+    void corruptChunksAreRefused() {
         std::vector<std::string> good;
         SendQueue out;
         out.push(bytes(4 * kChunkBytes, 'x'));
@@ -144,14 +144,14 @@
         approve("chunks-corrupt", seen);
     }
 
-    // Over real links: small messages overtake megabytes, and all arrive whole.
-    void overLinks() {
+    // Over real connections: small messages overtake megabytes, and all arrive whole.
+    void smallMessagesOvertakeOnConnections() {
         asio::io_context io{1};
         auto door = listen(io, "127.0.0.1:0");
         const auto address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
         std::string text(3'000'000, 'x');
         std::mt19937 chance(7);
-        for (auto& letter : text) letter = static_cast<char>(chance());  // what can't be squeezed
+        for (auto& letter : text) letter = static_cast<char>(chance());  // what can't be compressed
         std::vector<std::string> came;
         auto reader = std::make_shared<PeerConnection::Callbacks>(),
              writer = std::make_shared<PeerConnection::Callbacks>();
@@ -167,9 +167,9 @@
             }
         };
         writer->onMessage = [](PeerConnection&, const Json&) {};
-        writer->makeHello = [&](PeerConnection& link) {
-            link.send(Json{{"t", "large"}, {"bytes", Json::binary({text.begin(), text.end()})}});
-            for (int at = 0; at < 20; ++at) link.send(Json{{"t", "small"}});
+        writer->makeHello = [&](PeerConnection& connection) {
+            connection.send(Json{{"t", "large"}, {"bytes", Json::binary({text.begin(), text.end()})}});
+            for (int at = 0; at < 20; ++at) connection.send(Json{{"t", "small"}});
             return Json();
         };
         spawn(io, "links", servePeerConnections(io, door, reader));
@@ -180,4 +180,4 @@
         dialer->stop();
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(PiecesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ChunksTest);
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -8,7 +8,7 @@
 #include "verdict/stages.hpp"
 
 using namespace lichenlanding;
-using callboard_stage::pod;
+using subscription_fixture::pod;
 using verdict::Counts, verdict::Totals;
 
 namespace {
@@ -95,8 +95,8 @@
                             ", " + move->why + "\n";
                 }
         CPPUNIT_ASSERT(!verdict::nextMove(0, {0, 0, 0}, 9000, 0, 16000));  // no voters: nobody said 'on'
-        CPPUNIT_ASSERT(
-            !verdict::nextMove(1, {3, 3, 0}, 9000, 1399, 16000));  // the trial of all traffic is not judged yet
+        CPPUNIT_ASSERT(!verdict::nextMove(1, {3, 3, 0}, 9000, 1399,
+                                          16000));  // the trial of all traffic is not judged yet
         CPPUNIT_ASSERT(!verdict::nextMove(2, {3, 0, 0}, 9000, 2499, 16000));
         approve("verdict-stages", seen);
     }
