--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -8,7 +8,7 @@
 #include "command/gateway.hpp"
 #include "config/configuration.hpp"
 #include "control_plane/replica_node.hpp"
-#include "membership/membership.hpp"
+#include "membership/codec.hpp"
 #include "storage/replica_store.hpp"
 
 namespace lichenlanding::command {
@@ -81,7 +81,7 @@
         before = membership::decodeEpochState(membership::Json::parse(note));
     const consensus::Epoch next{before.epoch.number + kEpochStep, {{address, disk, "", ""}}};
     store.write(
-        {}, {{storage::kStandingNote, membership::write(consensus::EpochState{next, true, {}, {}}).dump()}});
+        {}, {{storage::kStandingNote, membership::encode(consensus::EpochState{next, true, {}, {}}).dump()}});
     std::printf(
         "written: epoch %llu with %s as its only member; start it, then the others, which stand by and are "
         "added.\n",
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -59,7 +59,8 @@
             const auto judged = verdict::judge(more, chance);
             const char* names[] = {"none", "on", "hold", "back"};
             seen += what + ": " + names[static_cast<int>(judged.verdict)] + ", " +
-                    std::to_string(judged.fresh) + " against " + std::to_string(judged.earlier) + "\n";
+                    std::to_string(judged.canaryOutcomes) + " against " +
+                    std::to_string(judged.stableOutcomes) + "\n";
         };
         judge("nothing yet", {}, {});
         judge("too few", counts(12, 150 * kMillisecond), counts(300, 150 * kMillisecond));
