--- a/src/control_plane/admin_server.cpp
+++ b/src/control_plane/admin_server.cpp
@@ -103,7 +103,7 @@
 Task<bool> AdminServer::awaitRequest(Connection& connection) {
     connection.enter(Phase::idle);
     if (connection.buffer.size() > 0) co_return true;
-    connection.stream.expires_after(span(limits_.idle));
+    connection.stream.expires_after(toDuration(limits_.idle));
     ErrorCode code;
     const auto bytes = co_await connection.stream.async_read_some(connection.buffer.prepare(kReadBytes),
                                                                   withErrorCode(code));
@@ -119,10 +119,10 @@
     parser.body_limit(kMaxBodyBytes);
     parser.header_limit(kMaxHeaderBytes);
     ErrorCode code;
-    stream.expires_after(span(limits_.header));
+    stream.expires_after(toDuration(limits_.header));
     co_await http::async_read_header(stream, buffer, parser, withErrorCode(code));
     if (code || parser.is_done()) co_return code;
-    stream.expires_after(span(limits_.body));
+    stream.expires_after(toDuration(limits_.body));
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
         const http::response<http::empty_body> proceed(http::status::continue_, 11);
         co_await http::async_write(stream, proceed, withErrorCode(code));
@@ -135,7 +135,7 @@
 Task<bool> AdminServer::respond(Connection& connection, AdminResponse& response, Nanos timeout) {
     response.prepare_payload();
     connection.enter(Phase::responding);
-    connection.stream.expires_after(span(timeout));
+    connection.stream.expires_after(toDuration(timeout));
     ErrorCode code;
     co_await http::async_write(connection.stream, response, withErrorCode(code));
     co_return !code && response.keep_alive();
