--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -34,7 +34,7 @@
         try {
             return change(held);
         } catch (const std::exception& error) {
-            log("value_unreadable", {{"step", "order"}, {"error", error.what()}});
+            log("register_value_rejected", {{"step", "admin_request"}, {"error", error.what()}});
             return held;
         }
     };
@@ -110,7 +110,7 @@
         co_return co_await readRollout(call.service);
     } catch (const std::exception& error) {
         // The register's value can't be read; a caller's mistakes have had their response.
-        log("call_failed", {{"step", call.name}, {"error", error.what()}});
+        log("admin_request_failed", {{"step", call.name}, {"error", error.what()}});
     }
     co_return retryLaterResponse("register: a value that cannot be read");
 }
@@ -126,7 +126,7 @@
     try {
         request = admin::makeRequest(config::Configuration::read(body).version, body);
     } catch (const config::ValidationError& rejection) {
-        log("configuration_refused", {{"error", rejection.what()}});
+        log("configuration_rejected", {{"error", rejection.what()}});
         co_return jsonResponse(400, Json{{"errors", rejection.errors}});
     }
     const auto version = config::formatVersion(request.number);
@@ -137,10 +137,10 @@
     const auto duplicate = admin::checkDuplicate(*value, request);
     const auto inForce = config::formatVersion(admin::version(*value));
     if (duplicate == admin::DuplicateCheck::conflict) {
-        log("configuration_clash", {{"version", version}, {"held", inForce}});
+        log("configuration_conflict_rejected", {{"version", version}, {"held", inForce}});
         co_return versionConflictResponse(version);
     }
-    log("configuration", {{"version", version}, {"held", inForce}});
+    log("configuration_acknowledged", {{"version", version}, {"held", inForce}});
     co_return jsonResponse(200, Json{{"config_version", inForce}});
 }
 
@@ -161,10 +161,10 @@
     const auto value = co_await register_.update(kRolloutsKey, change, kRegisterTimeout);
     if (!value) co_return retryLaterResponse("register: no majority has synced it");
     const auto outcome = admin::classifyRequest(messages::decodeRollouts(*value), request);
-    log("rollout_ordered", {{"service", request.service},
-                            {"target", request.target},
-                            {"term_ms", request.term},
-                            {"outcome", admin::outcomeName(outcome)}});
+    log("rollout_requested", {{"service", request.service},
+                              {"target", request.target},
+                              {"term_ms", request.term},
+                              {"outcome", admin::outcomeName(outcome)}});
     if (outcome == admin::RolloutRequestOutcome::underWay) co_return rolloutConflictResponse(request);
     co_return jsonResponse(200, std::string("{}"));
 }
--- a/src/control_plane/admin_server.cpp
+++ b/src/control_plane/admin_server.cpp
@@ -46,7 +46,7 @@
         configureSocket(socket, limits_.response);
         const auto connection = std::make_shared<Connection>(std::move(socket));
         connections_.push_back(connection);
-        start(io_, "caller", run(connection));
+        start(io_, "admin_connection", run(connection));
     }
 }
 
@@ -64,7 +64,7 @@
             return std::tie(one->phase, one->since) < std::tie(other->phase, other->since);
         });
     if ((*at)->phase == Phase::answering) return false;
-    log("caller_dropped", {{"step", "control"}, {"callers", connections_.size()}});
+    log("admin_connection_dropped", {{"step", "accept"}, {"connections", connections_.size()}});
     const auto dropped = *at;
     remove(dropped);
     dropped->stream.close();
@@ -75,7 +75,7 @@
     try {
         co_await converse(*connection);
     } catch (const std::exception& error) {
-        log("failure", {{"step", "caller"}, {"error", error.what()}});
+        log("admin_connection_failed", {{"step", "converse"}, {"error", error.what()}});
     }
     remove(connection);
 }
--- a/src/control_plane/configuration_publisher.cpp
+++ b/src/control_plane/configuration_publisher.cpp
@@ -1,6 +1,7 @@
 #include "control_plane/configuration_publisher.hpp"
 
 #include "admin/configuration_record.hpp"
+#include "control_plane/replica_node.hpp"
 #include "messages/codec.hpp"
 #include "transport/log.hpp"
 
@@ -21,7 +22,8 @@
     try {
         cache_.configuration(admin::version(value), std::string(admin::compressed(value)));
     } catch (const admin::ParseError& error) {  // written by a later version, say
-        log("value_unreadable", {{"step", "learnt"}, {"error", error.what()}});
+        log("register_value_rejected",
+            {{"step", "learn"}, {"key", kConfigurationKey}, {"error", error.what()}});
         return;
     }
     broadcast(cache_.cue());
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -279,7 +279,7 @@
 void ControlPlane::run() {
     signals(
         io_, [this] { shutDown(); }, [this] { reloadSettings(); });
-    log("start", {});
+    log("control_plane_started", {});
     replica_.open();
     dialSeeds();
     dialMembers();
@@ -288,20 +288,20 @@
 }
 
 void ControlPlane::startTasks() {
-    start(io_, "links", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
-    start(io_, "control", adminServer_.serve(adminAcceptor_));
-    start(io_, "register", replica_.maintain());
-    start(io_, "register", readRolloutsFirst());
-    start(io_, "known", sendStateReports());
-    start(io_, "duties", leases_.run());
-    start(io_, "list", endpointDiscovery_.run());
+    start(io_, "peer_connections", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
+    start(io_, "admin_server", adminServer_.serve(adminAcceptor_));
+    start(io_, "replica", replica_.maintain());
+    start(io_, "read_rollouts", readRolloutsFirst());
+    start(io_, "state_reports", sendStateReports());
+    start(io_, "leases", leases_.run());
+    start(io_, "endpoint_list", endpointDiscovery_.run());
     start(io_, "rollouts", rollouts_.run());
 }
 
 void ControlPlane::shutDown() {
-    start(io_, "leave", [](ControlPlane& self) -> Task<> {
+    start(io_, "shut_down", [](ControlPlane& self) -> Task<> {
         co_await self.replica_.leave();
-        log("left", {});
+        log("control_plane_stopped", {});
         self.io_.stop();
     }(*this));
 }
@@ -310,9 +310,9 @@
     try {
         boot_ = config::BootstrapSettings::fromEnvironment();
         dialSeeds();
-        log("settings_read", {});
+        log("settings_reloaded", {});
     } catch (const std::exception& error) {
-        log("settings_refused", {{"step", "reload"}, {"error", error.what()}});
+        log("settings_rejected", {{"step", "reload"}, {"error", error.what()}});
     }
 }
 
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -53,7 +53,7 @@
     try {
         co_await readPages(client, term, list);
     } catch (const std::exception& error) {
-        log("list_failed", {{"step", "list"}, {"peer", boot_.list}, {"error", error.what()}});
+        log("endpoint_list_failed", {{"step", "read_list"}, {"peer", boot_.list}, {"error", error.what()}});
         client.reset();
         list.complete = false;
     }
@@ -71,7 +71,8 @@
         ++requests_;
         if (response.result_int() == kTooManyRequests) {
             ++rateLimited_;
-            log("list_refused", {{"step", "list"}, {"peer", boot_.list}, {"status", response.result_int()}});
+            log("endpoint_list_rejected",
+                {{"step", "request_page"}, {"peer", boot_.list}, {"status", response.result_int()}});
             co_await sleep(backoff);
             backoff = std::max(firstBackoff, std::min(backoff * 2, kMaxBackoff));
             if (!readOn(term, token.empty(), startedAt)) co_return;
--- a/src/control_plane/lease_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -93,7 +93,7 @@
     if (!value) co_return;
     const auto after = leases::decodeLeases(*value)[lease];
     if (leases::isHeldBy(after, self_))
-        log("duty", {{"duty", lease}, {"term", after.term}, {"before", before}});
+        log("lease_acquired", {{"lease", lease}, {"term", after.term}, {"before", before}});
 }
 
 std::map<std::string, LeaseStatus> LeaseHolder::status() const {
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -140,13 +140,13 @@
     if (!move) co_return;
     const auto after = afterMove(rollout, *move, age.order);
     const char* why = move->why;
-    log("rollout", {{"service", after.service},
-                    {"target", after.target},
-                    {"state", after.state},
-                    {"stage", after.stage},
-                    {"why", why},
-                    {"elapsed_ms", age.order},
-                    {"votes", votes.messages}});
+    log("rollout_advanced", {{"service", after.service},
+                             {"target", after.target},
+                             {"state", after.state},
+                             {"stage", after.stage},
+                             {"why", why},
+                             {"elapsed_ms", age.order},
+                             {"votes", votes.messages}});
     co_await writeMove(rollout, after);
 }
 
