--- a/src/admin/configuration_record.hpp
+++ b/src/admin/configuration_record.hpp
@@ -1,7 +1,7 @@
 // The configuration as the register keeps it, and what an order to replace it comes to. Beside the body in
 // force stand number and digest of the orders acknowledged last: one ballot decides both, so that whoever is
 // asked, in whatever order, knows an order again and tells it from another one under its number.
-// docs/design/orders.md tells why, and what holds beyond the bound.
+// docs/design/admin-requests.md tells why, and what holds beyond the bound.
 //
 // Pure: no I/O, no clock, no chance.
 #pragma once
--- a/src/admin/rollout_requests.hpp
+++ b/src/admin/rollout_requests.hpp
@@ -1,5 +1,5 @@
 // What an order to bring a version in comes to, against the rollouts that the register keeps.
-// docs/design/orders.md weighs the ways. Pure: no I/O, no clock, no chance.
+// docs/design/admin-requests.md weighs the ways. Pure: no I/O, no clock, no chance.
 #pragma once
 
 #include "messages/codec.hpp"
