--- /dev/null
+++ b/tests/integration/command_line.cpp
@@ -0,0 +1,101 @@
+// The program's command line: output, exit status, help texts, and the subcommands' names of before.
+#include "support/cluster_fixture.hpp"
+
+using namespace cluster;
+
+class CommandLineTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(CommandLineTest);
+    CPPUNIT_TEST(commandLine);
+    CPPUNIT_TEST(subcommandsOfBefore);
+    CPPUNIT_TEST_SUITE_END();
+
+    // What a call of the program comes to: its exit status and, unless the command line was wrong, its
+    // output.
+    static std::string transcriptOf(House& house, std::vector<std::string> words) {
+        for (auto& word : words)
+            if (word.find(".json") != word.npos || word == "none") word = house.folder + "/" + word;
+        Program tool;
+        house.spawn(tool, words, "X=");
+        waitpid(tool.id, &tool.status, 0);
+        tool.id = -1;
+        house.io.restart();
+        for (int turn = 0; turn < 200 && house.io.poll() > 0; ++turn) {
+        }
+        std::string seen;
+        if (WEXITSTATUS(tool.status) != 2)
+            for (const auto& out : tool.lines) {
+                auto text = out.value("text", out.dump());
+                for (auto at = text.find(house.folder); at != text.npos; at = text.find(house.folder))
+                    text.replace(at, house.folder.size(), "FOLDER");
+                seen += "  " + text + "\n";
+            }
+        return seen + "  status " + std::to_string(WEXITSTATUS(tool.status)) + "\n";
+    }
+    static void writeConfigurations(const House& house) {
+        std::ofstream(house.folder + "/good.json") << House::configuration(3, "/a/");
+        std::ofstream(house.folder + "/bad.json")
+            << R"({"config_version":"3","resources":[{"resource_type":"table"}]})";
+    }
+
+  public:
+    // Output and exit status of the tools, and the help texts.
+    void commandLine() {
+        House house;
+        writeConfigurations(house);
+        std::string seen;
+        for (const auto& words : std::vector<std::vector<std::string>>{{"config", "check", "good.json"},
+                                                                       {"config", "check", "bad.json"},
+                                                                       {"config", "check", "none.json"},
+                                                                       {"explain", "good.json", "h", "/a/1"},
+                                                                       {"explain", "good.json", "h", "/none"},
+                                                                       {"store", "show", "none"},
+                                                                       {"store", "burn", "none"},
+                                                                       {"scale-test"},
+                                                                       {"scale-test", "hollow"},
+                                                                       {"no-such-subcommand"},
+                                                                       {},
+                                                                       {"proxy"},
+                                                                       {"control-plane"},
+                                                                       {"--help"},
+                                                                       {"control-plane", "--help"},
+                                                                       {"config", "check", "--help"},
+                                                                       {"store", "--help"},
+                                                                       {"scale-test", "--help"},
+                                                                       {"status", "--help"}}) {
+            std::string line;
+            for (const auto& word : words) line += " " + word;
+            seen += "$" + line + "\n" + transcriptOf(house, words);
+        }
+        approve("command-line", seen);
+    }
+
+    // The subcommands' names of version 0.3 do what the present ones do.
+    void subcommandsOfBefore() {
+        House house;
+        writeConfigurations(house);
+        using Words = std::vector<std::string>;
+        for (const auto& [before, now] : std::vector<std::pair<Words, Words>>{
+                 {{"foyer"}, {"proxy"}},
+                 {{"foyer", "--help"}, {"proxy", "--help"}},
+                 {{"prompter"}, {"control-plane"}},
+                 {{"prompter", "--metrics"}, {"control-plane", "--metrics"}},
+                 {{"prompter", "--help"}, {"control-plane", "--help"}},
+                 {{"playbill"}, {"config"}},
+                 {{"playbill", "check", "good.json"}, {"config", "check", "good.json"}},
+                 {{"playbill", "check", "bad.json"}, {"config", "check", "bad.json"}},
+                 {{"promptbook", "show", "none"}, {"store", "show", "none"}},
+                 {{"promptbook", "found", "none", "--address", "127.0.0.1:1"},
+                  {"store", "found", "none", "--address", "127.0.0.1:1"}},
+                 {{"promptbook", "found", "none"}, {"store", "found", "none"}},
+                 {{"rehearse"}, {"scale-test"}},
+                 {{"rehearse", "scale", "none.json"}, {"scale-test", "none.json"}},
+                 {{"rehearse", "scale", "--help"}, {"scale-test", "--help"}},
+                 {{"rehearse", "hollow", "[]"}, {"scale-test", "hollow", "[]"}},
+                 {{"rehearse", "hollow", "--help"}, {"scale-test", "hollow", "--help"}}}) {
+            std::string line;
+            for (const auto& word : before) line += " " + word;
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(line, transcriptOf(house, now), transcriptOf(house, before));
+        }
+    }
+};
+CPPUNIT_TEST_SUITE_REGISTRATION(CommandLineTest);
--- /dev/null
+++ b/tests/support/cluster_fixture.hpp
@@ -0,0 +1,262 @@
+// The gateway's own programs as processes on loopback addresses: three control planes, two proxies, and
+// stand-ins for the platform, the pods and the operator. Machines are killed, lose their disks and come back.
+// Waiting is for lines of their logs and for answers, never for time alone.
+#pragma once
+
+#include <spawn.h>
+#include <sys/wait.h>
+
+#include <boost/asio/posix/stream_descriptor.hpp>
+#include <boost/asio/read_until.hpp>
+#include <boost/asio/streambuf.hpp>
+#include <boost/beast/http/read.hpp>
+#include <boost/beast/http/string_body.hpp>
+#include <boost/beast/http/write.hpp>
+#include <csignal>
+#include <filesystem>
+#include <set>
+
+#include "support/transcript.hpp"
+#include "transport/peer_connection.hpp"
+
+extern char** environ;
+
+namespace cluster {
+
+using namespace lichenlanding::transport;
+using lichenlanding::Nanos;
+namespace http = boost::beast::http;
+
+struct Program {
+    pid_t id = -1;
+    std::unique_ptr<asio::posix::stream_descriptor> out;
+    std::vector<Json> lines;
+    int status = -1;
+};
+
+class House {
+  public:
+    House() {
+        auto made = (std::filesystem::temp_directory_path() / "house-XXXXXX").string();
+        CPPUNIT_ASSERT(mkdtemp(made.data()));
+        folder = made;
+        for (auto* port : {&internal, &control, &front, &probe}) {
+            tcp::acceptor free(listen(io, "127.0.0.1:0"));
+            *port = free.local_endpoint().port();
+        }
+        platform = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
+        start(io, "platform", accept(*platform, [this](const auto& request) { return list(request); }));
+        for (const auto* name : {"i-1", "i-2"}) {
+            doors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
+            pods[name] = "127.0.0.1:" + std::to_string(doors.back()->local_endpoint().port());
+            start(io, "pod", accept(*doors.back(), [this](const auto& request) { return serve(request); }));
+        }
+    }
+    ~House() {
+        for (auto& [_, program] : programs) stop(program, SIGKILL);
+        std::filesystem::remove_all(folder);
+    }
+
+    static std::string ip(const std::string& name) {
+        return (name[0] == 'c' ? "127.0.1." : "127.0.2.") + name.substr(1);
+    }
+    std::string at(const std::string& name, unsigned port) const {
+        return ip(name) + ":" + std::to_string(port);
+    }
+
+    void launch(const std::string& name, bool bootstrap = true) {
+        const bool core = name[0] == 'c';
+        const auto disk = folder + "/" + name;
+        std::filesystem::create_directories(disk);
+        Json settings{{"node_name", name},
+                      {"ip_address", ip(name)},
+                      {"zone", "z"},
+                      {"internal_ports", {internal, internal}},
+                      {"seed_nodes", {at("c1", control), at("c2", control), at("c3", control)}},
+                      {"bootstrap", bootstrap},
+                      {"quorum_member", core},
+                      {"data_dir", disk},
+                      {"limits", {{"disk_mb", 64}}},
+                      {"fault_tolerance", {{"machines", 1}}},
+                      {"bounds", {"grace=600ms"}},
+                      {"cloud_api",
+                       {{"address", "127.0.0.1:" + std::to_string(platform->local_endpoint().port())},
+                        {"rate_per_s", 40.0}}},
+                      {"listen_addresses",
+                       {{"front_http", at(name, front)},
+                        {"readiness", at(name, probe)},
+                        {"control_plane", at(name, control)}}}};
+        const auto file = disk + ".json";
+        std::ofstream(file) << settings;
+        spawn(programs[name], {core ? "control-plane" : "proxy"}, "LICHENLANDING_SETTINGS=" + file);
+    }
+    void spawn(Program& program, std::vector<std::string> words, const std::string& variable) {
+        int ends[2];
+        CPPUNIT_ASSERT(pipe(ends) == 0);
+        posix_spawn_file_actions_t actions;
+        posix_spawn_file_actions_init(&actions);
+        posix_spawn_file_actions_adddup2(&actions, ends[1], 2);
+        posix_spawn_file_actions_adddup2(&actions, ends[1], 1);
+        posix_spawn_file_actions_addclose(&actions, ends[0]);
+        words.insert(words.begin(), GATEWAY);
+        std::vector<char*> arguments, variables;
+        for (auto& word : words) arguments.push_back(word.data());
+        arguments.push_back(nullptr);
+        auto text = variable;
+        variables = {text.data(), nullptr};
+        CPPUNIT_ASSERT(
+            posix_spawn(&program.id, GATEWAY, &actions, nullptr, arguments.data(), variables.data()) == 0);
+        posix_spawn_file_actions_destroy(&actions);
+        close(ends[1]);
+        program.lines.clear();
+        program.out = std::make_unique<asio::posix::stream_descriptor>(io, ends[0]);
+        start(io, "log", follow(program));
+    }
+    void stop(Program& program, int signal) {
+        if (program.id <= 0) return;
+        kill(program.id, signal);
+        waitpid(program.id, &program.status, 0);
+        program.id = -1;
+    }
+    // Until the program has logged `event`, after the first `from` lines.
+    std::size_t await(const std::string& name, const std::string& event, std::size_t from = 0) {
+        auto& lines = programs[name].lines;
+        for (std::size_t line = from;;) {
+            for (; line < lines.size(); ++line)
+                if (lines[line].value("event", "") == event) return line + 1;
+            if (io.run_one_for(std::chrono::seconds(15)) > 0) continue;
+            std::string all;
+            for (const auto& seen : lines) all += seen.dump() + "\n";
+            CPPUNIT_FAIL(name + " never said " + event + "; it said\n" + all);
+        }
+    }
+    // One call on a connection of its own. {0, ""} where nobody answers.
+    std::pair<int, std::string> call(const std::string& address, http::verb method, const std::string& target,
+                                     const std::string& body = "", const std::string& id = "") {
+        std::pair<int, std::string> answer{0, ""};
+        bool done = false;
+        start(io, "call", ask(address, method, target, body, id, answer, done));
+        while (!done) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
+        return answer;
+    }
+    std::pair<int, std::string> rpc(const std::string& name, const std::string& what,
+                                    const std::string& body = "") {
+        return call(at(name, control), http::verb::post, "/api/rpc?call=" + what, body);
+    }
+    int replace(const std::string& name, const std::string& configuration) {
+        return rpc(name, "config.replace", configuration).first;
+    }
+    Json status(const std::string& name) { return Json::parse(rpc(name, "status").second); }
+    int get(const std::string& name, const std::string& path) {
+        return call(at(name, front), http::verb::get, path, "", "get").first;
+    }
+    int readiness(const std::string& name) {
+        return call(at(name, probe), http::verb::get, "/api/readiness").first;
+    }
+    // Asked again until it says so; each try is a whole exchange.
+    template <typename RoutedRequest>
+    void until(const char* what, RoutedRequest holds) {
+        for (const Nanos end = now() + 15 * kSecond; now() < end;)
+            if (holds()) return;
+        CPPUNIT_FAIL(std::string("never: ") + what);
+    }
+    static std::string configuration(int version, const std::string& prefix) {
+        char digits[9];
+        std::snprintf(digits, sizeof digits, "%08x", version);
+        std::string all = std::string(R"({"config_version":")") + digits + R"(","resources":[)";
+        for (const auto& [kind, path] : std::vector<std::pair<std::string, std::string>>{
+                 {"idempotent", "/r/"}, {"non_idempotent", "/w/"}, {"idempotent", prefix}})
+            all += R"({"resource_type":"route_table","metadata":{"name":")" + path +
+                   R"("},"spec":{"hostname":"h","path_prefix":")" + path + R"(","route_class":")" + kind +
+                   R"(","timeout":"2s","target_latency":"1s","service_name":"s","max_attempts":2}},)";
+        return all +
+               R"({"resource_type":"service_table","metadata":{"name":"s"},"spec":{"max_connections":50}}]})";
+    }
+
+    asio::io_context io{1};
+    std::string folder;
+    unsigned internal = 0, control = 0, front = 0, probe = 0;
+    std::unique_ptr<tcp::acceptor> platform;
+    std::vector<std::unique_ptr<tcp::acceptor>> doors;
+    std::map<std::string, std::string> pods;
+    std::multiset<std::string> ran;  // ids that pods have run
+    std::map<std::string, Program> programs;
+
+  private:
+    Json list(const http::request<http::string_body>&) {
+        Json entries = Json::array();
+        for (const auto& [id, address] : pods)
+            entries.push_back({{"instance_id", id},
+                               {"service_name", "s"},
+                               {"address", address},
+                               {"zone", "z"},
+                               {"config_version", "v1"},
+                               {"capacity_slots", 2},
+                               {"state", "ready"},
+                               {"warmup_left", "0ms"}});
+        return {{"instance_list", entries}, {"next_token", nullptr}};
+    }
+    Json serve(const http::request<http::string_body>& request) {
+        ran.insert(std::string(request["X-Attempt-Id"]));
+        return "served";
+    }
+    Task<> accept(tcp::acceptor& door, std::function<Json(const http::request<http::string_body>&)> handle) {
+        for (;;) {
+            ErrorCode code;
+            auto socket = co_await door.async_accept(withErrorCode(code));
+            if (code) co_return;
+            start(io, "connection", answer(std::move(socket), handle));
+        }
+    }
+    Task<> answer(tcp::socket socket, std::function<Json(const http::request<http::string_body>&)> handle) {
+        beast::flat_buffer buffer;
+        for (;;) {
+            http::request<http::string_body> request;
+            ErrorCode code;
+            co_await http::async_read(socket, buffer, request, withErrorCode(code));
+            if (code) co_return;
+            http::response<http::string_body> response(http::status::ok, 11);
+            response.set("X-Attempt-Id", request["X-Attempt-Id"]);
+            response.set("X-Response-Seal", "seal");
+            response.body() = handle(request).dump();
+            response.prepare_payload();
+            co_await http::async_write(socket, response, withErrorCode(code));
+            if (code) co_return;
+        }
+    }
+    Task<> follow(Program& program) {
+        asio::streambuf buffer;
+        for (;;) {
+            ErrorCode code;
+            co_await asio::async_read_until(*program.out, buffer, '\n', withErrorCode(code));
+            if (code) co_return;
+            std::istream stream(&buffer);
+            std::string line;
+            std::getline(stream, line);
+            auto read = Json::parse(line, nullptr, false);
+            program.lines.push_back(read.is_object() ? std::move(read) : Json{{"text", line}});
+        }
+    }
+    Task<> ask(std::string address, http::verb method, std::string target, std::string body, std::string id,
+               std::pair<int, std::string>& answer, bool& done) {
+        beast::tcp_stream stream(io);
+        stream.expires_after(std::chrono::seconds(3));
+        ErrorCode code;
+        co_await stream.async_connect(endpoint(address), withErrorCode(code));
+        if (!code) {
+            http::request<http::string_body> request(method, target, 11);
+            request.set(http::field::host, "h");
+            if (!id.empty()) request.set("X-Attempt-Id", id), request.set("X-Deadline-Ms", "2000");
+            request.body() = body;
+            request.prepare_payload();
+            co_await http::async_write(stream, request, withErrorCode(code));
+            beast::flat_buffer buffer;
+            http::response<http::string_body> response;
+            if (!code) co_await http::async_read(stream, buffer, response, withErrorCode(code));
+            if (!code) answer = {static_cast<int>(response.result_int()), response.body()};
+        }
+        done = true;
+    }
+};
+
+}  // namespace cluster
