--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -279,7 +279,7 @@
 void ControlPlane::run() {
     handleSignals(
         io_, [this] { shutDown(); }, [this] { reloadSettings(); });
-    log("start", {});
+    log("control_plane_started", {});
     replica_.open();
     dialSeeds();
     dialMembers();
@@ -288,20 +288,20 @@
 }
 
 void ControlPlane::startTasks() {
-    spawn(io_, "links", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
-    spawn(io_, "control", adminServer_.serve(adminAcceptor_));
-    spawn(io_, "register", replica_.run());
-    spawn(io_, "register", readRolloutsFirst());
-    spawn(io_, "known", sendStateReports());
-    spawn(io_, "duties", leases_.run());
-    spawn(io_, "list", endpointDiscovery_.run());
+    spawn(io_, "peer_connections", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
+    spawn(io_, "admin_server", adminServer_.serve(adminAcceptor_));
+    spawn(io_, "replica", replica_.run());
+    spawn(io_, "read_rollouts", readRolloutsFirst());
+    spawn(io_, "state_reports", sendStateReports());
+    spawn(io_, "leases", leases_.run());
+    spawn(io_, "endpoint_list", endpointDiscovery_.run());
     spawn(io_, "rollouts", rollouts_.run());
 }
 
 void ControlPlane::shutDown() {
-    spawn(io_, "leave", [](ControlPlane& self) -> Task<> {
+    spawn(io_, "shut_down", [](ControlPlane& self) -> Task<> {
         co_await self.replica_.stepDown();
-        log("left", {});
+        log("control_plane_stopped", {});
         self.io_.stop();
     }(*this));
 }
@@ -310,9 +310,9 @@
     try {
         boot_ = config::BootstrapSettings::fromEnvironment();
         dialSeeds();
-        log("settings_read", {});
+        log("settings_reloaded", {});
     } catch (const std::exception& error) {
-        log("settings_refused", {{"step", "reload"}, {"error", error.what()}});
+        log("settings_rejected", {{"step", "reload"}, {"error", error.what()}});
     }
 }
 
