--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -16,6 +16,7 @@
 #include "config/configuration.hpp"
 #include "hashing/rendezvous.hpp"
 #include "leases/leases.hpp"
+#include "membership/codec.hpp"
 #include "messages/codec.hpp"
 #include "subscription/configuration_cache.hpp"
 #include "support/replica_node_fixture.hpp"
@@ -115,7 +116,7 @@
         proposalNumber = messages::write(messages::decodeProposalNumber(proposalNumber));
     return all;
 }
-Json epoch(const Json& told) { return membership::write(membership::decodeEpoch(told)); }
+Json epoch(const Json& told) { return membership::encode(membership::decodeEpoch(told)); }
 
 // The message with each part that has a reader and a writer read and written.
 Json rewritten(Json told) {
@@ -129,8 +130,8 @@
     if (kind == "pong") told["held"] = proposalNumbers(told["held"]);
     if (kind == "known") told["ballots"] = proposalNumbers(told["ballots"]);
     if (kind == "learn") told["ballot"] = messages::write(messages::decodeProposalNumber(told["ballot"]));
-    if (kind == "reg") told["request"] = membership::write(membership::decodeRequest(told["request"]));
-    if (kind == "reply") told["reply"] = membership::write(membership::decodeReply(told["reply"]));
+    if (kind == "reg") told["request"] = membership::encode(membership::decodeRequest(told["request"]));
+    if (kind == "reply") told["reply"] = membership::encode(membership::decodeReply(told["reply"]));
     if (kind == "counts") told["totals"] = messages::write(messages::decodeTotals(told["totals"]));
     if (kind == "configuration")
         told["squeezed"] = messages::encodeBytes(messages::decodeBytes(told["squeezed"]));
@@ -355,7 +356,7 @@
                 CPPUNIT_ASSERT(standing.open && !standing.next && !standing.before);
                 CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, standing.epoch.number);
                 CPPUNIT_ASSERT(storedMembers == standing.epoch.members);
-                CPPUNIT_ASSERT_EQUAL(notes.at("standing"), membership::write(standing).dump());
+                CPPUNIT_ASSERT_EQUAL(notes.at("standing"), membership::encode(standing).dump());
                 const auto seen =
                     Json::parse(notes.at("witness")).get<std::map<std::string, std::uint64_t>>();
                 CPPUNIT_ASSERT(seen.size() >= 4);
@@ -378,21 +379,21 @@
             const LmdbReplicaStore book(copied("promptbook/" + store), 8 << 20);
             const auto& address = storedMembers[copies.size()].address;
             auto& copy = copies.emplace_back(address, book.note(storage::kDiskNote));
-            copy.put(
+            copy.apply(
                 {book.cells(), membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
-            CPPUNIT_ASSERT(copy.counts());
+            CPPUNIT_ASSERT(copy.isVotingMember());
         }
-        const consensus::Epoch& epoch = copies[0].standing().epoch;
+        const consensus::Epoch& epoch = copies[0].epochState().epoch;
         const auto ended = [&](const std::string& key, const consensus::Change& change, bool look) {
             consensus::Proposal run(key, epoch, 7, 1000, change, look);
             for (int turns = 0; run.step() != consensus::Proposal::Step::done && turns < 9; ++turns)
                 for (std::uint32_t place = 0; place < copies.size(); ++place) {
                     const auto step = run.step();
                     std::optional<consensus::Update> update;
-                    const auto request = membership::decodeRequest(membership::write(run.request()));
+                    const auto request = membership::decodeRequest(membership::encode(run.request()));
                     const auto reply = copies[place].evaluate(request, update);
-                    if (update) copies[place].put(*update);
-                    run.on(place, step, membership::decodeReply(membership::write(reply)));
+                    if (update) copies[place].apply(*update);
+                    run.handleReply(place, step, membership::decodeReply(membership::encode(reply)));
                     if (run.step() != step) break;
                 }
             CPPUNIT_ASSERT(run.step() == consensus::Proposal::Step::done);
@@ -439,7 +440,7 @@
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, replica.epoch().number);
             CPPUNIT_ASSERT(storedMembers == replica.epoch().members);
             CPPUNIT_ASSERT_EQUAL(disk, replica.describe().at("disk").get<std::string>());
-            const auto hello = replica.greeting();
+            const auto hello = replica.helloFields();
             CPPUNIT_ASSERT_EQUAL(disk, hello.at("about").at("disk").get<std::string>());
             CPPUNIT_ASSERT_EQUAL(store != "c2", hello.at("about").at("seated").get<bool>());
             const auto held = hello.at("about").at("held");
@@ -447,16 +448,16 @@
                                        {"duties", {9, 1104245121}},
                                        {"rollouts", {34, 1104245121}}}),
                                  held);
-            CPPUNIT_ASSERT(!replica.votes());
+            CPPUNIT_ASSERT(!replica.isVotingMember());
             for (const auto& member : storedMembers) {
                 if (member.address == told.internal(told.ip)) continue;
                 auto pong = message("pong");
                 pong["at"] = member.address, pong["disk"] = member.disk, pong["of"] = disk;
                 pong["seen"] = 1, pong["epoch"] = 4, pong["held"] = held, pong["seated"] = true;
                 pong["sent"] = now();
-                CPPUNIT_ASSERT(replica.heard(*std::make_shared<PeerConnection>(io, member.address), pong));
+                CPPUNIT_ASSERT(replica.handleMessage(*std::make_shared<PeerConnection>(io, member.address), pong));
             }
-            CPPUNIT_ASSERT_EQUAL(store != "c2", replica.votes());
+            CPPUNIT_ASSERT_EQUAL(store != "c2", replica.isVotingMember());
         }
     }
 
@@ -471,7 +472,7 @@
             ReplicaNode replica(io, told, {[](const std::string&) {}, [] {}}, ReplicaNode::onDisk(told));
             replica.open();
             // The first life writes down what it has become. A later one first hears from another member.
-            if (life == 0) until(io, "it votes", [&] { return replica.votes(); });
+            if (life == 0) until(io, "it votes", [&] { return replica.isVotingMember(); });
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, replica.epoch().number);
             CPPUNIT_ASSERT(replica.members() ==
                            (std::set<std::string>{me, "127.0.1.2:7720", "127.0.1.3:7720"}));
@@ -505,7 +506,7 @@
         CPPUNIT_ASSERT(!standing.open && standing.next && standing.before);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, standing.next->number);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, standing.before->number);
-        CPPUNIT_ASSERT_EQUAL(sealed, membership::write(standing).dump());
+        CPPUNIT_ASSERT_EQUAL(sealed, membership::encode(standing).dump());
     }
 
     // Each message, read and written, is the same bytes on the link.
@@ -530,7 +531,7 @@
             return membership::decodeRequest(message(name).at("request"));
         };
         using Kind = consensus::Request::Kind;
-        CPPUNIT_ASSERT(request("reg_look").kind == Kind::look);
+        CPPUNIT_ASSERT(request("reg_look").kind == Kind::read);
         CPPUNIT_ASSERT(request("reg_prepare").kind == Kind::prepare);
         CPPUNIT_ASSERT(request("reg_accept").kind == Kind::accept);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, leases::read(request("reg_accept").value).at("list").term);
@@ -544,11 +545,11 @@
         const auto reply = [](const char* name) {
             return membership::decodeReply(message(name).at("reply"));
         };
-        CPPUNIT_ASSERT(reply("reply_in_succession_refused").refused);
-        CPPUNIT_ASSERT(!reply("reply_not_taken").taken && reply("reply_taken").taken);
+        CPPUNIT_ASSERT(reply("reply_in_succession_refused").rejected);
+        CPPUNIT_ASSERT(!reply("reply_not_taken").accepted && reply("reply_taken").accepted);
         CPPUNIT_ASSERT(reply("reply_taken_spared").valueOmitted &&
                        reply("reply_in_succession_taken_sealed").sealed);
-        CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").cells.contains("epoch/4"));
+        CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").states.contains("epoch/4"));
         // A writer's number in ballots is a hash of its address; c3 was the first to propose members.
         CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.writer, numberOf("127.0.1.3:7720"));
         const auto totals = messages::decodeTotals(message("counts").at("totals"));
@@ -689,7 +690,7 @@
         cast.until("contact", [&] { return cast.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("value"), cast.write(0, "value"));
         cast.members[1]->kill();
-        cast.until("another sits in its place", [&] { return cast.replica(3).votes(); });
+        cast.until("another sits in its place", [&] { return cast.replica(3).isVotingMember(); });
         cast.until("its word", [&] { return kinds.size() == 6; });
         for (const auto& told : all) sameFields(told);
         CPPUNIT_ASSERT(kinds == (std::set<std::string>{"learn", "ping", "pong", "reg", "reply", "standing"}));
