--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,6 +1,7 @@
 #include "membership/membership.hpp"
 
 #include <algorithm>
+#include <map>
 #include <tuple>
 
 #include "hashing/rendezvous.hpp"
@@ -10,17 +11,21 @@
 
 using Members = std::vector<consensus::Member>;
 
-// Whether the loss of the `lost` fullest places leaves more than half.
+bool contains(const Members& members, const consensus::Member& member) {
+    return std::find(members.begin(), members.end(), member) != members.end();
+}
+
+// Whether the loss of the `lost` places with most members leaves more than half of all members.
 template <typename Place>
-bool bears(const Members& members, int lost, Place place) {
+bool survives(const Members& members, int lost, Place place) {
     std::map<std::string, std::size_t> counts;
     for (const auto& member : members) ++counts[place(member)];
-    std::vector<std::size_t> fullest;
-    for (const auto& [_, count] : counts) fullest.push_back(count);
-    std::sort(fullest.rbegin(), fullest.rend());
+    std::vector<std::size_t> largest;
+    for (const auto& [_, count] : counts) largest.push_back(count);
+    std::sort(largest.rbegin(), largest.rend());
     std::size_t gone = 0;
-    for (std::size_t at = 0; at < fullest.size() && at < static_cast<std::size_t>(lost); ++at)
-        gone += fullest[at];
+    for (std::size_t at = 0; at < largest.size() && at < static_cast<std::size_t>(lost); ++at)
+        gone += largest[at];
     return 2 * gone < members.size();
 }
 
@@ -30,55 +35,69 @@
     std::map<std::string, int> zones, regions;
     while (chosen.size() < count && !left.empty()) {
         const auto rank = [&](const consensus::Member& one) {
-            const bool held = std::find(now.begin(), now.end(), one) != now.end();
-            return std::tuple(regions[one.region], zones[one.zone], !held,
+            return std::tuple(regions[one.region], zones[one.zone], !contains(now, one),
                               hashing::hash("member", one.address), one.disk);
         };
         const auto best = std::min_element(left.begin(), left.end(), [&](const auto& one, const auto& other) {
             return rank(one) < rank(other);
         });
-        ++regions[best->region], ++zones[best->zone];
+        ++regions[best->region];
+        ++zones[best->zone];
         chosen.push_back(*best);
         left.erase(best);
     }
     return chosen;
 }
 
+// Those that can be members, in order: present, and complete or members already.
+Members eligible(const Members& now, const std::vector<Candidate>& candidates) {
+    Members pool;
+    for (const auto& candidate : candidates)
+        if (candidate.present && (candidate.complete || contains(now, candidate.member)))
+            pool.push_back(candidate.member);
+    std::sort(pool.begin(), pool.end());
+    return pool;
+}
+
+// The smallest number of members with the fewest unmet losses.
+Members smallestSet(const Members& pool, const Members& now, const FaultTolerance& tolerance) {
+    const auto least = static_cast<std::size_t>(2 * std::max(tolerance.machines, 0) + 1);
+    Members chosen;
+    std::size_t fewestUnmet = 0;
+    for (auto count = least; count <= std::max(least, pool.size()); count += 2) {
+        auto members = spread(pool, count, now);
+        const auto unmet = unmetTolerance(members, tolerance).size();
+        if (chosen.empty() || unmet < fewestUnmet) {
+            chosen = std::move(members);
+            fewestUnmet = unmet;
+        }
+        if (unmet == 0) break;
+    }
+    return chosen;
+}
+
 }  // namespace
 
 std::vector<std::string> unmetTolerance(const Members& members, const FaultTolerance& tolerance) {
     std::vector<std::string> all;
-    const auto ask = [&](int lost, const char* what, auto place) {
-        if (lost > 0 && !bears(members, lost, place))
-            all.push_back(std::to_string(lost) + " " + what + (lost > 1 ? "s" : ""));
+    const auto check = [&](int lost, const char* kind, auto place) {
+        if (lost > 0 && !survives(members, lost, place))
+            all.push_back(std::to_string(lost) + " " + kind + (lost > 1 ? "s" : ""));
     };
-    ask(tolerance.machines, "machine", [](const consensus::Member& one) { return one.address; });
-    ask(tolerance.zones, "zone", [](const consensus::Member& one) { return one.zone; });
-    ask(tolerance.regions, "region", [](const consensus::Member& one) { return one.region; });
+    check(tolerance.machines, "machine", [](const consensus::Member& one) { return one.address; });
+    check(tolerance.zones, "zone", [](const consensus::Member& one) { return one.zone; });
+    check(tolerance.regions, "region", [](const consensus::Member& one) { return one.region; });
     return all;
 }
 
 Members planMembers(const Members& now, const std::vector<Candidate>& candidates,
                     const FaultTolerance& tolerance) {
-    Members pool;
-    for (const auto& candidate : candidates) {
-        const bool held = std::find(now.begin(), now.end(), candidate.member) != now.end();
-        if (candidate.present && (candidate.complete || held)) pool.push_back(candidate.member);
-    }
-    std::sort(pool.begin(), pool.end());
-    const auto least = static_cast<std::size_t>(2 * std::max(tolerance.machines, 0) + 1);
-    Members chosen;
-    std::size_t unborne = 0;
-    for (auto count = least; count <= std::max(least, pool.size()); count += 2) {
-        auto these = spread(pool, count, now);
-        const auto bad = unmetTolerance(these, tolerance).size();
-        if (chosen.empty() || bad < unborne) chosen = these, unborne = bad;
-        if (bad == 0) break;
-    }
-    // Where the machines at hand are too few, those that are absent keep their seats.
+    const auto pool = eligible(now, candidates);
+    auto chosen = smallestSet(pool, now, tolerance);
+    // Where the machines at hand are too few, absent members keep their places.
     for (const auto& member : now) {
         if (chosen.size() >= std::max(now.size(), std::size_t{1})) break;
-        if (std::find(chosen.begin(), chosen.end(), member) == chosen.end()) chosen.push_back(member);
+        if (!contains(chosen, member)) chosen.push_back(member);
     }
     // What would not have a majority of its own at once is no plan.
     const auto live = std::count_if(chosen.begin(), chosen.end(), [&](const auto& one) {
