--- a/src/control_plane/epoch_tracker.cpp
+++ b/src/control_plane/epoch_tracker.cpp
@@ -40,8 +40,9 @@
     Json members = Json::array();
     for (const auto& member : epoch.members) members.push_back(member.address);
     const bool isMember = acceptor.isMember(epoch);
-    log("epoch", {{"number", epoch.number}, {"members", members}, {"votes", isMember}});
-    if (!wasMember && isMember) log("rejoined", {{"number", epoch.number}, {"disk", acceptor.disk()}});
+    log("epoch_opened", {{"number", epoch.number}, {"members", members}, {"votes", isMember}});
+    if (!wasMember && isMember)
+        log("membership_gained", {{"number", epoch.number}, {"disk", acceptor.disk()}});
     install();
     onOpened_();
 }
--- a/src/control_plane/quorum_contact_monitor.cpp
+++ b/src/control_plane/quorum_contact_monitor.cpp
@@ -29,16 +29,16 @@
     contactSince_ = now();
     if (!hasContact_) return;
     hasContact_ = false;
-    log("contact_lost", {{"step", "contact"}, {"epoch", epochs_.open().number}});
+    log("quorum_contact_lost", {{"step", "contact"}, {"epoch", epochs_.open().number}});
     hooks_.onContactChanged();
 }
 
 void QuorumContactMonitor::establish() {
     hasContact_ = true;
     const auto epoch = epochs_.open().number;
-    if (!hadContact_) log("formed", {{"epoch", epoch}, {"keys", learner_.knownCount()}});
+    if (!hadContact_) log("register_synchronized", {{"epoch", epoch}, {"keys", learner_.knownCount()}});
     hadContact_ = true;
-    log("contact", {{"epoch", epoch}});
+    log("quorum_contact_established", {{"epoch", epoch}});
     hooks_.onContactChanged();
 }
 
--- a/src/control_plane/reconfiguration_driver.cpp
+++ b/src/control_plane/reconfiguration_driver.cpp
@@ -145,7 +145,7 @@
     const consensus::Epoch proposed{from.number + 1, std::move(members)};
     Json names = Json::array();
     for (const auto& member : proposed.members) names.push_back(member.address);
-    log("members_proposed", {{"epoch", proposed.number}, {"members", names}});
+    log("epoch_proposed", {{"epoch", proposed.number}, {"members", names}});
     const auto value = membership::encode(proposed).dump();
     const consensus::Change firstStays = [value](const std::string& held) {
         return held.empty() ? value : held;
@@ -201,7 +201,7 @@
         else co_await sleep(kStepDownPause);
     }
     if (isOwnMember(epochs_.open().members))
-        log("seat_kept", {{"step", "leave"}, {"members", epochs_.open().members.size()}});
+        log("membership_kept", {{"step", "leave"}, {"members", epochs_.open().members.size()}});
 }
 
 void ReconfigurationDriver::reportUnmetTolerance() {
@@ -211,7 +211,7 @@
             unmet += (unmet.empty() ? "" : ", ") + loss;
     if (unmet == unmetTolerance_) return;
     unmetTolerance_ = unmet;
-    log(unmet.empty() ? "borne" : "not_borne",
+    log(unmet.empty() ? "fault_tolerance_met" : "fault_tolerance_unmet",
         {{"epoch", epochs_.open().number}, {"loss_of", unmet}, {"members", epochs_.open().members.size()}});
 }
 
--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -46,7 +46,7 @@
         states = store_->cells();
         for (const auto& name : kStoredNotes) notes[name] = store_->note(name);
     } catch (const storage::StorageError& damaged) {
-        log("book_damaged", {{"step", "open"}, {"error", damaged.what()}});
+        log("store_corrupt", {{"step", "open"}, {"error", damaged.what()}});
         store_.reset();
         store_ = opener_(true);
         notes.clear();
@@ -58,11 +58,11 @@
     witnessed_ = std::move(stored.witnessed);
     acceptor_ = consensus::Acceptor(founding_.address, stored.disk);
     acceptor_.apply(stored.update);
-    log("book_open", {{"disk", stored.disk},
-                      {"epoch", acceptor_.epochState().epoch.number},
-                      {"votes", acceptor_.isVotingMember()},
-                      {"founding", stored.isFounder},
-                      {"keys", acceptor_.states().size()}});
+    log("store_opened", {{"disk", stored.disk},
+                         {"epoch", acceptor_.epochState().epoch.number},
+                         {"votes", acceptor_.isVotingMember()},
+                         {"founding", stored.isFounder},
+                         {"keys", acceptor_.states().size()}});
 }
 
 void ReplicaStorage::activate() {
@@ -117,7 +117,7 @@
 }
 
 void ReplicaStorage::renewIdentity(const char* reason) {
-    log("disk_renewed", {{"step", "identity"}, {"why", reason}, {"disk", acceptor_.disk()}});
+    log("disk_identity_replaced", {{"step", "identity"}, {"why", reason}, {"disk", acceptor_.disk()}});
     const auto epochState = acceptor_.epochState();
     const auto states = acceptor_.states();
     acceptor_ = consensus::Acceptor(founding_.address, drawDiskId());
@@ -256,7 +256,7 @@
     });
     while (!ended) co_await finished.wait(now() + 3600 * kSecond);
     if (failure.empty()) ++writes_;
-    else log("disk_refused", {{"step", "write"}, {"error", failure}});
+    else log("store_write_failed", {{"step", "write"}, {"error", failure}});
     co_return failure.empty();
 }
 
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -271,7 +271,7 @@
 
     static void open(House& house) {
         for (const auto* name : {"c1", "c2", "c3", "e1", "e2"}) house.launch(name);
-        for (const auto* name : {"c1", "c2", "c3"}) house.await(name, "formed");
+        for (const auto* name : {"c1", "c2", "c3"}) house.await(name, "register_synchronized");
         // Each has said that it is in contact: the first call at any of them is taken.
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c2", House::configuration(3, "/a/")));
         for (const auto* name : {"e1", "e2"}) house.await(name, "ready");
@@ -320,7 +320,7 @@
                     [&] { return house.rpc("c3", "config.read").first == 200; });
         std::filesystem::remove_all(house.folder + "/c1");
         house.launch("c1", false);
-        house.await("c1", "rejoined");
+        house.await("c1", "membership_gained");
         house.stop(house.programs["c2"], SIGKILL);
         // Orders of before are known again by control nodes that have been down, one with an empty disk.
         int again = 503;
@@ -449,7 +449,7 @@
             return pods.contains("s") && pods.at("s").at("v1").at(0) == 1;
         });
         house.launch(holder, false);
-        house.await(holder, "contact");
+        house.await(holder, "quorum_contact_established");
         house.until("it knows of the term", [&] { return duty(holder).at("term") == kSecond; });
         CPPUNIT_ASSERT(!duty(holder).at("mine").get<bool>());
     }
@@ -460,7 +460,7 @@
         House house;
         open(house);
         for (const auto* name : {"c1", "c3", "e1", "e2"}) house.stop(house.programs[name], SIGKILL);
-        house.await("c2", "contact_lost");
+        house.await("c2", "quorum_contact_lost");
         house.launch("e2", false);
         house.await("e2", "news_unsure");
         const auto taken = house.await("e2", "news_taken_unsure");
