--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -48,10 +48,10 @@
 
 void ControlPlaneFeed::logContact(ContactChange change) const {
     if (change == ContactChange::none) return;
-    log(change == ContactChange::unsure ? "news_unsure" : "news_sure",
-        {{"step", "news"},
+    log(change == ContactChange::unsure ? "control_plane_contact_lost" : "control_plane_contact_established",
+        {{"step", "control_plane"},
          {"configuration", config::formatVersion(cache_.version())},
-         {"held_sure", quorumContact_.sure()}});
+         {"held_confirmed", quorumContact_.sure()}});
 }
 
 Json ControlPlaneFeed::digest() const {
@@ -62,7 +62,8 @@
 
 bool ControlPlaneFeed::isWaitOver() {
     if (!quorumContact_.waited(cache_.version() > 0, now())) return false;
-    log("news_taken_unsure", {{"step", "news"}, {"waited_ms", quorumContact_.unsureWait / kMillisecond}});
+    log("unconfirmed_state_accepted",
+        {{"step", "control_plane"}, {"waited_ms", quorumContact_.unsureWait / kMillisecond}});
     return true;
 }
 
@@ -71,7 +72,7 @@
         router_.setConfiguration(std::make_shared<const config::Configuration>(
             config::Configuration::read(decompress(compressed))));
     } catch (const std::exception& wrong) {
-        log("configuration_unreadable", {{"step", "take"}, {"error", wrong.what()}});
+        log("configuration_rejected", {{"step", "apply"}, {"error", wrong.what()}});
     }
     listener_.configuration(router_.configuration() ? router_.configuration()->version : 0);
 }
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -63,7 +63,7 @@
                 start(io_, "leave", drainAndStop());
             },
             [this] { reload(); });
-        log("start", {{"seed", seed_}, {"life", life_}});
+        log("proxy_started", {{"seed", seed_}, {"life", life_}});
         connections_.dialSeeds();
         start(io_, "links", connections_.serve(peerAcceptor_));
         start(io_, "clients", httpServer_.serve(clientAcceptor_));
@@ -95,7 +95,7 @@
         for (const auto& name : fleet_.watched()) {
             const auto at = fleet_.proxies().find(name);
             if (at == fleet_.proxies().end() || at->second != connection.peer) continue;
-            log("neighbour_lost", {{"step", "watch"}, {"peer", name}});
+            log("peer_unresponsive", {{"step", "watch"}, {"peer", name}});
             connections_.sendToControlNodes(encode(PeerLost{name}));
         }
     }
@@ -151,23 +151,23 @@
         const Nanos gap = now() - std::exchange(lastHousekeeping_, now());
         if (gap <= kStandstillFrom) return;
         doubtUntil_ = now() + kWaitAfterStandstill;
-        log("woke", {{"stood_ms", gap / kMillisecond}});
+        log("standstill_detected", {{"stood_ms", gap / kMillisecond}});
     }
 
     void logReadiness() const {
         const auto& configuration = router_.configuration();
-        log(ready() ? "ready" : "unready",
+        log(ready() ? "readiness_gained" : "readiness_lost",
             {{"configuration", configuration ? config::formatVersion(configuration->version) : ""},
-             {"pods", router_.hosts().size()},
-             {"foyers", fleet_.proxies().size()},
-             {"leaving", stopping_}});
+             {"endpoints", router_.hosts().size()},
+             {"proxies", fleet_.proxies().size()},
+             {"draining", stopping_}});
     }
 
     // ---- Signals. ----
 
     Task<> drainAndStop() {
         const Nanos end = now() + settings_.grace - kExitBeforeGrace;
-        log("leaving", {{"open", httpServer_.openConnections()}});
+        log("drain_started", {{"open", httpServer_.openConnections()}});
         httpServer_.drain();
         co_await sleep(std::min(kAcceptFor, settings_.grace / 2));
         ErrorCode ignored;
@@ -177,10 +177,10 @@
             co_await sleep(kDrainPollEvery);
         }
         const auto& stats = httpServer_.stats();
-        log("left", {{"open", httpServer_.openConnections()},
-                     {"served", stats.served},
-                     {"refused", stats.rejected},
-                     {"failed", stats.failed}});
+        log("proxy_stopped", {{"open", httpServer_.openConnections()},
+                              {"served", stats.served},
+                              {"rejected", stats.rejected},
+                              {"failed", stats.failed}});
         io_.stop();
     }
 
@@ -188,9 +188,9 @@
         try {
             settings_ = config::BootstrapSettings::fromEnvironment();
             connections_.dialSeeds();
-            log("settings_read", {});
+            log("settings_reloaded", {});
         } catch (const std::exception& wrong) {
-            log("settings_refused", {{"step", "reload"}, {"error", wrong.what()}});
+            log("settings_rejected", {{"step", "reload"}, {"error", wrong.what()}});
         }
     }
 
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -216,7 +216,8 @@
         call->end = endWithoutAnswer(attempt);
         call->connection.reset();
         call->unread.reset();
-        log("send_failed", {{"step", "send"}, {"peer", host.endpoint.address}, {"error", error.what()}});
+        log("attempt_failed",
+            {{"step", "attempt"}, {"peer", host.endpoint.address}, {"error", error.what()}});
     }
     self->reportAttemptEnd(*call);
     self->attemptEnded_.notify();
@@ -242,8 +243,8 @@
     } catch (const std::logic_error& error) {
         // A fault of ours, told by the table. What is not known counts as executed.
         ++server_.stats.invalidTransitions;
-        log("attempt_out_of_order",
-            {{"step", "send"}, {"peer", host.endpoint.address}, {"error", error.what()}});
+        log("attempt_transition_rejected",
+            {{"step", "attempt"}, {"peer", host.endpoint.address}, {"error", error.what()}});
         if (attempt.inFlight())
             router.onAttemptEnded(request_->routed, attempt, endWithoutAnswer(attempt), status, took, at);
     }
--- a/src/scale_test/observations.cpp
+++ b/src/scale_test/observations.cpp
@@ -8,6 +8,8 @@
 
 namespace {
 
+constexpr const char* kProxyReadyEvent = "readiness_gained";  // in the log of a real proxy
+
 std::map<std::string, std::uint64_t> sumByPeer(const Json& messages) {
     std::map<std::string, std::uint64_t> sums;
     for (const auto& [peer, types] : messages.items())
@@ -20,7 +22,7 @@
 void Observations::addLogRecord(const std::string& process, Role role, const Json& record, Nanos now) {
     const auto event = record.value("event", "");
     logRecords[nameOf(role)][event] += 1 + record.value("held_back", 0);
-    if (event == "ready" && role == Role::proxy) readyTimes[process].push_back(now);
+    if (event == kProxyReadyEvent && role == Role::proxy) readyTimes[process].push_back(now);
 }
 
 void Observations::add(const std::string& process, Role role, const Json& line, Nanos now) {
--- a/tests/control_plane/endpoint_discovery.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -3,7 +3,7 @@
 
 #include "support/http_server_fixture.hpp"
 
-using namespace stage;
+using namespace http_server_fixture;
 
 class ListDutyTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ListDutyTest);
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -273,7 +273,7 @@
         for (const auto* name : {"c1", "c2", "c3"}) house.await(name, "formed");
         // Each has said that it is in contact: the first call at any of them is taken.
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c2", House::configuration(3, "/a/")));
-        for (const auto* name : {"e1", "e2"}) house.await(name, "ready");
+        for (const auto* name : {"e1", "e2"}) house.await(name, "readiness_gained");
     }
 
   public:
@@ -353,7 +353,7 @@
         const auto written = age("c1");
         for (auto& [_, program] : house.programs) house.stop(program, SIGKILL);
         for (const auto* name : {"c1", "c2", "c3", "e1"}) house.launch(name, false);
-        house.await("e1", "ready");
+        house.await("e1", "readiness_gained");
         const auto read = house.rpc("c3", "rollouts.read&of=s");
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"state":"in_progress","target_version":"v2"})"), read.second);
         CPPUNIT_ASSERT_EQUAL(House::configuration(3, "/a/"), house.rpc("c3", "config.read").second);
@@ -364,12 +364,12 @@
         CPPUNIT_ASSERT_EQUAL(200, house.readiness("e1"));
         auto& proxy = house.programs["e1"];
         kill(proxy.id, SIGHUP);
-        house.await("e1", "settings_read");
+        house.await("e1", "settings_reloaded");
         kill(proxy.id, SIGTERM);
-        house.await("e1", "leaving");
+        house.await("e1", "drain_started");
         CPPUNIT_ASSERT_EQUAL(503, house.readiness("e1"));
         CPPUNIT_ASSERT_EQUAL(200, house.get("e1", "/r/1"));
-        house.await("e1", "left");
+        house.await("e1", "proxy_stopped");
         house.stop(proxy, 0);
         CPPUNIT_ASSERT(WIFEXITED(proxy.status) && WEXITSTATUS(proxy.status) == 0);
         // A stopped control node's disk can be read.
@@ -408,7 +408,7 @@
         CPPUNIT_ASSERT_EQUAL(200, house.replace("c1", House::configuration(8, "/eight/")));
         house.await("c1", "link_silent");  // two seconds on, a control node has given it up
         kill(proxy.id, SIGCONT);
-        house.await("e1", "woke");
+        house.await("e1", "standstill_detected");
         // How soon is a matter of this machine's speed (150 ms are waited for); it never goes back.
         house.until("the foyer uses version 8", [&] { return get("/a/1") == 404; });
         CPPUNIT_ASSERT_EQUAL(200, get("/eight/1"));
@@ -461,12 +461,12 @@
         for (const auto* name : {"c1", "c3", "e1", "e2"}) house.stop(house.programs[name], SIGKILL);
         house.await("c2", "contact_lost");
         house.launch("e2", false);
-        house.await("e2", "news_unsure");
-        const auto taken = house.await("e2", "news_taken_unsure");
+        house.await("e2", "control_plane_contact_lost");
+        const auto taken = house.await("e2", "unconfirmed_state_accepted");
         CPPUNIT_ASSERT_EQUAL(503, house.readiness("e2"));
         CPPUNIT_ASSERT_EQUAL(503, house.rpc("c2", "config.read").first);
         house.launch("c1", false);
-        house.await("e2", "ready", house.await("e2", "news_sure", taken) - 1);
+        house.await("e2", "readiness_gained", house.await("e2", "control_plane_contact_established", taken) - 1);
         CPPUNIT_ASSERT_EQUAL(200, house.get("e2", "/r/1"));
     }
 
--- a/tests/proxy/http_server.cpp
+++ b/tests/proxy/http_server.cpp
@@ -1,106 +1,108 @@
-// Whole exchanges through a proxy's front: client, gateway, pods. Each case is one of the ways in which pods
-// and clients misbehave; the transcript shows what the client got and what reached which pod.
+// Whole exchanges through a proxy's HTTP server: client, gateway, pods. Each case is one of the ways in which
+// pods and clients misbehave; the transcript shows what the client got and what reached which pod.
 #include "support/http_server_fixture.hpp"
 
-using namespace stage;
+using namespace http_server_fixture;
 
-class FrontTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(FrontTest);
-    CPPUNIT_TEST(passing);
-    CPPUNIT_TEST(pipelined);
-    CPPUNIT_TEST(answersOfOthers);
-    CPPUNIT_TEST(brokenPods);
-    CPPUNIT_TEST(refusals);
-    CPPUNIT_TEST(unreadable);
-    CPPUNIT_TEST(chunksAndLength);
-    CPPUNIT_TEST(leaving);
-    CPPUNIT_TEST(slowReader);
-    CPPUNIT_TEST(largeBodies);
+class HttpServerTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(HttpServerTest);
+    CPPUNIT_TEST(requestsAndAnswersPassUnchanged);
+    CPPUNIT_TEST(pipelinedAnswersInOrder);
+    CPPUNIT_TEST(answersToOtherRequestsReachNobody);
+    CPPUNIT_TEST(podsThatBreakOff);
+    CPPUNIT_TEST(localReplies);
+    CPPUNIT_TEST(unreadableRequestsAreRejected);
+    CPPUNIT_TEST(chunksAndLengths);
+    CPPUNIT_TEST(clientsAndProxyThatLeave);
+    CPPUNIT_TEST(clientThatDoesNotReadIsClosed);
+    CPPUNIT_TEST(largeBodiesPassThrough);
     CPPUNIT_TEST_SUITE_END();
 
-    static std::string told(const std::string& what, Stage& stage, const std::string& client) {
-        return what + "\n client\n" + client + " pods\n" + stage.podsSaw();
+    static std::string told(const std::string& what, HttpServerFixture& fixture, const std::string& client) {
+        return what + "\n client\n" + client + " pods\n" + fixture.podsSaw();
     }
 
   public:
     // Method, path, query, body, ids and foreign headers pass unchanged; connection headers do not.
-    void passing() {
-        Stage stage;
-        stage.pod("A", {{ok("one", "X-Other: kept\r\nKeep-Alive: timeout=9\r\n")}, {ok("two")}});
-        auto seen = stage.client(
-            Stage::get("g1", "/read/a?b=c",
-                       "X-Mine: kept\r\nConnection: keep-alive, X-Hop\r\nX-Hop: off\r\nTE: trailers\r\n"),
+    void requestsAndAnswersPassUnchanged() {
+        HttpServerFixture fixture;
+        fixture.pod("A", {{ok("one", "X-Other: kept\r\nKeep-Alive: timeout=9\r\n")}, {ok("two")}});
+        auto seen = fixture.client(
+            HttpServerFixture::get(
+                "g1", "/read/a?b=c",
+                "X-Mine: kept\r\nConnection: keep-alive, X-Hop\r\nX-Hop: off\r\nTE: trailers\r\n"),
             1);
-        seen += stage.client(Stage::post("p1", "bread", "Content-Type: text/plain\r\n"), 1);
-        CPPUNIT_ASSERT_EQUAL(1, stage.connections["A"]);  // the second used the first's connection
-        approve("front-passing", told("a read and a write", stage, seen));
+        seen += fixture.client(HttpServerFixture::post("p1", "bread", "Content-Type: text/plain\r\n"), 1);
+        CPPUNIT_ASSERT_EQUAL(1, fixture.connections["A"]);  // the second used the first's connection
+        approve("http-server-passing", told("a read and a write", fixture, seen));
     }
 
     // Three reads ahead of the first answer, at pods of any pace: answers in the order asked.
-    void pipelined() {
-        Stage stage;
-        for (const auto* name : {"A", "B", "C"}) stage.pod(name, {{ok("x")}, {ok("x")}, {ok("x")}});
-        const auto seen = stage.client(Stage::get("1") + Stage::get("2", "/none/") + Stage::get("3") +
-                                           Stage::get("4", "/read/4", "Connection: close\r\n"),
-                                       4, true);
-        approve("front-pipelined", seen);
+    void pipelinedAnswersInOrder() {
+        HttpServerFixture fixture;
+        for (const auto* name : {"A", "B", "C"}) fixture.pod(name, {{ok("x")}, {ok("x")}, {ok("x")}});
+        const auto seen = fixture.client(HttpServerFixture::get("1") + HttpServerFixture::get("2", "/none/") +
+                                             HttpServerFixture::get("3") +
+                                             HttpServerFixture::get("4", "/read/4", "Connection: close\r\n"),
+                                         4, true);
+        approve("http-server-pipelined", seen);
     }
 
     // Bytes that belong to another request: a late second answer in the place of the next one's, and one
     // behind a whole answer. Neither reaches a client.
-    void answersOfOthers() {
+    void answersToOtherRequestsReachNobody() {
         std::string all;
         {
-            Stage stage;
-            stage.pod("A", {{ok("first")},
-                            {"HTTP/1.1 200 OK\r\nX-Attempt-Id: w1\r\nX-Response-Seal: s\r\nContent-Length: "
-                             "5\r\n\r\nfirst" +
-                             ok("second")},
-                            {ok("third")}});
-            auto seen = stage.client(Stage::post("w1", "1"), 1);
-            seen += stage.client(Stage::post("w2", "2"), 1);
-            seen += stage.client(Stage::post("w3", "3"), 1);
-            all += told("a late second answer in the place of the next", stage, seen);
-            CPPUNIT_ASSERT_EQUAL(2, stage.connections["A"]);
+            HttpServerFixture fixture;
+            fixture.pod("A", {{ok("first")},
+                              {"HTTP/1.1 200 OK\r\nX-Attempt-Id: w1\r\nX-Response-Seal: s\r\nContent-Length: "
+                               "5\r\n\r\nfirst" +
+                               ok("second")},
+                              {ok("third")}});
+            auto seen = fixture.client(HttpServerFixture::post("w1", "1"), 1);
+            seen += fixture.client(HttpServerFixture::post("w2", "2"), 1);
+            seen += fixture.client(HttpServerFixture::post("w3", "3"), 1);
+            all += told("a late second answer in the place of the next", fixture, seen);
+            CPPUNIT_ASSERT_EQUAL(2, fixture.connections["A"]);
         }
         {
-            Stage stage;
-            stage.pod("A",
-                      {{ok("first") + "HTTP/1.1 200 OK\r\nX-Attempt-Id: w1\r\nContent-Length: 1\r\n\r\nz"},
-                       {ok("second")}});
-            auto seen = stage.client(Stage::post("w1", "1"), 1);
-            seen += stage.client(Stage::post("w2", "2"), 1);
-            all += told("a second answer right behind the first", stage, seen);
-            CPPUNIT_ASSERT_EQUAL(2, stage.connections["A"]);
+            HttpServerFixture fixture;
+            fixture.pod("A",
+                        {{ok("first") + "HTTP/1.1 200 OK\r\nX-Attempt-Id: w1\r\nContent-Length: 1\r\n\r\nz"},
+                         {ok("second")}});
+            auto seen = fixture.client(HttpServerFixture::post("w1", "1"), 1);
+            seen += fixture.client(HttpServerFixture::post("w2", "2"), 1);
+            all += told("a second answer right behind the first", fixture, seen);
+            CPPUNIT_ASSERT_EQUAL(2, fixture.connections["A"]);
         }
         {
-            Stage stage;
-            stage.pod("A", {{"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Seal: "
-                             "s\r\nContent-Length: 1\r\n\r\nz",
-                             Act::close}});
-            all +=
-                told("the answer of another request alone", stage, stage.client(Stage::post("w1", "1"), 1));
+            HttpServerFixture fixture;
+            fixture.pod("A", {{"HTTP/1.1 200 OK\r\nX-Attempt-Id: other\r\nX-Response-Seal: "
+                               "s\r\nContent-Length: 1\r\n\r\nz",
+                               Reply::close}});
+            all += told("the answer of another request alone", fixture,
+                        fixture.client(HttpServerFixture::post("w1", "1"), 1));
         }
-        approve("front-answers-of-others", all);
+        approve("http-server-answers-of-others", all);
     }
 
-    void brokenPods() {
+    void podsThatBreakOff() {
         std::string all;
-        const auto play = [&](const std::string& what, const std::string& request, const Act& act) {
-            Stage stage;
-            stage.pod("A", {act});
-            all += told(what, stage, stage.client(request, 1));
+        const auto play = [&](const std::string& what, const std::string& request, const Reply& act) {
+            HttpServerFixture fixture;
+            fixture.pod("A", {act});
+            all += told(what, fixture, fixture.client(request, 1));
         };
-        const auto write = Stage::post("w", "1"), read = Stage::get("r");
-        play("a write, reset after it was read", write, {"", Act::reset});
+        const auto write = HttpServerFixture::post("w", "1"), read = HttpServerFixture::get("r");
+        play("a write, reset after it was read", write, {"", Reply::reset});
         play("a write, the answer cut short", write,
              {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nContent-Length: 9\r\n\r\nhalf",
-              Act::close});
-        play("a write, bytes that are no answer", write, {"garbage garbage\r\n\r\n", Act::close});
+              Reply::close});
+        play("a write, bytes that are no answer", write, {"garbage garbage\r\n\r\n", Reply::close});
         play("a write, a success without its stamp", write,
              {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nContent-Length: 1\r\n\r\nz"});
         play("a write, an answer without a length", write,
-             {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\n\r\nz", Act::close});
+             {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\n\r\nz", Reply::close});
         play("a write, turned away", write,
              {"HTTP/1.1 503 Full\r\nX-Attempt-Id: {id}\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"});
         play("a write, 503 without that word", write,
@@ -111,48 +113,48 @@
              {"HTTP/1.1 421 Misdirected Request\r\nX-Served-By: other\r\nContent-Length: 0\r\n\r\n"});
         play("a write, its own failure", write,
              {"HTTP/1.1 500 Oops\r\nX-Attempt-Id: {id}\r\nContent-Length: 4\r\n\r\noops"});
-        play("a read, reset after it was read", read, {"", Act::reset});
+        play("a read, reset after it was read", read, {"", Reply::reset});
         play("a read, an encoded answer", read,
              {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nContent-Encoding: "
               "gzip\r\nContent-Length: 1\r\n\r\nz"});
         play("a read, interim answers first", read, {"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + ok("late")});
         {
-            Stage stage;
-            tcp::acceptor gone(listen(stage.io, "127.0.0.1:0"));
+            HttpServerFixture fixture;
+            tcp::acceptor gone(listen(fixture.io, "127.0.0.1:0"));
             const auto port = gone.local_endpoint().port();
             gone.close();
-            stage.list("A", "127.0.0.1:" + std::to_string(port));
-            all += told("a write, nobody listens", stage, stage.client(write, 1));
+            fixture.list("A", "127.0.0.1:" + std::to_string(port));
+            all += told("a write, nobody listens", fixture, fixture.client(write, 1));
         }
         {
-            Stage stage;
-            stage.pod("A", {{"", Act::reset}});
-            stage.pod("B", {{ok("saved")}});
-            stage.router->hosts().at("B")->relativeLatency = 9;  // so that A is asked first
-            all += told("a read, reset at one pod, answered by the next", stage, stage.client(read, 1));
+            HttpServerFixture fixture;
+            fixture.pod("A", {{"", Reply::reset}});
+            fixture.pod("B", {{ok("saved")}});
+            fixture.router->hosts().at("B")->relativeLatency = 9;  // so that A is asked first
+            all += told("a read, reset at one pod, answered by the next", fixture, fixture.client(read, 1));
         }
-        approve("front-broken-pods", all);
+        approve("http-server-broken-pods", all);
     }
 
-    void refusals() {
+    void localReplies() {
         std::string all;
-        Stage stage;
-        stage.pod("A", {});
-        all += "no route\n" + stage.client(Stage::get("1", "/none/1"), 1);
-        all += "no id\n" + stage.client("GET /read/1 HTTP/1.1\r\nHost: h\r\n\r\n", 1);
+        HttpServerFixture fixture;
+        fixture.pod("A", {});
+        all += "no route\n" + fixture.client(HttpServerFixture::get("1", "/none/1"), 1);
+        all += "no id\n" + fixture.client("GET /read/1 HTTP/1.1\r\nHost: h\r\n\r\n", 1);
         all += "a deadline that is no number\n" +
-               stage.client(
+               fixture.client(
                    "GET /read/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: soon\r\n\r\n", 1);
-        all +=
-            "no time left\n" +
-            stage.client("GET /read/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 3\r\n\r\n", 1);
-        stage.list("A", "", true);
-        all += "all pods draining\n" + stage.client(Stage::post("1", "x"), 1);
-        all += " pods\n" + stage.podsSaw();
-        approve("front-refusals", all);
+        all += "no time left\n" +
+               fixture.client(
+                   "GET /read/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: 3\r\n\r\n", 1);
+        fixture.list("A", "", true);
+        all += "all pods draining\n" + fixture.client(HttpServerFixture::post("1", "x"), 1);
+        all += " pods\n" + fixture.podsSaw();
+        approve("http-server-refusals", all);
     }
 
-    void unreadable() {
+    void unreadableRequestsAreRejected() {
         std::string all;
         for (const auto& [what, bytes] : std::vector<std::pair<std::string, std::string>>{
                  {"no HTTP", "hello\r\n\r\n"},
@@ -168,116 +170,120 @@
                  {"a space before the colon", "GET /read/1 HTTP/1.1\r\nHost : h\r\nX-Attempt-Id: 1\r\n\r\n"},
                  {"a header over the limit",
                   "GET /read/1 HTTP/1.1\r\nHost: h\r\nX-Long: " + std::string(3000, 'x') + "\r\n\r\n"},
-                 {"a body over the limit", Stage::post("1", std::string(5000, 'x'))},
+                 {"a body over the limit", HttpServerFixture::post("1", std::string(5000, 'x'))},
                  {"an odd chunk",
                   "POST /write/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nTransfer-Encoding: "
                   "chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n"}}) {
-            Stage stage;
-            stage.pod("A", {{ok("never")}});
-            all += told(what, stage, stage.client(bytes, 1, true));
+            HttpServerFixture fixture;
+            fixture.pod("A", {{ok("never")}});
+            all += told(what, fixture, fixture.client(bytes, 1, true));
         }
-        approve("front-unreadable", all);
+        approve("http-server-unreadable", all);
     }
 
     // Chunks from the client arrive with a length at the pod; chunks from the pod with one at the client.
-    void chunksAndLength() {
-        Stage stage;
-        stage.pod("A", {{"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nTransfer-Encoding: "
-                         "chunked\r\n\r\n4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n"},
-                        {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nTransfer-Encoding: "
-                         "chunked\r\n\r\n4\r\nwhol\r\n",
-                         Act::close}});
-        auto seen = stage.client(
+    void chunksAndLengths() {
+        HttpServerFixture fixture;
+        fixture.pod("A",
+                    {{"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nTransfer-Encoding: "
+                      "chunked\r\n\r\n4\r\nwhol\r\n1\r\ne\r\n0\r\n\r\n"},
+                     {"HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nTransfer-Encoding: "
+                      "chunked\r\n\r\n4\r\nwhol\r\n",
+                      Reply::close}});
+        auto seen = fixture.client(
             "POST /write/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 1\r\nX-Deadline-Ms: "
             "4000\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n",
             1);
-        seen += stage.client(Stage::post("2", "x"), 1);
-        approve("front-chunks", told("whole chunks, then chunks that break off", stage, seen));
+        seen += fixture.client(HttpServerFixture::post("2", "x"), 1);
+        approve("http-server-chunks", told("whole chunks, then chunks that break off", fixture, seen));
     }
 
     // A client that leaves half-way through its body costs nothing at a pod. One that leaves while its write
     // runs does not stop it.
-    void leaving() {
-        Stage stage;
-        stage.pod("A", {{ok("x")}});
+    void clientsAndProxyThatLeave() {
+        HttpServerFixture fixture;
+        fixture.pod("A", {{ok("x")}});
         {
-            tcp::socket half(stage.io);
-            half.connect(stage.clients->local_endpoint());
-            const auto bytes = Stage::post("1", "whole").substr(0, Stage::post("1", "whole").size() - 2);
+            tcp::socket half(fixture.io);
+            half.connect(fixture.clients->local_endpoint());
+            const auto bytes = HttpServerFixture::post("1", "whole")
+                                   .substr(0, HttpServerFixture::post("1", "whole").size() - 2);
             asio::write(half, asio::buffer(bytes));
-            stage.until([&] { return stage.front->openConnections() == 1; });
+            fixture.until([&] { return fixture.httpServer->openConnections() == 1; });
             half.close();
-            stage.until([&] { return stage.front->openConnections() == 0; });
+            fixture.until([&] { return fixture.httpServer->openConnections() == 0; });
         }
-        CPPUNIT_ASSERT_EQUAL(std::string(), stage.podsSaw());
-        // Leaving as a proxy: what is read is answered, the answer ends the connection.
-        stage.front->drain();
-        const auto seen = stage.client(Stage::get("2"), 1, true);
-        stage.until([&] { return stage.front->openConnections() == 0; });
-        approve("front-leaving", told("half a body, then a request while the foyer leaves", stage, seen));
+        CPPUNIT_ASSERT_EQUAL(std::string(), fixture.podsSaw());
+        // The proxy drains: what is read is answered, the answer ends the connection.
+        fixture.httpServer->drain();
+        const auto seen = fixture.client(HttpServerFixture::get("2"), 1, true);
+        fixture.until([&] { return fixture.httpServer->openConnections() == 0; });
+        approve("http-server-leaving",
+                told("half a body, then a request while the proxy drains", fixture, seen));
     }
 
-    // A client that does not read its answers is given up by the sweep, others are not held up.
-    void slowReader() {
-        Stage stage;
+    // A client that does not read its answers is closed once its time is over, others are not held up.
+    void clientThatDoesNotReadIsClosed() {
+        HttpServerFixture fixture;
         const std::string big(3 << 20, 'b');
-        stage.pod("A", {{ok(big)}, {ok(big)}, {ok(big)}, {ok(big)}, {ok("small")}});
-        tcp::socket deaf(stage.io);
-        deaf.open(tcp::v4());
-        deaf.set_option(asio::socket_base::receive_buffer_size(4096));
-        deaf.connect(stage.clients->local_endpoint());
-        asio::write(deaf,
-                    asio::buffer(Stage::get("1") + Stage::get("2") + Stage::get("3") + Stage::get("4")));
-        stage.until([&] { return stage.arrivals.size() == 4 && stage.front->stats().served == 4; });
-        stage.settle();
-        const auto seen = stage.client(Stage::get("5"), 1);
+        fixture.pod("A", {{ok(big)}, {ok(big)}, {ok(big)}, {ok(big)}, {ok("small")}});
+        tcp::socket unread(fixture.io);
+        unread.open(tcp::v4());
+        unread.set_option(asio::socket_base::receive_buffer_size(4096));
+        unread.connect(fixture.clients->local_endpoint());
+        asio::write(unread, asio::buffer(HttpServerFixture::get("1") + HttpServerFixture::get("2") +
+                                         HttpServerFixture::get("3") + HttpServerFixture::get("4")));
+        fixture.until(
+            [&] { return fixture.arrivals.size() == 4 && fixture.httpServer->stats().served == 4; });
+        fixture.settle();
+        const auto seen = fixture.client(HttpServerFixture::get("5"), 1);
         CPPUNIT_ASSERT(seen.find("small") != seen.npos);
-        stage.front->enforceTimeouts(now() + 11 * kSecond);
-        stage.until([&] { return stage.front->openConnections() <= 1; });
+        fixture.httpServer->enforceTimeouts(now() + 11 * kSecond);
+        fixture.until([&] { return fixture.httpServer->openConnections() <= 1; });
     }
 
     // Bodies too large to hold pass through in blocks, both ways, by length and in chunks; one that breaks
     // off in the middle does not look whole. Whatever its size, an answer is read to its last byte and no
     // further.
-    void largeBodies() {
+    void largeBodiesPassThrough() {
         std::string seen;
         const auto big = [](std::size_t size) { return std::string(size, 'b'); };
         const auto limits = R"({"resource_type":"limits","metadata":{},"spec":{"max_body_bytes":9000000}})";
         for (const std::size_t size :
              {1u, 16383u, 16384u, 16385u, 32768u, 262143u, 262144u, 262145u, 278528u, 1000000u}) {
-            Stage stage;
-            stage.pod("A", {{ok(big(size))}, {ok("next")}});
-            const auto first = stage.client(Stage::get("1"), 1);
+            HttpServerFixture fixture;
+            fixture.pod("A", {{ok(big(size))}, {ok("next")}});
+            const auto first = fixture.client(HttpServerFixture::get("1"), 1);
             CPPUNIT_ASSERT_MESSAGE(
                 std::to_string(size),
                 first.find("[Content-Length: " + std::to_string(size) + "]") != first.npos);
-            CPPUNIT_ASSERT(stage.client(Stage::get("2"), 1).find("next") != first.npos);
+            CPPUNIT_ASSERT(fixture.client(HttpServerFixture::get("2"), 1).find("next") != first.npos);
         }
         for (const std::size_t size : {300'000u, 900'000u}) {
-            Stage stage(limits);
-            stage.pod("A", {{ok("taken")}, {ok("taken")}});
-            seen += stage.client(Stage::post("1", big(size)), 1, true);
+            HttpServerFixture fixture(limits);
+            fixture.pod("A", {{ok("taken")}, {ok("taken")}});
+            seen += fixture.client(HttpServerFixture::post("1", big(size)), 1, true);
             std::string chunks;
             for (std::size_t at = 0; at < size; at += 50'000) chunks += "c350\r\n" + big(50'000) + "\r\n";
-            seen += stage.client(
+            seen += fixture.client(
                 "POST /write/1 HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: 2\r\nX-Deadline-Ms: "
                 "4000\r\nTransfer-Encoding: chunked\r\n\r\n" +
                     chunks + "0\r\n\r\n",
                 1, true);
-            seen += stage.podsSaw();
+            seen += fixture.podsSaw();
         }
         {
-            Stage stage;
+            HttpServerFixture fixture;
             const auto head = std::string("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\n");
-            stage.pod(
+            fixture.pod(
                 "A",
                 {{head + "Transfer-Encoding: chunked\r\n\r\n61a80\r\n" + big(400'000) + "\r\n0\r\n\r\n"},
-                 {head + "Transfer-Encoding: chunked\r\n\r\n61a80\r\n" + big(400'000) + "\r\n", Act::close},
-                 {head + "Content-Length: 400000\r\n\r\n" + big(300'000), Act::close}});
+                 {head + "Transfer-Encoding: chunked\r\n\r\n61a80\r\n" + big(400'000) + "\r\n", Reply::close},
+                 {head + "Content-Length: 400000\r\n\r\n" + big(300'000), Reply::close}});
             for (const auto* id : {"chunks", "chunks cut short", "length cut short"})
-                seen += std::string(id) + "\n" + stage.client(Stage::get("1"), 1);
+                seen += std::string(id) + "\n" + fixture.client(HttpServerFixture::get("1"), 1);
         }
-        approve("front-large-bodies", seen);
+        approve("http-server-large-bodies", seen);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(FrontTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(HttpServerTest);
--- a/tests/proxy/readiness_server.cpp
+++ b/tests/proxy/readiness_server.cpp
@@ -7,30 +7,30 @@
 
 #include "support/http_server_fixture.hpp"
 
-using namespace stage;
+using namespace http_server_fixture;
 
-class ProbesTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(ProbesTest);
-    CPPUNIT_TEST(noDescriptors);
-    CPPUNIT_TEST(silentProbes);
+class ReadinessServerTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(ReadinessServerTest);
+    CPPUNIT_TEST(acceptsAgainOnceDescriptorsAreFree);
+    CPPUNIT_TEST(silentProbesAreClosed);
     CPPUNIT_TEST_SUITE_END();
 
     asio::io_context io{1};
-    tcp::acceptor door{listen(io, "127.0.0.1:0")};
+    tcp::acceptor acceptor{listen(io, "127.0.0.1:0")};
 
   public:
     void tearDown() override { io.stop(); }
 
     // Where a connection can't be taken up for want of descriptors, it waits a moment, and goes on later.
-    void noDescriptors() {
+    void acceptsAgainOnceDescriptorsAreFree() {
         tcp::socket client(io), next(io);
         client.open(tcp::v4()), next.open(tcp::v4());
         rlimit before{};
         CPPUNIT_ASSERT_EQUAL(0, ::getrlimit(RLIMIT_NOFILE, &before));
         const rlimit none{0, before.rlim_max};
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &none));
-        client.connect(door.local_endpoint());
-        start(io, "readiness", proxy::serveReadiness(io, door, [] { return true; }));
+        client.connect(acceptor.local_endpoint());
+        start(io, "readiness", proxy::serveReadiness(io, acceptor, [] { return true; }));
         const auto turns = io.run_for(std::chrono::milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &before));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(turns) + " turns", turns <= 40);
@@ -41,13 +41,13 @@
     }
 
     // Who asks nothing, or but half a question, is left.
-    void silentProbes() {
+    void silentProbesAreClosed() {
         start(io, "readiness",
               proxy::serveReadiness(
-                  io, door, [] { return false; }, 30 * kMillisecond));
+                  io, acceptor, [] { return false; }, 30 * kMillisecond));
         for (const auto* said : {"", "GET / HT", "GET / HTTP/1.1\r\n\r\n"}) {
             tcp::socket client(io);
-            client.connect(door.local_endpoint());
+            client.connect(acceptor.local_endpoint());
             asio::write(client, asio::buffer(said, std::strlen(said)));
             std::string got;
             bool ended = false;
@@ -58,4 +58,4 @@
         }
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(ProbesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ReadinessServerTest);
--- a/tests/routing/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -85,13 +85,13 @@
 }
 
 // All ways of one request through up to three sends; the first rule broken, and how.
-struct Host {
-    std::function<bool(const Attempts&, bool)> mayAttempt = casting_maySend;
-    std::function<bool(const Attempts&)> mayPromiseNotRun = casting_mayPromise;
-    static bool casting_maySend(const Attempts& attempts, bool repeatable) {
+struct RequestModel {
+    std::function<bool(const Attempts&, bool)> mayAttempt = productMayAttempt;
+    std::function<bool(const Attempts&)> mayPromiseNotRun = productMayPromise;
+    static bool productMayAttempt(const Attempts& attempts, bool repeatable) {
         return lichenlanding::routing::mayAttempt(attempts, repeatable);
     }
-    static bool casting_mayPromise(const Attempts& attempts) {
+    static bool productMayPromise(const Attempts& attempts) {
         return lichenlanding::routing::mayPromiseNotRun(attempts);
     }
 
@@ -193,16 +193,16 @@
 
 class AttemptTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(AttemptTest);
-    CPPUNIT_TEST(table);
-    CPPUNIT_TEST(tableFaults);
-    CPPUNIT_TEST(requests);
-    CPPUNIT_TEST(requestFaults);
-    CPPUNIT_TEST(answers);
+    CPPUNIT_TEST(tableIsExact);
+    CPPUNIT_TEST(tableFaultsAreFound);
+    CPPUNIT_TEST(conclusionsHoldForEveryRequest);
+    CPPUNIT_TEST(faultsInConclusionsAreFound);
+    CPPUNIT_TEST(faultsInJudgingAnswersAreFound);
     CPPUNIT_TEST_SUITE_END();
 
   public:
     // The table as it stands, read by people; and that an attempt goes by it, and by nothing else.
-    void table() {
+    void tableIsExact() {
         CPPUNIT_ASSERT_EQUAL(std::string(), broken(product));
         std::string seen;
         for (const auto& [from, event, to] : kTransitions)
@@ -225,7 +225,7 @@
     }
 
     // Every row made wrong in every way, left out, and every row that isn't there: each is found.
-    void tableFaults() {
+    void tableFaultsAreFound() {
         std::map<std::string, int> found;
         const auto tell = [&](const Table& table) {
             const auto rule = broken(table);
@@ -256,17 +256,18 @@
         approve("attempt-table-faults", seen);
     }
 
-    void requests() {
+    void conclusionsHoldForEveryRequest() {
         for (const bool repeatable : {true, false})
-            CPPUNIT_ASSERT_EQUAL(std::string(), Host().broken(repeatable));
-        std::string seen =
-            "ways of an unrepeatable request through three sends: " + std::to_string(Host().ways(false)) +
-            "\nof a repeatable one through two: " + std::to_string(Host().ways(true)) + "\n";
+            CPPUNIT_ASSERT_EQUAL(std::string(), RequestModel().broken(repeatable));
+        std::string seen = "ways of an unrepeatable request through three sends: " +
+                           std::to_string(RequestModel().ways(false)) +
+                           "\nof a repeatable one through two: " + std::to_string(RequestModel().ways(true)) +
+                           "\n";
         approve("attempt-requests", seen);
     }
 
     // A fault in each conclusion, and the shortest way there that is found.
-    void requestFaults() {
+    void faultsInConclusionsAreFound() {
         std::string seen;
         const auto known = [](const Attempt& attempt) {
             return attempt.state() == AttemptState::unsent || attempt.state() == AttemptState::surelyNotRun;
@@ -304,7 +305,7 @@
             {"a refusal is not believed", [&](const Attempts& attempts) { return attempts.empty(); }},
         };
         for (const auto& [fault, rule] : faults) {
-            Host sends, promises;
+            RequestModel sends, promises;
             sends.mayAttempt = [&rule = rule](const Attempts& attempts, bool) { return rule(attempts); };
             promises.mayPromiseNotRun = rule;
             const auto twice = sends.broken(false);
@@ -318,7 +319,7 @@
         approve("attempt-request-faults", seen);
     }
 
-    void answers() {
+    void faultsInJudgingAnswersAreFound() {
         CPPUNIT_ASSERT_EQUAL(std::string(), brokenBy(judge));
         std::string seen;
         const auto with = [](std::function<void(ResponseHead&)> change) -> Judge {
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -11,8 +11,8 @@
 
 constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
-std::shared_ptr<const config::Configuration> bill(const std::string& version,
-                                                  const std::string& service = "s") {
+std::shared_ptr<const config::Configuration> configurationOf(const std::string& version,
+                                                             const std::string& service = "s") {
     std::string text = R"({"config_version":")" + version + R"(","resources":[)";
     for (const auto* kind : {"idempotent", "non_idempotent"})
         text += std::string(R"({"resource_type":"route_table","metadata":{"name":")") + kind +
@@ -24,77 +24,77 @@
     return std::make_shared<config::Configuration>(config::Configuration::read(text));
 }
 
-struct Room {
-    explicit Room(std::size_t pods = 4, double slack = 20) {
+struct RouterFixture {
+    explicit RouterFixture(std::size_t pods = 4, double slack = 20) {
         boot.zone = "z", boot.budgetSlack = slack, boot.budgetRatio = 0.2, boot.exposureShare = 0.1;
-        room = std::make_unique<Router>(boot, 7);
-        room->setConfiguration(bill("00000001"));
-        room->setProxyCount(1, now - 10 * kSecond);
+        router = std::make_unique<Router>(boot, 7);
+        router->setConfiguration(configurationOf("00000001"));
+        router->setProxyCount(1, now - 10 * kSecond);
         for (std::size_t at = 0; at < pods; ++at) list("p" + std::to_string(at));
     }
     void list(const std::string& id, const std::string& version = "v1", bool draining = false,
               const std::string& zone = "z") {
-        room->applyEndpointEvent({0, {id, "s", "a", zone, version, 3, draining, 0}, false}, now);
+        router->applyEndpointEvent({0, {id, "s", "a", zone, version, 3, draining, 0}, false}, now);
     }
     RoutedRequest begin(const char* kind) {
         RoutedRequest request;
-        CPPUNIT_ASSERT(room->startRequest(request, "h", std::string("/") + kind + "/1", now, 2 * kSecond));
+        CPPUNIT_ASSERT(router->startRequest(request, "h", std::string("/") + kind + "/1", now, 2 * kSecond));
         return request;
     }
     // Sends once; the pod's id, or "-".
     std::string send(RoutedRequest& request) {
-        last = room->nextAttempt(request, now);
+        last = router->nextAttempt(request, now);
         return last ? last->host()->endpoint.id : "-";
     }
     void end(RoutedRequest& request, AttemptEvent end, int status = 200, Nanos took = 100 * kMillisecond) {
-        end_(request, *last, end, status, took);
+        endAttempt(request, *last, end, status, took);
     }
     // As a host tells it: all but what ends unreached was written first.
-    void end_(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
-              Nanos took = 100 * kMillisecond) {
+    void endAttempt(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
+                    Nanos took = 100 * kMillisecond) {
         if (end != AttemptEvent::unreached) attempt.apply(AttemptEvent::written);
-        room->onAttemptEnded(request, attempt, end, status, took, now);
+        router->onAttemptEnded(request, attempt, end, status, took, now);
     }
     void rollout(const std::string& state, int stage = 0, std::int64_t number = 1) {
         messages::Rollout order;
         order.service = "s", order.target = "v2", order.state = state, order.stage = stage,
         order.number = number;
-        room->setRollouts({order}, now);
+        router->setRollouts({order}, now);
     }
     config::BootstrapSettings boot;
-    std::unique_ptr<Router> room;
+    std::unique_ptr<Router> router;
     std::shared_ptr<Attempt> last;
     Nanos now = 100 * kSecond;
 };
 
-const char* const reading = "idempotent";
-const char* const writing = "non_idempotent";
+const char* const kRepeatable = "idempotent";
+const char* const kNotRepeatable = "non_idempotent";
 
 }  // namespace
 
-class CastingTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(CastingTest);
-    CPPUNIT_TEST(sendsAgain);
-    CPPUNIT_TEST(unreached);
-    CPPUNIT_TEST(budget);
-    CPPUNIT_TEST(exposure);
-    CPPUNIT_TEST(fewRequests);
-    CPPUNIT_TEST(twoOrders);
-    CPPUNIT_TEST(orderedAnew);
-    CPPUNIT_TEST(versions);
-    CPPUNIT_TEST(leaving);
-    CPPUNIT_TEST(neverBack);
-    CPPUNIT_TEST(silence);
-    CPPUNIT_TEST(owesNothing);
-    CPPUNIT_TEST(askedForNothing);
-    CPPUNIT_TEST(fullZone);
+class RouterTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(RouterTest);
+    CPPUNIT_TEST(retriesByEndOfTheFirstAttempt);
+    CPPUNIT_TEST(unreachedHostsDoNotCountAsAttempts);
+    CPPUNIT_TEST(retriesStayWithinTheBudget);
+    CPPUNIT_TEST(canaryGetsItsShare);
+    CPPUNIT_TEST(grantBeginsTheWatchWhereFewRequestsCome);
+    CPPUNIT_TEST(rolloutsOfOneServiceAreToldApart);
+    CPPUNIT_TEST(rolloutOrderedAnewStartsAfresh);
+    CPPUNIT_TEST(versionsByStateOfTheRollout);
+    CPPUNIT_TEST(drainingHostsGetNothing);
+    CPPUNIT_TEST(configurationNeverGoesBack);
+    CPPUNIT_TEST(silentHostsGetNothing);
+    CPPUNIT_TEST(hostWithNothingInFlightIsNotSilent);
+    CPPUNIT_TEST(hedgesNotSentAreNoTraffic);
+    CPPUNIT_TEST(fullZoneSendsAPartElsewhere);
     CPPUNIT_TEST_SUITE_END();
 
   public:
     // Every end of a first send, for both kinds: does it go again, and what is said if not.
-    void sendsAgain() {
+    void retriesByEndOfTheFirstAttempt() {
         std::string seen;
-        for (const auto* kind : {reading, writing})
+        for (const auto* kind : {kRepeatable, kNotRepeatable})
             for (const auto& [name, end] : std::vector<std::pair<const char*, AttemptEvent>>{
                      {"rejected by host", AttemptEvent::rejectedByHost},
                      {"misdirected", AttemptEvent::misdirected},
@@ -102,17 +102,17 @@
                      {"connection lost", AttemptEvent::connectionLost},
                      {"malformed", AttemptEvent::malformed},
                      {"timed out", AttemptEvent::timedOut}}) {
-                Room room;
-                auto request = room.begin(kind);
-                const auto first = room.send(request);
+                RouterFixture fixture;
+                auto request = fixture.begin(kind);
+                const auto first = fixture.send(request);
                 const auto beside =
-                    room.room->nextAttempt(request, room.now) != nullptr;  // while it is in flight
+                    fixture.router->nextAttempt(request, fixture.now) != nullptr;  // while it is in flight
                 if (beside) request.attempts.pop_back();
-                room.end(request, end);
-                const auto second_ = room.send(request);
+                fixture.end(request, end);
+                const auto second_ = fixture.send(request);
                 CPPUNIT_ASSERT(second_ != first);
-                if (second_ != "-") room.end(request, end);
-                const auto refusal = room.room->localReply(request);
+                if (second_ != "-") fixture.end(request, end);
+                const auto refusal = fixture.router->localReply(request);
                 seen += std::string(kind) + " " + name + ": beside " + (beside ? "yes" : "no") + ", again " +
                         (second_ == "-" ? "no" : "yes") + ", then " + std::to_string(refusal.status()) +
                         (refusal.retryAfter > 0 ? " come back" : "") + "\n";
@@ -121,43 +121,43 @@
     }
 
     // max_attempts counts the pods that it was sent to: those not reached were not, up to two more.
-    void unreached() {
-        for (const auto* kind : {reading, writing}) {
-            Room room(8);
-            auto request = room.begin(kind);  // to three pods at most
+    void unreachedHostsDoNotCountAsAttempts() {
+        for (const auto* kind : {kRepeatable, kNotRepeatable}) {
+            RouterFixture fixture(8);
+            auto request = fixture.begin(kind);  // to three pods at most
             std::string ends;
             for (const auto end :
                  {AttemptEvent::rejectedByHost, AttemptEvent::unreached, AttemptEvent::unreached,
                   AttemptEvent::rejectedByHost, AttemptEvent::rejectedByHost, AttemptEvent::rejectedByHost}) {
-                if (room.send(request) == "-") break;
-                room.end(request, end);
+                if (fixture.send(request) == "-") break;
+                fixture.end(request, end);
                 ends += routing::name(end) + std::string(", ");
             }
             CPPUNIT_ASSERT_EQUAL(
                 std::string("rejected by host, unreached, unreached, rejected by host, rejected by host, "),
                 ends);
-            auto nobody = room.begin(kind);
+            auto nobody = fixture.begin(kind);
             int attempts = 0;
-            for (; room.send(nobody) != "-"; ++attempts) room.end(nobody, AttemptEvent::unreached);
+            for (; fixture.send(nobody) != "-"; ++attempts) fixture.end(nobody, AttemptEvent::unreached);
             CPPUNIT_ASSERT_EQUAL(5, attempts);
-            CPPUNIT_ASSERT_EQUAL(503, room.room->localReply(nobody).status());
+            CPPUNIT_ASSERT_EQUAL(503, fixture.router->localReply(nobody).status());
         }
     }
 
     // BUDGET: arrivals past the first of a request stay within the share of the fleet's, window by window.
-    void budget() {
-        Room room(8, 24);
-        room.room->setProxyCount(4, room.now);
+    void retriesStayWithinTheBudget() {
+        RouterFixture fixture(8, 24);
+        fixture.router->setProxyCount(4, fixture.now);
         int further = 0;
         for (int second_ = 0; second_ < 30; ++second_) {
             const bool storm = second_ >= 10 && second_ < 20;
             const int before = further;
             for (int at = 0; at < 20; ++at) {
-                room.now += kSecond / 20;
-                auto request = room.begin(reading);
-                for (auto sent = room.send(request); sent != "-"; sent = room.send(request)) {
+                fixture.now += kSecond / 20;
+                auto request = fixture.begin(kRepeatable);
+                for (auto sent = fixture.send(request); sent != "-"; sent = fixture.send(request)) {
                     if (routing::possibleArrivals(request.attempts) > 1) ++further;
-                    room.end(request, storm ? AttemptEvent::rejectedByHost : AttemptEvent::answered);
+                    fixture.end(request, storm ? AttemptEvent::rejectedByHost : AttemptEvent::answered);
                     if (!storm) break;
                 }
             }
@@ -170,30 +170,30 @@
 
     // EXPOSURE: of all requests no more than the share reaches a version on trial, and none once it fails
     // here.
-    void exposure() {
-        Room room;
-        for (int at = 0; at < 4; ++at) room.list("n" + std::to_string(at), "v2");
-        room.rollout("in_progress");
-        room.now += 3 * kSecond;
+    void canaryGetsItsShare() {
+        RouterFixture fixture;
+        for (int at = 0; at < 4; ++at) fixture.list("n" + std::to_string(at), "v2");
+        fixture.rollout("in_progress");
+        fixture.now += 3 * kSecond;
         int fresh = 0;
         for (int at = 0; at < 1000; ++at) {
-            room.now += 10 * kMillisecond;
-            auto request = room.begin(reading);
-            fresh += room.send(request)[0] == 'n';
-            room.end(request, AttemptEvent::answered);
+            fixture.now += 10 * kMillisecond;
+            auto request = fixture.begin(kRepeatable);
+            fresh += fixture.send(request)[0] == 'n';
+            fixture.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh >= 40);
         CPPUNIT_ASSERT(fresh <= 50);
-        const auto counted = room.room->totals("s", "v2").at(reading);
+        const auto counted = fixture.router->totals("s", "v2").at(kRepeatable);
         CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(fresh), counted[0].all());
         CPPUNIT_ASSERT_EQUAL(1000u, counted[0].all() + counted[1].all());
         fresh = 0;
         for (int at = 0; at < 2000; ++at) {
-            room.now += 10 * kMillisecond;
-            auto request = room.begin(writing);
-            const bool its = room.send(request)[0] == 'n';
+            fixture.now += 10 * kMillisecond;
+            auto request = fixture.begin(kNotRepeatable);
+            const bool its = fixture.send(request)[0] == 'n';
             fresh += its;
-            room.end(request, its ? AttemptEvent::connectionLost : AttemptEvent::answered);
+            fixture.end(request, its ? AttemptEvent::connectionLost : AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh >= 4);
         CPPUNIT_ASSERT(fresh < 60);  // until 0.3 of those it has seen are bad
@@ -201,23 +201,23 @@
 
     // EXPOSURE: where few requests come, a part of what the rule lets go beyond the share begins the watch,
     // no quicker than an earlier pod is sent requests; a proxy that starts in the middle is granted none.
-    void fewRequests() {
+    void grantBeginsTheWatchWhereFewRequestsCome() {
         std::string seen;
         for (const bool there : {true, false}) {
-            Room room(6);
-            for (int at = 0; at < 6; ++at) room.list("n" + std::to_string(at), "v2");
-            if (there) room.room->setRollouts({}, room.now);
-            room.room->setProxyCount(12, room.now);
-            room.rollout("in_progress");
-            room.now += 3 * kSecond;
+            RouterFixture fixture(6);
+            for (int at = 0; at < 6; ++at) fixture.list("n" + std::to_string(at), "v2");
+            if (there) fixture.router->setRollouts({}, fixture.now);
+            fixture.router->setProxyCount(12, fixture.now);
+            fixture.rollout("in_progress");
+            fixture.now += 3 * kSecond;
             seen += there ? "there at the order:" : "started since:";
             for (int part = 0; part < 4; ++part) {
                 int fresh = 0;
                 for (int at = 0; at < 12; ++at) {
-                    room.now += 270 * kMillisecond;
-                    auto request = room.begin(writing);
-                    fresh += room.send(request)[0] == 'n';
-                    room.end(request, AttemptEvent::answered);
+                    fixture.now += 270 * kMillisecond;
+                    auto request = fixture.begin(kNotRepeatable);
+                    fresh += fixture.send(request)[0] == 'n';
+                    fixture.end(request, AttemptEvent::answered);
                 }
                 seen += " " + std::to_string(fresh);
             }
@@ -227,21 +227,21 @@
     }
 
     // Two orders of one service at once: while one has all traffic, the other keeps to its own share.
-    void twoOrders() {
-        Room room;
-        room.list("n", "v2"), room.list("m", "v2"), room.list("x", "v3"), room.list("y", "v3");
+    void rolloutsOfOneServiceAreToldApart() {
+        RouterFixture fixture;
+        fixture.list("n", "v2"), fixture.list("m", "v2"), fixture.list("x", "v3"), fixture.list("y", "v3");
         messages::Rollout good, bad;
         good.service = bad.service = "s", good.target = "v2", bad.target = "v3", good.stage = 2,
         good.number = 2, bad.number = 1;
-        room.room->setRollouts({bad, good}, room.now);
-        room.now += 3 * kSecond;
+        fixture.router->setRollouts({bad, good}, fixture.now);
+        fixture.now += 3 * kSecond;
         std::map<std::string, int> where;
         for (int at = 0; at < 1000; ++at) {
-            room.now += 10 * kMillisecond;
-            auto request = room.begin(reading);
-            CPPUNIT_ASSERT(room.send(request) != "-");
-            ++where[room.last->host()->endpoint.version];
-            room.end(request, AttemptEvent::answered);
+            fixture.now += 10 * kMillisecond;
+            auto request = fixture.begin(kRepeatable);
+            CPPUNIT_ASSERT(fixture.send(request) != "-");
+            ++where[fixture.last->host()->endpoint.version];
+            fixture.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT_EQUAL(0, where["v1"]);
         CPPUNIT_ASSERT(where["v3"] >= 40);
@@ -250,76 +250,76 @@
 
     // Turned back, and ordered again with another term: its pods take their share again, and what was counted
     // in the first trial is no word on the second. Said again, the list changes nothing.
-    void orderedAnew() {
-        Room room;
-        room.list("n", "v2"), room.list("m", "v2");
+    void rolloutOrderedAnewStartsAfresh() {
+        RouterFixture fixture;
+        fixture.list("n", "v2"), fixture.list("m", "v2");
         messages::Rollout first, anew;
         first.service = anew.service = "s", first.target = anew.target = "v2";
         first.term = 12'000, anew.term = 15'000, first.number = 1, anew.number = 3;
         const auto serve = [&] {
             int fresh = 0;
             for (int at = 0; at < 600; ++at) {
-                room.now += 10 * kMillisecond;
-                auto request = room.begin(reading);
-                CPPUNIT_ASSERT(room.send(request) != "-");
-                const bool its = room.last->host()->endpoint.version == "v2";
+                fixture.now += 10 * kMillisecond;
+                auto request = fixture.begin(kRepeatable);
+                CPPUNIT_ASSERT(fixture.send(request) != "-");
+                const bool its = fixture.last->host()->endpoint.version == "v2";
                 fresh += its;
-                room.end(request, AttemptEvent::answered, its ? 500 : 200);
+                fixture.end(request, AttemptEvent::answered, its ? 500 : 200);
             }
             return fresh;
         };
-        room.room->setRollouts({first}, room.now);
-        room.now += 3 * kSecond;
+        fixture.router->setRollouts({first}, fixture.now);
+        fixture.now += 3 * kSecond;
         CPPUNIT_ASSERT(serve() > 0);
-        CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
+        CPPUNIT_ASSERT(!fixture.router->totals("s", "v2").empty());
         first.state = "rolled_back", first.number = 2;
-        room.room->setRollouts({first}, room.now);
+        fixture.router->setRollouts({first}, fixture.now);
         CPPUNIT_ASSERT_EQUAL(0, serve());
-        room.room->setRollouts({first, anew}, room.now);
-        CPPUNIT_ASSERT(room.room->totals("s", "v2").empty());
+        fixture.router->setRollouts({first, anew}, fixture.now);
+        CPPUNIT_ASSERT(fixture.router->totals("s", "v2").empty());
         CPPUNIT_ASSERT(serve() > 0);
-        CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
-        room.room->setRollouts({first, anew}, room.now);
-        CPPUNIT_ASSERT(!room.room->totals("s", "v2").empty());
+        CPPUNIT_ASSERT(!fixture.router->totals("s", "v2").empty());
+        fixture.router->setRollouts({first, anew}, fixture.now);
+        CPPUNIT_ASSERT(!fixture.router->totals("s", "v2").empty());
     }
 
     // ROUTE: which versions take requests, by the state of the order.
-    void versions() {
+    void versionsByStateOfTheRollout() {
         std::string seen;
-        const auto see = [&](const std::string& what, Room& room) {
+        const auto see = [&](const std::string& what, RouterFixture& fixture) {
             std::map<std::string, int> where;
             for (int at = 0; at < 200; ++at) {
-                auto request = room.begin(reading);
-                const auto sent = room.send(request);
-                ++where[sent == "-" ? sent : room.last->host()->endpoint.version];
-                if (sent != "-") room.end(request, AttemptEvent::answered);
+                auto request = fixture.begin(kRepeatable);
+                const auto sent = fixture.send(request);
+                ++where[sent == "-" ? sent : fixture.last->host()->endpoint.version];
+                if (sent != "-") fixture.end(request, AttemptEvent::answered);
             }
             seen += what + ":";
             for (const auto& [version, count] : where) seen += " " + version + " " + std::to_string(count);
             seen += "\n";
         };
-        Room room;
-        room.list("n", "v2"), room.list("m", "v2");
-        see("nobody ordered v2", room);
-        room.rollout("in_progress");
-        see("in progress, its pods not warm yet", room);
-        room.now += 3 * kSecond;
-        see("in progress", room);
-        room.rollout("in_progress", 1, 2);
-        see("trial of all traffic, within the share so far", room);
-        room.now += kSecond;
-        see("after the trial of all traffic", room);
-        room.rollout("in_progress", 2, 2);
-        see("all traffic", room);
-        room.rollout("completed", 2, 3);
-        see("completed", room);
-        room.rollout("rolled_back", 0, 4);
-        see("rolled back", room);
-        Room late(0);  // a proxy that starts while both are there
+        RouterFixture fixture;
+        fixture.list("n", "v2"), fixture.list("m", "v2");
+        see("nobody ordered v2", fixture);
+        fixture.rollout("in_progress");
+        see("in progress, its pods not warm yet", fixture);
+        fixture.now += 3 * kSecond;
+        see("in progress", fixture);
+        fixture.rollout("in_progress", 1, 2);
+        see("trial of all traffic, within the share so far", fixture);
+        fixture.now += kSecond;
+        see("after the trial of all traffic", fixture);
+        fixture.rollout("in_progress", 2, 2);
+        see("all traffic", fixture);
+        fixture.rollout("completed", 2, 3);
+        see("completed", fixture);
+        fixture.rollout("rolled_back", 0, 4);
+        see("rolled back", fixture);
+        RouterFixture late(0);  // a proxy that starts while both are there
         late.rollout("in_progress");
         late.list("n", "v2"), late.list("p", "v1"), late.now += 3 * kSecond;
         see("started in the middle", late);
-        Room known(0);  // the list came before the order was known
+        RouterFixture known(0);  // the list came before the order was known
         known.list("n", "v2"), known.list("p", "v1");
         known.rollout("in_progress"), known.now += 3 * kSecond;
         see("order known late", known);
@@ -327,46 +327,46 @@
     }
 
     // DRAIN and lives: no send to a pod that leaves, that is gone, or that is not who it was.
-    void leaving() {
-        Room room(1);
-        auto request = room.begin(reading);
-        CPPUNIT_ASSERT_EQUAL(std::string("p0"), room.send(request));
-        room.list("p0", "v1", true);
-        auto other = room.begin(reading);
-        CPPUNIT_ASSERT_EQUAL(std::string("-"), room.send(other));
-        room.list("p1");
-        CPPUNIT_ASSERT_EQUAL(std::string("p1"), room.send(other));
-        room.end(other, AttemptEvent::misdirected);
-        auto third = room.begin(reading);
-        CPPUNIT_ASSERT_EQUAL(std::string("-"), room.send(third));
+    void drainingHostsGetNothing() {
+        RouterFixture fixture(1);
+        auto request = fixture.begin(kRepeatable);
+        CPPUNIT_ASSERT_EQUAL(std::string("p0"), fixture.send(request));
+        fixture.list("p0", "v1", true);
+        auto other = fixture.begin(kRepeatable);
+        CPPUNIT_ASSERT_EQUAL(std::string("-"), fixture.send(other));
+        fixture.list("p1");
+        CPPUNIT_ASSERT_EQUAL(std::string("p1"), fixture.send(other));
+        fixture.end(other, AttemptEvent::misdirected);
+        auto third = fixture.begin(kRepeatable);
+        CPPUNIT_ASSERT_EQUAL(std::string("-"), fixture.send(third));
     }
 
     // CONFIG: a proxy that wakes up, or hears an older control node, never goes back.
-    void neverBack() {
-        Room room;
-        room.room->setConfiguration(bill("00000009", "t"));
-        room.room->setConfiguration(bill("00000008"));
-        auto request = room.begin(reading);
+    void configurationNeverGoesBack() {
+        RouterFixture fixture;
+        fixture.router->setConfiguration(configurationOf("00000009", "t"));
+        fixture.router->setConfiguration(configurationOf("00000008"));
+        auto request = fixture.begin(kRepeatable);
         CPPUNIT_ASSERT_EQUAL(std::string("t"), request.service);
-        CPPUNIT_ASSERT_EQUAL(9u, room.room->configuration()->version);
+        CPPUNIT_ASSERT_EQUAL(9u, fixture.router->configuration()->version);
     }
 
     // Many pods, each heard of now and then: where those of the own zone make requests wait and others do
     // not, a part goes there; where all wait alike, hardly any.
-    void fullZone() {
+    void fullZoneSendsAPartElsewhere() {
         std::string seen;
         for (const auto& [near, far] : std::vector<std::pair<int, int>>{{0, 0}, {3, 0}, {3, 3}, {0, 3}}) {
-            Room room(0);
-            for (int at = 0; at < 40; ++at) room.list("n" + std::to_string(at));
-            for (int at = 0; at < 40; ++at) room.list("f" + std::to_string(at), "v1", false, "y");
+            RouterFixture fixture(0);
+            for (int at = 0; at < 40; ++at) fixture.list("n" + std::to_string(at));
+            for (int at = 0; at < 40; ++at) fixture.list("f" + std::to_string(at), "v1", false, "y");
             int others = 0;
             for (int at = 0; at < 2000; ++at) {
-                room.now += 60 * kMillisecond;
-                auto request = room.begin(writing);
-                const bool other = room.send(request)[0] == 'f';
+                fixture.now += 60 * kMillisecond;
+                auto request = fixture.begin(kNotRepeatable);
+                const bool other = fixture.send(request)[0] == 'f';
                 others += at >= 1000 && other;
-                room.room->onLoadReport(*room.last->host(), 3, other ? far : near, room.now);
-                room.end(request, AttemptEvent::answered);
+                fixture.router->onLoadReport(*fixture.last->host(), 3, other ? far : near, fixture.now);
+                fixture.end(request, AttemptEvent::answered);
             }
             seen += "waiting in the own zone " + std::to_string(near) + ", elsewhere " + std::to_string(far) +
                     ": " + std::to_string((others + 5) / 10) + " of 100 go elsewhere\n";
@@ -375,42 +375,42 @@
     }
 
     // A pod that owes answers for long gets no more while others can; when it answers, it does again.
-    void silence() {
-        Room room(2);
-        auto stuck = room.begin(writing);
-        const auto mute = room.send(stuck);
-        const auto owing = room.last;
-        room.now += kSecond;
+    void silentHostsGetNothing() {
+        RouterFixture fixture(2);
+        auto stuck = fixture.begin(kNotRepeatable);
+        const auto mute = fixture.send(stuck);
+        const auto owing = fixture.last;
+        fixture.now += kSecond;
         for (int at = 0; at < 50; ++at) {
-            auto request = room.begin(reading);
-            CPPUNIT_ASSERT(room.send(request) != mute);
-            room.end(request, AttemptEvent::answered);
+            auto request = fixture.begin(kRepeatable);
+            CPPUNIT_ASSERT(fixture.send(request) != mute);
+            fixture.end(request, AttemptEvent::answered);
         }
-        room.end_(stuck, *owing, AttemptEvent::answered, 200, kSecond);
+        fixture.endAttempt(stuck, *owing, AttemptEvent::answered, 200, kSecond);
         bool again = false;
         for (int at = 0; at < 50; ++at) {
-            auto request = room.begin(reading);
-            again = room.send(request) == mute || again;
-            room.end(request, AttemptEvent::answered);
+            auto request = fixture.begin(kRepeatable);
+            again = fixture.send(request) == mute || again;
+            fixture.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(again);
     }
 
     // A pod at which nothing is out owes nothing, however its last send ended: after its rest it is drawn
     // again like any other.
-    void owesNothing() {
+    void hostWithNothingInFlightIsNotSilent() {
         for (const auto end : {AttemptEvent::unreached, AttemptEvent::connectionLost, AttemptEvent::malformed,
                                AttemptEvent::timedOut}) {
-            Room room;
-            auto failed = room.begin(writing);
-            const auto pod = room.send(failed);
-            room.end(failed, end);
-            room.now += 2 * kSecond;
+            RouterFixture fixture;
+            auto failed = fixture.begin(kNotRepeatable);
+            const auto pod = fixture.send(failed);
+            fixture.end(failed, end);
+            fixture.now += 2 * kSecond;
             int again = 0;
             for (int at = 0; at < 50; ++at) {
-                auto request = room.begin(reading);
-                again += room.send(request) == pod;
-                room.end(request, AttemptEvent::answered);
+                auto request = fixture.begin(kRepeatable);
+                again += fixture.send(request) == pod;
+                fixture.end(request, AttemptEvent::answered);
             }
             CPPUNIT_ASSERT_MESSAGE(routing::name(end), again > 0);
         }
@@ -418,23 +418,23 @@
 
     // EXPOSURE: asking for a second send that there is none to be had of does not count as traffic, of which
     // a version on trial would get its share.
-    void askedForNothing() {
-        Room room(1);
-        room.list("n", "v2"), room.list("m", "v2");
-        room.rollout("in_progress");
-        room.now += 3 * kSecond;
-        auto waits = room.begin(reading);
-        room.send(waits);
-        for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!room.room->nextAttempt(waits, room.now));
-        room.rollout("in_progress", 1, 2);  // the trial of all traffic: all, within the share so far
+    void hedgesNotSentAreNoTraffic() {
+        RouterFixture fixture(1);
+        fixture.list("n", "v2"), fixture.list("m", "v2");
+        fixture.rollout("in_progress");
+        fixture.now += 3 * kSecond;
+        auto waits = fixture.begin(kRepeatable);
+        fixture.send(waits);
+        for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!fixture.router->nextAttempt(waits, fixture.now));
+        fixture.rollout("in_progress", 1, 2);  // the trial of all traffic: all, within the share so far
         int fresh = 0;
         for (int at = 0; at < 20; ++at) {
-            auto request = room.begin(writing);
-            const auto sent = room.send(request);
+            auto request = fixture.begin(kNotRepeatable);
+            const auto sent = fixture.send(request);
             fresh += sent != "-" && sent != "p0";
-            if (sent != "-") room.end(request, AttemptEvent::answered);
+            if (sent != "-") fixture.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(fresh <= 2);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(CastingTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RouterTest);
--- a/tests/scale_test/scale_test.cpp
+++ b/tests/scale_test/scale_test.cpp
@@ -17,8 +17,8 @@
 using namespace lichenlanding;
 using Json = nlohmann::json;
 
-class RehearsalTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(RehearsalTest);
+class ScaleRunTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(ScaleRunTest);
     CPPUNIT_TEST(settingsAreCheckedByName);
     CPPUNIT_TEST(configurationsAreValidAndGrow);
     CPPUNIT_TEST(quantilesAreOfTheTimesThemselves);
@@ -169,4 +169,4 @@
         CPPUNIT_ASSERT(lines.back().find("proxies_per_process: over 200 processes") != std::string::npos);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(RehearsalTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ScaleRunTest);
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -1,5 +1,5 @@
-// A proxy's front on real loopback sockets in one thread: scripted pods, clients that write bytes. What all
-// of them saw becomes a transcript. Nothing waits for time to pass; a stall fails the test.
+// A proxy's HTTP server on real loopback sockets in one thread: scripted pods, clients that write bytes. What
+// all of them saw becomes a transcript. Nothing waits for time to pass; a stall fails the test.
 #pragma once
 
 #include <boost/asio/read.hpp>
@@ -9,7 +9,7 @@
 #include "proxy/http_server.hpp"
 #include "support/event_loop_fixture.hpp"
 
-namespace stage {
+namespace http_server_fixture {
 
 using namespace lichenlanding;
 using namespace lichenlanding::transport;
@@ -17,7 +17,7 @@
 
 // What a pod does with the next request on a connection. `bytes` may hold {id}, put in place of the
 // request's.
-struct Act {
+struct Reply {
     std::string bytes;
     enum After { keep, close, reset, hold } after = keep;
 };
@@ -27,9 +27,9 @@
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
 }
 
-class Stage {
+class HttpServerFixture {
   public:
-    explicit Stage(const std::string& routes = "") {
+    explicit HttpServerFixture(const std::string& routes = "") {
         boot.zone = "z", boot.budgetSlack = 20;
         router = std::make_unique<routing::Router>(boot, 1);
         router->setConfiguration(
@@ -38,14 +38,14 @@
         router->setRollouts({}, now());
         router->setEndpointsKnown();
         upstream = std::make_unique<proxy::UpstreamClient>(io);
-        front = std::make_unique<proxy::HttpServer>(io, *router, *upstream, [] { return true; });
+        httpServer = std::make_unique<proxy::HttpServer>(io, *router, *upstream, [] { return true; });
         clients = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-        start(io, "clients", front->serve(*clients));
+        start(io, "clients", httpServer->serve(*clients));
     }
-    ~Stage() {
+    ~HttpServerFixture() {
         ErrorCode ignored;
         clients->close(ignored);
-        for (auto& [_, acceptor] : doors) acceptor->close(ignored);
+        for (auto& [_, acceptor] : acceptors) acceptor->close(ignored);
         io.stop();
     }
 
@@ -62,12 +62,12 @@
                (more.empty() ? "" : "," + more) + "]}";
     }
 
-    // A pod that follows `acts`, one a request it gets, over all its connections.
-    void pod(const std::string& name, std::deque<Act> acts) {
-        scripts[name] = std::move(acts);
-        doors[name] = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
+    // A pod that follows `replies`, one a request it gets, over all its connections.
+    void pod(const std::string& name, std::deque<Reply> replies) {
+        scripts[name] = std::move(replies);
+        acceptors[name] = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
         start(io, "pod", serve(name));
-        list(name, "127.0.0.1:" + std::to_string(doors[name]->local_endpoint().port()));
+        list(name, "127.0.0.1:" + std::to_string(acceptors[name]->local_endpoint().port()));
     }
     void list(const std::string& name, const std::string& address, bool draining = false,
               const std::string& version = "v1") {
@@ -105,10 +105,10 @@
     config::BootstrapSettings boot;
     std::unique_ptr<routing::Router> router;
     std::unique_ptr<proxy::UpstreamClient> upstream;
-    std::unique_ptr<proxy::HttpServer> front;
+    std::unique_ptr<proxy::HttpServer> httpServer;
     std::unique_ptr<tcp::acceptor> clients;
-    std::map<std::string, std::unique_ptr<tcp::acceptor>> doors;
-    std::map<std::string, std::deque<Act>> scripts;
+    std::map<std::string, std::unique_ptr<tcp::acceptor>> acceptors;
+    std::map<std::string, std::deque<Reply>> scripts;
     std::vector<std::string> arrivals;  // what pods got, in order
     std::map<std::string, int> connections;
 
@@ -120,10 +120,10 @@
 
   private:
     Task<> serve(std::string name) {
-        auto& door = *doors[name];
-        while (door.is_open()) {
+        auto& acceptor = *acceptors[name];
+        while (acceptor.is_open()) {
             ErrorCode code;
-            auto socket = co_await door.async_accept(withErrorCode(code));
+            auto socket = co_await acceptor.async_accept(withErrorCode(code));
             if (code) co_return;
             ++connections[name];
             start(io, "pod connection", hear(name, std::move(socket)));
@@ -154,16 +154,16 @@
             arrivals.push_back(line);
             auto& script = scripts[name];
             if (script.empty()) co_return;
-            auto act = script.front();
+            auto reply = script.front();
             script.pop_front();
             const std::string id(request["X-Attempt-Id"]);
-            for (auto at = act.bytes.find("{id}"); at != act.bytes.npos; at = act.bytes.find("{id}"))
-                act.bytes.replace(at, 4, id);
-            if (!act.bytes.empty())
-                co_await asio::async_write(socket, asio::buffer(act.bytes), withErrorCode(code));
-            if (act.after == Act::reset) socket.set_option(tcp::socket::linger(true, 0));
-            if (act.after == Act::close || act.after == Act::reset) co_return;
-            if (act.after == Act::hold) {
+            for (auto at = reply.bytes.find("{id}"); at != reply.bytes.npos; at = reply.bytes.find("{id}"))
+                reply.bytes.replace(at, 4, id);
+            if (!reply.bytes.empty())
+                co_await asio::async_write(socket, asio::buffer(reply.bytes), withErrorCode(code));
+            if (reply.after == Reply::reset) socket.set_option(tcp::socket::linger(true, 0));
+            if (reply.after == Reply::close || reply.after == Reply::reset) co_return;
+            if (reply.after == Reply::hold) {
                 char byte;
                 co_await socket.async_read_some(asio::buffer(&byte, 1), withErrorCode(code));
                 co_return;
@@ -204,4 +204,4 @@
     }
 };
 
-}  // namespace stage
+}  // namespace http_server_fixture
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -57,8 +57,8 @@
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
 }
 
-std::vector<Got> Client::answers() const {
-    std::vector<Got> all;
+std::vector<Answer> Client::answers() const {
+    std::vector<Answer> all;
     std::string_view left(got);
     while (!left.empty()) {
         http::response_parser<http::string_body> parser;
@@ -73,7 +73,7 @@
         }
         CPPUNIT_ASSERT_MESSAGE("MIXED: bytes that are no answer: " + std::string(left.substr(0, 80)),
                                !code || code == http::error::need_more);
-        Got one;
+        Answer one;
         if (parser.is_header_done()) {
             const auto& head = parser.get();
             one.status = static_cast<int>(head.result_int());
@@ -90,104 +90,105 @@
     return all;
 }
 
-House::House(Script script_, const std::vector<std::string>& pods, double slack)
+ProxyFixture::ProxyFixture(Script script_, const std::vector<std::string>& pods, double slack)
     : script(std::move(script_)) {
     boot_.zone = "z", boot_.budgetSlack = slack;
     router = std::make_unique<routing::Router>(boot_, 1);
-    limit(2048, 9'000'000);
+    setLimits(2048, 9'000'000);
     router->setProxyCount(1, now() - 10 * kSecond);
     router->setRollouts({}, now());
     router->setEndpointsKnown();
     upstream = std::make_unique<proxy::UpstreamClient>(proxyLoop);
-    front = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
-    clients_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
-    start(proxyLoop, "clients", front->serve(*clients_));
+    httpServer = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
+    clientAcceptor_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
+    start(proxyLoop, "clients", httpServer->serve(*clientAcceptor_));
     for (const auto& pod : pods) {
-        doors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
+        acceptors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
         start(worldLoop, "pod", serve(pod));
-        list(pod);
+        listEndpoint(pod);
     }
 }
 
-House::~House() {
+ProxyFixture::~ProxyFixture() {
     ErrorCode ignored;
-    clients_->close(ignored);
-    for (auto& [_, door] : doors_) door->close(ignored);
+    clientAcceptor_->close(ignored);
+    for (auto& [_, acceptor] : acceptors_) acceptor->close(ignored);
     proxyLoop.stop(), worldLoop.stop();
 }
 
-void House::list(const std::string& pod, bool draining) {
-    const auto address = "127.0.0.1:" + std::to_string(doors_.at(pod)->local_endpoint().port());
+void ProxyFixture::listEndpoint(const std::string& pod, bool draining) {
+    const auto address = "127.0.0.1:" + std::to_string(acceptors_.at(pod)->local_endpoint().port());
     router->applyEndpointEvent({0, {pod, "s", address, "z", "v1", 2, draining, 0}, false}, now());
 }
 
-void House::limit(int headerBytes, int bodyBytes) {
+void ProxyFixture::setLimits(int headerBytes, int bodyBytes) {
     const auto version = router->configuration() ? static_cast<int>(router->configuration()->version) + 1 : 1;
     router->setConfiguration(std::make_shared<config::Configuration>(
         config::Configuration::read(configuration(version, headerBytes, bodyBytes))));
 }
 
-int House::inFlight() const {
+int ProxyFixture::inFlight() const {
     int all = 0;
     for (const auto& [_, host] : router->hosts()) all += host->inFlight;
     return all;
 }
 
-std::shared_ptr<Client> House::client(const std::string& bytes, const std::vector<std::string>& ids) {
+std::shared_ptr<Client> ProxyFixture::client(const std::string& bytes, const std::vector<std::string>& ids) {
     auto client = std::make_shared<Client>(worldLoop);
-    client->socket.connect(clients_->local_endpoint());
+    client->socket.connect(clientAcceptor_->local_endpoint());
     client->socket.set_option(tcp::no_delay(true));
     client->socket.non_blocking(true);
-    all_.push_back(client);
-    start(worldLoop, "client", listen_(client));
+    allClients_.push_back(client);
+    start(worldLoop, "client", readAnswers(client));
     if (!bytes.empty()) write(client, bytes, ids);
     return client;
 }
 
-void House::write(const std::shared_ptr<Client>& client, const std::string& bytes,
-                  const std::vector<std::string>& ids) {
+void ProxyFixture::write(const std::shared_ptr<Client>& client, const std::string& bytes,
+                         const std::vector<std::string>& ids) {
     client->asked.insert(client->asked.end(), ids.begin(), ids.end());
     const auto kept = std::make_shared<std::string>(bytes);
     asio::async_write(client->socket, asio::buffer(*kept), [kept, client](ErrorCode, std::size_t) {});
 }
 
-void House::leave(const std::shared_ptr<Client>& client, bool reset) {
+void ProxyFixture::disconnect(const std::shared_ptr<Client>& client, bool reset) {
     ErrorCode ignored;
     if (reset) client->socket.set_option(tcp::socket::linger(true, 0), ignored);
     client->socket.close(ignored);
 }
 
-void House::answered(const std::shared_ptr<Client>& client, std::size_t answers) {
+void ProxyFixture::awaitAnswers(const std::shared_ptr<Client>& client, std::size_t answers) {
     until([&] {
         const auto all = client->answers();
         return client->ended || (all.size() >= answers && all[answers - 1].whole);
     });
 }
 
-Got House::exchange(const std::string& bytes, const std::string& id) {
+Answer ProxyFixture::roundTrip(const std::string& bytes, const std::string& id) {
     const auto asks = client(bytes, {id});
-    answered(asks);
-    quiet();
+    awaitAnswers(asks);
+    awaitQuiet();
     return asks->answers().at(0);
 }
 
-void House::quiet() {
+void ProxyFixture::awaitQuiet() {
     until([&] { return inFlight() == 0; });
     while (proxyLoop.poll() + worldLoop.poll() > 0) {
     }
-    judge();
+    checkInvariants();
 }
 
-void House::standStill(Nanos time) {
+void ProxyFixture::standStill(Nanos time) {
     for (const Nanos end = now() + time; now() < end;) worldLoop.run_one_for(std::chrono::milliseconds(1));
 }
 
-void House::judge() const {
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("ends out of order", std::uint64_t{0}, front->stats().invalidTransitions);
+void ProxyFixture::checkInvariants() const {
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("ends out of order", std::uint64_t{0},
+                                 httpServer->stats().invalidTransitions);
     for (const auto& [id, count] : runs)
         CPPUNIT_ASSERT_MESSAGE("TWICE: " + id + " was run " + std::to_string(count) + " times",
                                count <= 1 || repeatable.contains(id));
-    for (const auto& client : all_) {
+    for (const auto& client : allClients_) {
         const auto answers = client->answers();
         CPPUNIT_ASSERT_MESSAGE("MIXED: an answer where no request waits",
                                answers.size() <= client->asked.size());
@@ -211,13 +212,13 @@
     }
 }
 
-void House::release(const std::string& pod, const std::string& id) {
+void ProxyFixture::release(const std::string& pod, const std::string& id) {
     auto& bell = held_[pod + id];
     if (!bell) bell = std::make_shared<AsyncEvent>(worldLoop);
     bell->notify();
 }
 
-void House::say(const std::string& pod, const std::string& bytes) {
+void ProxyFixture::sendUnasked(const std::string& pod, const std::string& bytes) {
     for (const auto& weak : sockets_[pod])
         if (const auto socket = weak.lock(); socket && socket->is_open()) {
             ErrorCode ignored;
@@ -225,7 +226,7 @@
         }
 }
 
-Task<> House::listen_(std::shared_ptr<Client> client) {
+Task<> ProxyFixture::readAnswers(std::shared_ptr<Client> client) {
     char bytes[16384];
     for (ErrorCode code; !code;) {
         const auto count = co_await client->socket.async_read_some(asio::buffer(bytes), withErrorCode(code));
@@ -234,20 +235,20 @@
     client->ended = true;
 }
 
-Task<> House::serve(std::string pod) {
-    auto& door = *doors_[pod];
+Task<> ProxyFixture::serve(std::string pod) {
+    auto& acceptor = *acceptors_[pod];
     for (;;) {
         ErrorCode code;
-        auto socket = std::make_shared<tcp::socket>(co_await door.async_accept(withErrorCode(code)));
+        auto socket = std::make_shared<tcp::socket>(co_await acceptor.async_accept(withErrorCode(code)));
         if (code) co_return;
         socket->set_option(tcp::no_delay(true));
         ++connections[pod];
         sockets_[pod].push_back(socket);
-        start(worldLoop, "pod connection", hear(pod, socket));
+        start(worldLoop, "pod connection", answerRequests(pod, socket));
     }
 }
 
-Task<> House::hear(std::string pod, std::shared_ptr<tcp::socket> socket) {
+Task<> ProxyFixture::answerRequests(std::string pod, std::shared_ptr<tcp::socket> socket) {
     ++open[pod];
     const auto end = [&](bool reset) {
         ErrorCode ignored;
--- a/tests/support/scripted_pods.hpp
+++ b/tests/support/scripted_pods.hpp
@@ -1,6 +1,7 @@
-// A proxy's front between scripted pods and clients, on loopback: the proxy on a loop of its own, so that it
-// can stand still while the others go on. Pods count what they run; `judge()` holds what every exchange must
-// keep. Nothing sleeps for a result: both loops are driven until it is there, and a stall fails the test.
+// A proxy's HTTP server between scripted pods and clients, on loopback: the proxy on a loop of its own, so
+// that it can stand still while the others go on. Pods count what they run; `checkInvariants()` holds what
+// every exchange must keep. Nothing sleeps for a result: both loops are driven until it is there, and a stall
+// fails the test.
 #pragma once
 
 #include <functional>
@@ -30,7 +31,7 @@
 using Script = std::function<Reply(const Arrival&)>;
 
 // An answer in the bytes that a client got.
-struct Got {
+struct Answer {
     int status = 0;
     std::string id, body, retryAfter;
     bool close = false, whole = false;
@@ -41,8 +42,8 @@
     tcp::socket socket;
     std::string got;
     bool ended = false;
-    std::vector<std::string> asked;    // ids, in order
-    std::vector<Got> answers() const;  // the last may not be whole
+    std::vector<std::string> asked;       // ids, in order
+    std::vector<Answer> answers() const;  // the last may not be whole
 };
 
 std::string ok(const std::string& id = "{id}", const std::string& more = "");  // with a length
@@ -53,21 +54,22 @@
 std::string post(const std::string& id, int millis = 4000, const std::string& body = "x",
                  const std::string& more = "");
 
-class House {
+class ProxyFixture {
   public:
-    explicit House(Script script, const std::vector<std::string>& pods = {"A", "B"}, double slack = 1e6);
-    ~House();
+    explicit ProxyFixture(Script script, const std::vector<std::string>& pods = {"A", "B"},
+                          double slack = 1e6);
+    ~ProxyFixture();
 
     std::shared_ptr<Client> client(const std::string& bytes = "", const std::vector<std::string>& ids = {});
     void write(const std::shared_ptr<Client>& client, const std::string& bytes,
                const std::vector<std::string>& ids = {});
-    static void leave(const std::shared_ptr<Client>& client, bool reset);
+    static void disconnect(const std::shared_ptr<Client>& client, bool reset);
     // Until the client has as many whole answers, or its connection ends.
-    void answered(const std::shared_ptr<Client>& client, std::size_t answers = 1);
+    void awaitAnswers(const std::shared_ptr<Client>& client, std::size_t answers = 1);
     // One request on a connection of its own, to its answer, and until all is quiet.
-    Got exchange(const std::string& bytes, const std::string& id);
-    // Until no try is in flight and no pod has a word left to say.
-    void quiet();
+    Answer roundTrip(const std::string& bytes, const std::string& id);
+    // Until no attempt is in flight and no pod has a word left to say.
+    void awaitQuiet();
     template <typename Done>
     void until(Done done) {
         const Nanos began = now();
@@ -80,19 +82,19 @@
     }
     // The proxy stands still; pods and clients don't.
     void standStill(Nanos time);
-    // What every exchange must keep; called by quiet().
-    void judge() const;
+    // What every exchange must keep; called by awaitQuiet().
+    void checkInvariants() const;
 
-    void release(const std::string& pod, const std::string& id);  // held replies to it
-    void say(const std::string& pod, const std::string& bytes);   // on each of its open connections
-    void list(const std::string& pod, bool draining = false);
-    void limit(int headerBytes, int bodyBytes);  // a newer configuration
-    int inFlight() const;                        // over all pods, as routing counts
+    void release(const std::string& pod, const std::string& id);         // held replies to it
+    void sendUnasked(const std::string& pod, const std::string& bytes);  // on each of its open connections
+    void listEndpoint(const std::string& pod, bool draining = false);
+    void setLimits(int headerBytes, int bodyBytes);  // a newer configuration
+    int inFlight() const;                            // over all pods, as routing counts
 
     asio::io_context proxyLoop{1}, worldLoop{1};
     std::unique_ptr<routing::Router> router;
     std::unique_ptr<proxy::UpstreamClient> upstream;
-    std::unique_ptr<proxy::HttpServer> front;
+    std::unique_ptr<proxy::HttpServer> httpServer;
     bool awake = true;
     Script script;
     std::map<std::string, int> runs, arrivals;     // by id
@@ -102,14 +104,14 @@
 
   private:
     Task<> serve(std::string pod);
-    Task<> hear(std::string pod, std::shared_ptr<tcp::socket> socket);
-    Task<> listen_(std::shared_ptr<Client> client);
+    Task<> answerRequests(std::string pod, std::shared_ptr<tcp::socket> socket);
+    Task<> readAnswers(std::shared_ptr<Client> client);
 
-    std::unique_ptr<tcp::acceptor> clients_;
-    std::map<std::string, std::unique_ptr<tcp::acceptor>> doors_;
+    std::unique_ptr<tcp::acceptor> clientAcceptor_;
+    std::map<std::string, std::unique_ptr<tcp::acceptor>> acceptors_;
     std::map<std::string, std::vector<std::weak_ptr<tcp::socket>>> sockets_;
     std::map<std::string, std::shared_ptr<AsyncEvent>> held_;
-    std::vector<std::shared_ptr<Client>> all_;
+    std::vector<std::shared_ptr<Client>> allClients_;
     config::BootstrapSettings boot_;
 };
 
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -24,17 +24,17 @@
 
 }  // namespace
 
-class VerdictTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(VerdictTest);
-    CPPUNIT_TEST(totalsOnce);
-    CPPUNIT_TEST(judgements);
-    CPPUNIT_TEST(stages);
-    CPPUNIT_TEST(voterReplaced);
-    CPPUNIT_TEST(listMonotone);
+class RolloutVerdictTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(RolloutVerdictTest);
+    CPPUNIT_TEST(totalsCountOnce);
+    CPPUNIT_TEST(judgesByOutcomes);
+    CPPUNIT_TEST(stagesByVotesAndTime);
+    CPPUNIT_TEST(lostVoterIsReplaced);
+    CPPUNIT_TEST(endpointsNeverComeBack);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    void totalsOnce() {
+    void totalsCountOnce() {
         verdict::Pool pool;
         const auto all = [&] { return pool.sum()["r"][0].all(); };
         pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});
@@ -51,7 +51,7 @@
         CPPUNIT_ASSERT_EQUAL(15u, back.at("r")[0].all());
     }
 
-    void judgements() {
+    void judgesByOutcomes() {
         std::string seen;
         std::mt19937 chance(3);
         const auto judge = [&](const std::string& what, Counts fresh, Counts earlier, Totals more = {}) {
@@ -79,7 +79,7 @@
     }
 
     // Every stage by every word of three voters, at the times that matter.
-    void stages() {
+    void stagesByVotesAndTime() {
         std::string seen;
         for (int stage = 0; stage < 3; ++stage)
             for (const auto& [on, back] :
@@ -103,7 +103,7 @@
     }
 
     // A voter that is killed between a stage's counts and its vote: the others stay, one takes its place.
-    void voterReplaced() {
+    void lostVoterIsReplaced() {
         std::vector<std::string> names;
         for (int at = 0; at < 12; ++at) names.push_back("edge-" + std::to_string(at));
         const auto before = hashing::chosen(names, "s\nv2", 3);
@@ -119,7 +119,7 @@
     }
 
     // Lists that come late or by another way bring nobody back; the differences mend any view.
-    void listMonotone() {
+    void endpointsNeverComeBack() {
         discovery::EndpointSet ahead, behind;
         const auto follow = [](discovery::EndpointSet& view, const std::vector<discovery::Endpoint>& listed) {
             std::string seen;
@@ -141,4 +141,4 @@
         CPPUNIT_ASSERT_EQUAL(ahead.members().size(), behind.members().size());
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(VerdictTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(RolloutVerdictTest);
