--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -26,7 +26,7 @@
 
 struct RouterFixture {
     explicit RouterFixture(std::size_t pods = 4, double slack = 20) {
-        boot.zone = "z", boot.budgetSlack = slack, boot.budgetRatio = 0.2, boot.exposureShare = 0.1;
+        boot.zone = "z", boot.retrySlack = slack, boot.retryBudgetRatio = 0.2, boot.exposureShare = 0.1;
         router = std::make_unique<Router>(boot, 7);
         router->setConfiguration(configurationOf("00000001"));
         router->setProxyCount(1, now - 10 * kSecond);
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -242,7 +242,7 @@
         beast::tcp_stream stream(io);
         stream.expires_after(std::chrono::seconds(3));
         ErrorCode code;
-        co_await stream.async_connect(endpoint(address), withErrorCode(code));
+        co_await stream.async_connect(parseAddress(address), withErrorCode(code));
         if (!code) {
             http::request<http::string_body> request(method, target, 11);
             request.set(http::field::host, "h");
