--- a/src/command/command.hpp
+++ b/src/command/command.hpp
@@ -11,7 +11,7 @@
 
 constexpr const char* version = "0.3.0";
 
-// What the call has asked for; run once the whole line has been read.
+/// What the call has asked for; run once the whole line has been read.
 using Chosen = std::function<int()>;
 
 void addServe(CLI::App& app, Chosen& chosen);
--- a/src/command/files.cpp
+++ b/src/command/files.cpp
@@ -29,7 +29,7 @@
     return text.str();
 }
 
-bool fileThere(const std::string& path) { return std::filesystem::is_regular_file(path); }
+bool fileExists(const std::string& path) { return std::filesystem::is_regular_file(path); }
 
 void writeFile(const std::string& path, std::string_view bytes, bool secret) {
     const auto fresh = path + ".new";
@@ -50,7 +50,7 @@
     fails("cannot write", path);
 }
 
-void makeFolder(const std::string& path) { std::filesystem::create_directories(path); }
+void makeDirectory(const std::string& path) { std::filesystem::create_directories(path); }
 
 std::string readPassphrase(const std::string& path) {
     if (path.empty()) return {};
@@ -72,7 +72,7 @@
     return readSigningKey(path, passphrase).key();
 }
 
-metadata::UnixSeconds readInstant(const std::string& text) {
+metadata::UnixSeconds parseInstant(const std::string& text) {
     const auto wrong = [&] { return std::invalid_argument("not an RFC 3339 time: " + text.substr(0, 60)); };
     if (text.size() < 20) throw wrong();
     const auto time = metadata::parseTime(text.substr(0, 19) + "Z");
--- a/src/command/metadata_client.cpp
+++ b/src/command/metadata_client.cpp
@@ -11,8 +11,8 @@
 
 using namespace metadata;
 
-struct Asked {
-    std::string folder, target, targetFolder, now, root;
+struct ClientOptions {
+    std::string directory, target, targetDirectory, now, root;
     std::vector<std::string> mirrors, targetBases;
     double within = 30;
     bool quiet = false;
@@ -25,27 +25,27 @@
     return urls;
 }
 
-void need(const std::string& value, const char* option) {
+void require(const std::string& value, const char* option) {
     if (value.empty()) throw CLI::RequiredError(option);
 }
 
 class Client {
   public:
-    explicit Client(const Asked& asked)
-        : asked_(asked),
-          now_(asked.now.empty() ? wallClock() : readInstant(asked.now)),
-          bases_(urlsOf(asked.mirrors)),
-          targetBases_(urlsOf(asked.targetBases)),
-          mirrors_(asked.mirrors, 1),
-          targetMirrors_(asked.targetBases, 1) {
-        patience_.response = static_cast<Nanos>(asked.within * 1e9);
+    explicit Client(const ClientOptions& options)
+        : options_(options),
+          now_(options.now.empty() ? wallClock() : parseInstant(options.now)),
+          bases_(urlsOf(options.mirrors)),
+          targetBases_(urlsOf(options.targetBases)),
+          mirrors_(options.mirrors, 1),
+          targetMirrors_(options.targetBases, 1) {
+        timeouts_.response = static_cast<Nanos>(options.within * 1e9);
     }
 
     int init() {
-        const auto shipped = readFile(asked_.root);
+        const auto shipped = readFile(options_.root);
         const auto set = TrustedSet::start(shipped, now_);
         if (!set) return refuse(set.refusal());
-        auto store = sidecar::TrustStore::open(asked_.folder);
+        auto store = sidecar::TrustStore::open(options_.directory);
         if (!store) return refuse(store.refusal());
         if (const auto kept = (*store)->read("root.json"))
             if (const auto before = TrustedSet::start(*kept, now_);
@@ -57,17 +57,17 @@
         step.files.emplace_back("root_history/" + std::to_string(set->root().version) + ".root.json",
                                 shipped);
         if (const auto refusal = (*store)->commit(step)) return refuse(*refusal);
-        say("trusts root version " + std::to_string(set->root().version));
+        print("trusts root version " + std::to_string(set->root().version));
         return success;
     }
 
     int refresh() { return update({}); }
 
     int download() {
-        need(asked_.target, "--target-name");
-        need(asked_.targetFolder, "--target-dir");
+        require(options_.target, "--target-name");
+        require(options_.targetDirectory, "--target-dir");
         if (targetBases_.empty()) throw CLI::RequiredError("--target-base-url");
-        return update(asked_.target);
+        return update(options_.target);
     }
 
   private:
@@ -75,31 +75,31 @@
         std::fprintf(stderr, "lichenlanding: %s\n", refusal.text().c_str());
         return refused;
     }
-    void say(const std::string& text) {
-        if (!asked_.quiet) std::printf("%s\n", text.c_str());
+    void print(const std::string& text) {
+        if (!options_.quiet) std::printf("%s\n", text.c_str());
     }
 
     int update(const std::string& target) {
         if (bases_.empty()) throw CLI::RequiredError("--metadata-url");
-        auto store = sidecar::TrustStore::open(asked_.folder);
+        auto store = sidecar::TrustStore::open(options_.directory);
         if (!store) return refuse(store.refusal());
-        std::string said;
-        auto set = (*store)->start({}, now_, said);
+        std::string choice;
+        auto set = (*store)->start({}, now_, choice);
         if (!set) return refuse(set.refusal());
         Update update(std::move(*set), **store);
         if (!target.empty()) update.search(target);
         sidecar::FetchCounts counts;
-        sidecar::MetadataRefresh refresh(loop_, mirrors_, bases_, **store, std::move(update), patience_,
+        sidecar::MetadataRefresh refresh(loop_, mirrors_, bases_, **store, std::move(update), timeouts_,
                                          counts, nullptr,
                                          [this](sidecar::MetadataRefresh&) { loop_.stop(); });
         refresh.start();
         loop_.run();
         if (const auto refusal = refresh.refusal()) return refuse(*refusal);
         const auto& trusted = refresh.update().set();
-        say("root " + std::to_string(trusted.root().version) + ", timestamp " +
-            std::to_string(trusted.timestamp()->version) + ", snapshot " +
-            std::to_string(trusted.snapshot()->version) + ", targets " +
-            std::to_string(trusted.trusted()->version) + ", until " + formatTime(trusted.expires()));
+        print("root " + std::to_string(trusted.root().version) + ", timestamp " +
+              std::to_string(trusted.timestamp()->version) + ", snapshot " +
+              std::to_string(trusted.snapshot()->version) + ", targets " +
+              std::to_string(trusted.trusted()->version) + ", until " + formatTime(trusted.expires()));
         if (target.empty()) return success;
         const auto& found = refresh.update().found().at(target);
         if (!found) return refuse({Reason::notFound, escaped(target, 100), 0, "no trusted role lists it"});
@@ -110,63 +110,63 @@
         // Its name as one file's name; what is too long for one goes by its hash.
         auto name = percentEncoded(found.path);
         if (name.size() > 200 || name == "." || name == "..") name = digest("sha256", found.path);
-        const auto path = asked_.targetFolder + "/" + name;
-        if (fileThere(path) &&
+        const auto path = options_.targetDirectory + "/" + name;
+        if (fileExists(path) &&
             !verifyBytes(readFile(path), found.target.length, found.target.hashes, found.path)) {
-            say(path + " is there already");
+            print(path + " is there already");
             return success;
         }
-        sidecar::TargetDownload download(loop_, targetMirrors_, targetBases_, patience_, counts);
+        sidecar::TargetDownload download(loop_, targetMirrors_, targetBases_, timeouts_, counts);
         std::optional<Result<std::string>> got;
-        download.start(found, consistent, asked_.maxBytes, [&](Result<std::string> result) {
+        download.start(found, consistent, options_.maxBytes, [&](Result<std::string> result) {
             got = std::move(result);
             loop_.stop();
         });
         if (!got) loop_.run();
         if (!*got) return refuse(got->refusal());
-        makeFolder(asked_.targetFolder);
+        makeDirectory(options_.targetDirectory);
         writeFile(path, **got);
-        say(path);
+        print(path);
         return success;
     }
 
-    const Asked& asked_;
+    const ClientOptions& options_;
     UnixSeconds now_;
     std::vector<sidecar::Url> bases_, targetBases_;
     sidecar::EventLoop loop_;
     Mirrors mirrors_, targetMirrors_;
-    FetchTimeouts patience_;
+    FetchTimeouts timeouts_;
 };
 
 }  // namespace
 
 void addMetadataClient(CLI::App& metadata, Chosen& chosen) {
-    auto asked = std::make_shared<Asked>();
-    metadata.add_option("--metadata-dir", asked->folder, "folder that keeps what is trusted");
-    metadata.add_option("--metadata-url", asked->mirrors, "where metadata lie; several are mirrors")
+    auto options = std::make_shared<ClientOptions>();
+    metadata.add_option("--metadata-dir", options->directory, "folder that keeps what is trusted");
+    metadata.add_option("--metadata-url", options->mirrors, "where metadata lie; several are mirrors")
         ->take_all();
-    metadata.add_option("--target-name", asked->target, "the target's path");
-    metadata.add_option("--target-base-url", asked->targetBases, "where targets lie; several are mirrors")
+    metadata.add_option("--target-name", options->target, "the target's path");
+    metadata.add_option("--target-base-url", options->targetBases, "where targets lie; several are mirrors")
         ->take_all();
-    metadata.add_option("--target-dir", asked->targetFolder, "folder for downloaded targets");
-    metadata.add_option("--now", asked->now, "the time of this update, RFC 3339, in place of the clock's");
-    metadata.add_option("--within", asked->within, "seconds for one answer of a mirror")
+    metadata.add_option("--target-dir", options->targetDirectory, "folder for downloaded targets");
+    metadata.add_option("--now", options->now, "the time of this update, RFC 3339, in place of the clock's");
+    metadata.add_option("--within", options->within, "seconds for one answer of a mirror")
         ->check(CLI::Range(0.05, 3600.0));
-    metadata.add_option("--most-bytes", asked->maxBytes, "of a target, whatever is listed");
-    metadata.add_flag("--quiet", asked->quiet, "say nothing but refusals");
+    metadata.add_option("--most-bytes", options->maxBytes, "of a target, whatever is listed");
+    metadata.add_flag("--quiet", options->quiet, "say nothing but refusals");
     const auto subcommand = [&](const char* name, const char* what, int (Client::*call)()) {
         auto* command = metadata.add_subcommand(name, what);
         command->fallthrough();
-        command->callback([asked, call, &chosen] {
-            chosen = [asked, call] {
-                need(asked->folder, "--metadata-dir");
-                return (Client(*asked).*call)();
+        command->callback([options, call, &chosen] {
+            chosen = [options, call] {
+                require(options->directory, "--metadata-dir");
+                return (Client(*options).*call)();
             };
         });
         return command;
     };
     auto* init = subcommand("init", "trust a root that came by a safe way", &Client::init);
-    init->add_option("ROOT", asked->root, "the root's file")->required();
+    init->add_option("ROOT", options->root, "the root's file")->required();
     init->footer("Example:\n  lichenlanding metadata --metadata-dir trust init root.json");
     subcommand("refresh", "update what is trusted", &Client::refresh)
         ->footer(
