--- a/bench/refresh_and_hits.cpp
+++ b/bench/refresh_and_hits.cpp
@@ -78,7 +78,8 @@
     }
     T told{};
     if (read(ends[0], &told, sizeof told) != sizeof told) std::exit(1);
-    close(ends[0]), close(ends[1]);
+    close(ends[0]);
+    close(ends[1]);
     return {made, told};
 }
 
@@ -132,19 +133,28 @@
 std::pair<pid_t, std::uint16_t> startSidecar(const Ports& ports, const std::string& rootFile, How how) {
     return child<std::uint16_t>([&](auto told) {
         Config config;
-        config.name = "n0", config.listen = {"127.0.0.1", 0}, config.seed = 7, config.sockets = 1024;
+        config.name = "n0";
+        config.listen = {"127.0.0.1", 0};
+        config.seed = 7;
+        config.sockets = 1024;
         config.discovery = config.platform = {"127.0.0.1", 1};
         auto& settings = config.settings;
         settings.zones = {"a"};
         settings.groups = {
             {"read", 1000 * ms, 2500 * ms, 1, Effect::idempotent, DedupScope::all, 0, false, 0}};
-        settings.maxAttempts = 2, settings.slowStartTime = 4000 * ms, settings.slowStartFloor = 0.4,
+        settings.maxAttempts = 2;
+        settings.slowStartTime = 4000 * ms;
+        settings.slowStartFloor = 0.4;
         settings.overloadMultiple = 2;
-        settings.caps = {1}, settings.freeAttempts = 1, settings.exposureWindow = 6000 * ms,
+        settings.caps = {1};
+        settings.freeAttempts = 1;
+        settings.exposureWindow = 6000 * ms;
         settings.voteTtl = 6000 * ms;
-        settings.voteTimeout = 800 * ms, settings.connectTimeout = 250 * ms,
+        settings.voteTimeout = 800 * ms;
+        settings.connectTimeout = 250 * ms;
         settings.idleTimeout = 15'000 * ms;
-        settings.maxInFlight = 20'000, settings.votesPerSecond = 100;
+        settings.maxInFlight = 20'000;
+        settings.votesPerSecond = 100;
         config.rollout = RolloutUpdate{5, 0, RolloutState::released, 1, 0};
         config.endpoints.emplace();
         config.endpoints->complete = true;
@@ -154,7 +164,8 @@
         std::optional<TrustConfig> trust;
         if (how != off) {
             trust.emplace();
-            trust->root = rootFile, trust->builds = "releases/{build}",
+            trust->root = rootFile;
+            trust->builds = "releases/{build}";
             trust->directory = rootFile + ".trust";
             trust->metadata.push_back({{{"127.0.0.1", ports.mirror}, "/"}, false});
             trust->thread = how == beside;
@@ -240,14 +251,16 @@
         std::printf("refresh %s: median %.0f us, 99th %.0f us, worst %.0f us, %zu answered, %zu not\n",
                     names[how], figures.median, figures.high, figures.worst, figures.answered, figures.bad);
         std::fflush(stdout);
-        medians[how].push_back(figures.median), highs[how].push_back(figures.high),
-            worst[how].push_back(figures.worst);
+        medians[how].push_back(figures.median);
+        highs[how].push_back(figures.high);
+        worst[how].push_back(figures.worst);
     }
     for (const auto how : {beside, inLoop})
         std::printf("%s against off, the runs' middles: median %.2f, 99th %.2f, worst %.2f\n", names[how],
                     middle(medians[how]) / middle(medians[off]), middle(highs[how]) / middle(highs[off]),
                     middle(worst[how]) / middle(worst[off]));
-    ended(podsPid), ended(mirrorPid);
+    ended(podsPid);
+    ended(mirrorPid);
     const auto removed = std::system(("rm -rf " + rootFile + " " + rootFile + ".trust").c_str());
     return removed == 0 ? 0 : 1;
 }
--- a/src/metadata/delegation_index.cpp
+++ b/src/metadata/delegation_index.cpp
@@ -12,11 +12,14 @@
     std::size_t at = 0, from = 0, star = pattern.npos, taken = 0;
     while (from < text.size()) {
         if (at < pattern.size() && pattern[at] == '*') {
-            star = at++, taken = from;
+            star = at++;
+            taken = from;
         } else if (at < pattern.size() && (pattern[at] == '?' || pattern[at] == text[from])) {
-            ++at, ++from;
+            ++at;
+            ++from;
         } else if (star != pattern.npos) {
-            at = star + 1, from = ++taken;
+            at = star + 1;
+            from = ++taken;
         } else {
             return false;
         }
@@ -43,7 +46,8 @@
         const auto one = pattern.find('/'), other = path.find('/');
         if (!segmentMatches(pattern.substr(0, one), path.substr(0, other))) return false;
         if (one == pattern.npos || other == path.npos) return one == other;
-        pattern.remove_prefix(one + 1), path.remove_prefix(other + 1);
+        pattern.remove_prefix(one + 1);
+        path.remove_prefix(other + 1);
     }
 }
 
--- a/src/metadata/delegation_index.hpp
+++ b/src/metadata/delegation_index.hpp
@@ -16,18 +16,18 @@
 
 namespace lichenlanding::metadata {
 
-// '*': any number of characters, '?': one, neither a '/'; '[...]' is literal. Linear in either length's
-// product at worst; segments are matched one by one.
+/// '*': any number of characters, '?': one, neither a '/'; '[...]' is literal. Linear in either length's
+/// product at worst; segments are matched one by one.
 bool patternMatches(std::string_view pattern, std::string_view path);
 
 class DelegationIndex {
   public:
-    // In the order of priority: the number given is what matching() returns. Then seal().
+    /// In the order of priority: the number given is what matching() returns. Then seal().
     void add(std::uint32_t number, const std::vector<std::string>& patterns,
              const std::vector<std::string>& hashPrefixes);
     void seal();
 
-    // Ascending, each once. pathHash: hex of the path's SHA-256.
+    /// Ascending, each once. pathHash: hex of the path's SHA-256.
     std::vector<std::uint32_t> matching(std::string_view path, std::string_view pathHash) const;
 
   private:
@@ -40,9 +40,9 @@
         std::uint32_t number;
     };
     std::map<std::size_t, std::vector<Prefix>> prefixes_;                  // by length, sorted by digits
-    std::unordered_map<std::string, std::vector<std::uint32_t>> literal_;  // looked up, never walked
+    std::unordered_map<std::string, std::vector<std::uint32_t>> literal_;  // never iterated
     // By segments and the literal beginning, "3/releases/"; the beginnings' lengths that occur, in segments.
-    std::unordered_map<std::string, std::vector<Shaped>> shaped_;  // looked up, never walked
+    std::unordered_map<std::string, std::vector<Shaped>> shaped_;  // never iterated
     std::map<std::size_t, std::vector<std::size_t>> beginnings_;   // by segments: literal segments, ascending
 };
 
--- a/src/metadata/key.cpp
+++ b/src/metadata/key.cpp
@@ -152,7 +152,8 @@
     made.reserve(bytes.size() * 2);
     for (const char one : bytes) {
         const auto byte = static_cast<unsigned char>(one);
-        made += digits[byte >> 4], made += digits[byte & 15];
+        made += digits[byte >> 4];
+        made += digits[byte & 15];
     }
     return made;
 }
--- a/src/metadata/key.hpp
+++ b/src/metadata/key.hpp
@@ -19,21 +19,21 @@
 using RawKey = std::unique_ptr<EVP_PKEY, FreeKey>;
 
 enum class Scheme { ed25519, ecdsaP256, rsaPss, unknown };
-Scheme schemeOf(const EVP_PKEY* key);  // unknown: another curve, RSA below 2048 bits, another kind
+Scheme schemeOf(const EVP_PKEY* key);  ///< unknown: another curve, RSA below 2048 bits, another kind
 
 class Key {
   public:
-    // Refuses with wrongShape what is no key object, and with badKeyId an id that is not the key's own. A key
-    // of a kind not known here is kept, counts for nothing and harms nothing (4.2).
+    /// Refuses with wrongShape what is no key object, and with badKeyId an id that is not the key's own. A
+    /// key of a kind not known here is stored, counts for nothing and harms nothing (4.2).
     static Result<Key> read(const std::string& id, const Json& object);
-    static Key of(const EVP_PKEY* key);  // as this program writes them
+    static Key of(const EVP_PKEY* key);  ///< as this program writes them
 
     const std::string& id() const { return id_; }
     Scheme scheme() const { return scheme_; }
     const Json& object() const { return object_; }
-    // The same for one key under two ids or two spellings: only distinct keys count towards a threshold.
+    /// The same for one key under two ids or two spellings: only distinct keys count towards a threshold.
     const std::string& identity() const { return identity_; }
-    bool verifies(std::string_view message, std::string_view signature) const;  // raw bytes; no throw
+    bool verifies(std::string_view message, std::string_view signature) const;  ///< raw bytes; no throw
 
   private:
     std::string id_, identity_;
@@ -42,10 +42,10 @@
     std::shared_ptr<EVP_PKEY> key_;
 };
 
-std::string keyId(const Json& object);  // hex of SHA-256 over the canonical key object
+std::string keyId(const Json& object);  ///< hex of SHA-256 over the canonical key object
 
 std::string hex(std::string_view bytes);
-std::optional<std::string> parseHex(std::string_view digits);    // nothing if these are no whole bytes
-std::string digest(std::string_view name, std::string_view of);  // "sha256" or "sha512": hex; else empty
+std::optional<std::string> parseHex(std::string_view digits);    ///< nothing if these are no whole bytes
+std::string digest(std::string_view name, std::string_view of);  ///< "sha256" or "sha512": hex; else empty
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/role.cpp
+++ b/src/metadata/role.cpp
@@ -72,7 +72,8 @@
     auto keys = keysIn(member(object, "keys", Json::value_t::object));
     if (!keys) {
         auto refusal = keys.refusal();
-        refusal.role = role, refusal.version = envelope.version;
+        refusal.role = role;
+        refusal.version = envelope.version;
         return refusal;
     }
     into.keys = std::move(*keys);
@@ -163,8 +164,13 @@
                            (letter >= 'A' && letter <= 'Z') || letter == '.' || letter == '_' ||
                            letter == '-' || letter == '~' || (keepSlash && letter == '/');
         const auto byte = static_cast<unsigned char>(letter);
-        if (plain) made += letter;
-        else made += '%', made += digits[byte >> 4], made += digits[byte & 15];
+        if (plain) {
+            made += letter;
+            continue;
+        }
+        made += '%';
+        made += digits[byte >> 4];
+        made += digits[byte & 15];
     }
     return made;
 }
@@ -223,7 +229,8 @@
         if (!read.signatures.emplace(*id, parseHex(*sig).value_or("")).second)
             return Refusal{Reason::repeatedKey, role, read.version, "key id " + escaped(*id, 64)};
     }
-    read.type = type, read.expires = *time;
+    read.type = type;
+    read.expires = *time;
     read.bytes = canonical(*document);
     read.document = std::move((*whole)["signed"]);
     return read;
@@ -268,7 +275,8 @@
 Result<Root> Root::read(const Envelope& envelope) {
     const auto& document = envelope.document;
     Root read;
-    read.version = envelope.version, read.expires = envelope.expires;
+    read.version = envelope.version;
+    read.expires = envelope.expires;
     if (document.contains("consistent_snapshot")) {
         const auto* consistent = member(document, "consistent_snapshot", Json::value_t::boolean);
         if (!consistent) return shape(envelope, "root", "consistent_snapshot");
@@ -279,7 +287,8 @@
     auto keys = keysIn(member(document, "keys", Json::value_t::object));
     if (!keys) {
         auto refusal = keys.refusal();
-        refusal.role = "root", refusal.version = envelope.version;
+        refusal.role = "root";
+        refusal.version = envelope.version;
         return refusal;
     }
     read.keys = std::move(*keys);
@@ -319,7 +328,8 @@
     const auto* targets = member(envelope.document, "targets", Json::value_t::object);
     if (!targets) return shape(envelope, role, "targets");
     Targets read;
-    read.version = envelope.version, read.expires = envelope.expires;
+    read.version = envelope.version;
+    read.expires = envelope.expires;
     for (const auto& [path, entry] : targets->items()) {
         if (!isTargetName(path))
             return Refusal{Reason::badName, role, envelope.version, "target " + escaped(path, 80)};
--- a/src/metadata/signing_key.hpp
+++ b/src/metadata/signing_key.hpp
@@ -9,12 +9,12 @@
 class SigningKey {
   public:
     static SigningKey generate(
-        Scheme scheme);  // RSA with 3,072 bits; throws std::runtime_error if OpenSSL can't
-    // Refuses with badKeyId what is no private key of a known kind, or another passphrase's. Empty: none.
+        Scheme scheme);  ///< RSA with 3,072 bits; throws std::runtime_error if OpenSSL can't
+    /// Refuses with badKeyId what is no private key of a known kind, or another passphrase's. Empty: none.
     static Result<SigningKey> fromPem(std::string_view pem, const std::string& passphrase = {});
-    std::string toPem(const std::string& passphrase = {}) const;  // encrypted with AES-256 if there is one
+    std::string toPem(const std::string& passphrase = {}) const;  ///< encrypted with AES-256 if there is one
 
-    const Key& key() const { return key_; }  // its public half
+    const Key& key() const { return key_; }  ///< its public half
     std::string sign(std::string_view message) const;
 
   private:
@@ -24,7 +24,7 @@
     Key key_;
 };
 
-// A public key alone, from PEM (SubjectPublicKeyInfo), for roles whose signer is elsewhere.
+/// A public key alone, from PEM (SubjectPublicKeyInfo), for roles whose signer is elsewhere.
 Result<Key> publicKeyFromPem(std::string_view pem);
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/trusted_set.cpp
+++ b/src/metadata/trusted_set.cpp
@@ -8,7 +8,8 @@
 }
 
 Check with(Refusal refusal, const std::string& role, std::int64_t version) {
-    refusal.role = role, refusal.version = version;
+    refusal.role = role;
+    refusal.version = version;
     return refusal;
 }
 
--- a/src/metadata/update.hpp
+++ b/src/metadata/update.hpp
@@ -1,12 +1,13 @@
 // The client's workflow as a machine that wants one thing at a time: it asks for a document, is given its
-// bytes or told that there are none, and hands out what is to be kept before it goes on. It does no I/O; the
-// command line, the sidecar and the tests drive the same object. Source: TUF 1.0, 5 (detailed workflow); 5.1
-// fixed time, 5.3 root chain, 5.3.11 rotated keys, 5.4 to 5.7.
+// bytes or told that there are none, and hands out what is to be stored before it goes on. It does no I/O;
+// the command line, the sidecar and the tests drive the same object. Source: TUF 1.0, 5 (detailed
+// workflow); 5.1 fixed time, 5.3 root chain, 5.3.11 rotated keys, 5.4 to 5.7.
 //
 //     Update update(set, kept, bounds);
-//     update.lookFor("releases/42");                 // any number, now or once an earlier search is over
-//     while (update.wants().kind == Update::Want::fetch)
-//         ... fetch update.wants().path; update.came(bytes) or update.missed(), then take update.keep()
+//     update.search("releases/42");                 // any number, now or once an earlier search is over
+//     while (update.next().kind == Update::Next::fetch)
+//         ... fetch update.next().path; update.receive(bytes) or update.notFound(), then store
+//         update.takeTransactions()
 #pragma once
 
 #include <deque>
@@ -15,7 +16,7 @@
 
 namespace lichenlanding::metadata {
 
-// What was trusted before, by file name ("timestamp.json", a delegated role's quoted name): bytes, or none.
+/// Metadata trusted before, by file name ("timestamp.json", a delegated role's quoted name): bytes, or none.
 class StoredMetadata {
   public:
     virtual ~StoredMetadata() = default;
@@ -23,50 +24,51 @@
 };
 
 struct UpdateLimits {
-    int roots = 256;       // new versions of root in one update
-    int delegations = 64;  // roles visited in one search
+    int roots = 256;       ///< new versions of root in one update
+    int delegations = 64;  ///< roles visited in one search
 };
 
-// To be made durable as one step, in this order of steps: files with their bytes; no bytes: the file goes.
+/// To be made durable as one transaction each, in this order: files with their bytes; no bytes: the file
+/// goes.
 struct StoreTransaction {
     std::vector<std::pair<std::string, std::optional<std::string>>> files;
 };
 
 struct Found {
-    std::string path, role;  // role: that lists it
+    std::string path, role;  ///< role: that lists it
     Target target;
-    std::string location() const;  // where it lies under the target base of a consistent repository
+    std::string location() const;  ///< where it lies under the target base of a consistent repository
 };
 
 class Update {
   public:
     struct Next {
         enum Kind { fetch, done, refused } kind = fetch;
-        std::string path;          // under the metadata base
-        std::size_t maxBytes = 0;  // bytes; more is refused as tooLong and need not be read
+        std::string path;          ///< under the metadata base
+        std::size_t maxBytes = 0;  ///< bytes; more is refused as tooLong and need not be read
         std::string role;
     };
 
-    Update(TrustedSet set, const StoredMetadata& kept, UpdateLimits bounds = {});
+    Update(TrustedSet set, const StoredMetadata& stored, UpdateLimits limits = {});
 
     const Next& next() const { return next_; }
     void receive(std::string_view bytes);
-    void notFound();          // the mirrors say that there is none
-    void fail(Refusal why);   // none could be had
-    void retry();             // what was refused last is wanted again: another mirror may have better
-    void abort(Refusal why);  // ends it, whatever it wants
+    void notFound();          ///< the mirrors say that there is none
+    void fail(Refusal why);   ///< none could be had
+    void retry();             ///< requests again what was refused last: another mirror may have better
+    void abort(Refusal why);  ///< ends it in any state
     std::vector<StoreTransaction> takeTransactions() { return std::exchange(transactions_, {}); }
 
-    // A search through the delegations: preorder, by priority, no role twice (5.6.7). Its result is in
-    // found() once nothing is wanted any more. A refusal in one ends this search and the update.
+    /// A search through the delegations: preorder, by priority, no role twice (5.6.7). Its result is in
+    /// found() once nothing is to be fetched any more. A refusal in one ends this search and the update.
     void search(const std::string& path);
     const std::map<std::string, std::optional<Found>>& found() const { return found_; }
 
-    const Refusal& refusal() const { return refusal_; }  // once wants().kind is refused
+    const Refusal& refusal() const { return refusal_; }  ///< once next().kind is refused
     const TrustedSet& set() const { return set_; }
     bool consistent() const { return set_.root().consistent; }
     int visited() const { return visitedInAll_; }
-    // Whether the update has trusted another version of any role than before it.
+    /// Whether the update has trusted another version of any role than before it.
     bool changed() const { return changed_; }
 
   private:
--- a/src/metadata/uptane.hpp
+++ b/src/metadata/uptane.hpp
@@ -10,40 +10,41 @@
 
 namespace lichenlanding::metadata::uptane {
 
-// The director's word for one unit.
+/// The director's word for one unit.
 struct Directive {
-    std::string unit, hardware;  // "ecuIdentifier", "hardwareId"
+    std::string unit, hardware;  ///< "ecuIdentifier", "hardwareId"
     std::int64_t releaseCounter = 0;
     std::string path;
     Target image;
 };
 
-// All directives of the director's targets, by unit. Refuses with wrongShape one that lacks a field, a second
-// one for a unit, and a director that delegates: its targets speak for themselves (5.4.4.5).
+/// All directives of the director's targets, by unit. Refuses with wrongShape one that lacks a field, a
+/// second one for a unit, and a director that delegates: its targets speak for themselves (5.4.4.5).
 Result<std::map<std::string, Directive>> readDirectives(const Targets& director);
 
-// The image repository lists the same image: length and at least one common hash, all common ones equal, the
-// same hardware and release counter where it tells them. Refuses with disagrees, or notFound if it has none.
+/// The image repository lists the same image: length and at least one common hash, all common ones equal, the
+/// same hardware and release counter where it tells them. Refuses with disagrees, or notFound if it has none.
 Check verifyAgreement(const Directive& directive, const std::optional<Found>& image);
 
-// What a unit has: its hardware, and the release counter of what it runs. Refuses with wrongUnit or rollback.
+/// What a unit has: its hardware, and the release counter of what it runs. Refuses with wrongUnit or
+/// rollback.
 struct Installed {
     std::string unit, hardware;
     std::int64_t releaseCounter = 0;
 };
 Check checkInstallable(const Directive& directive, const Installed& installed);
 
-// A secondary that can't verify everything: it knows the director's targets role by its keys alone, and takes
-// its targets document from the primary.
+/// A secondary that can't verify everything: it knows the director's targets role by its keys alone, and
+/// takes its targets document from the primary.
 class Secondary {
   public:
     Secondary(Installed installed, Keys keys, Signers director)
         : installed_(std::move(installed)), keys_(std::move(keys)), director_(std::move(director)) {}
 
-    // The directive for this unit. Refuses as TrustedSet does, and with rollback for a targets version lower
-    // than before, wrongUnit if none is for this unit. A refusal changes nothing.
+    /// The directive for this unit. Refuses as TrustedSet does, and with rollback for a targets version lower
+    /// than before, wrongUnit if none is for this unit. A refusal changes nothing.
     Result<Directive> targets(std::string_view bytes, UnixSeconds now);
-    // An image against the directive taken last; what it runs changes with it.
+    /// An image against the directive taken last; what it runs changes with it.
     Check install(std::string_view image);
 
     const Installed& installed() const { return installed_; }
@@ -56,22 +57,22 @@
     std::optional<Directive> directive_;
 };
 
-// What runs on a unit, told by it and signed with its own key.
+/// What runs on a unit, told by it and signed with its own key.
 struct UnitReport {
     std::string unit, path;
     std::int64_t releaseCounter = 0;
     std::map<std::string, std::string> hashes;
     UnixSeconds at = 0;
-    std::string attack;  // what it refused last, empty if nothing
+    std::string attack;  ///< what it refused last, empty if nothing
 };
 
-Json report(const UnitReport& of, const SigningKey& unitKey);  // signed
-// Of all units, signed by the primary: their reports go in as they came.
+Json report(const UnitReport& of, const SigningKey& unitKey);  ///< signed
+/// Of all units, signed by the primary: their reports go in as they came.
 Json manifest(const std::string& fleet, const std::string& primary, const std::vector<Json>& reports,
               const SigningKey& primaryKey);
 
-// The director's side, and an auditor's: verified with the keys it knows. Refuses with unsigned_, badKeyId
-// for a unit that is not known, repeatedKey for a unit that reports twice.
+/// The director's side, and an auditor's: verified with the keys it knows. Refuses with unsigned_, badKeyId
+/// for a unit that is not known, repeatedKey for a unit that reports twice.
 Result<std::vector<UnitReport>> readManifest(std::string_view bytes, const Key& primaryKey,
                                              const std::map<std::string, Key>& unitKeys);
 
--- a/src/store/disk.hpp
+++ b/src/store/disk.hpp
@@ -10,22 +10,23 @@
 
 namespace lichenlanding::store {
 
-// Names are relative, with at most one '/' in them. All calls return false, or nothing, on an error; why()
-// then tells it for a person.
+/// Names are relative, with at most one '/' in them. All calls return false, or nothing, on an error; why()
+/// then tells it for an operator.
 class Disk {
   public:
     virtual ~Disk() = default;
-    virtual bool write(const std::string& name, std::string_view bytes) = 0;  // anew, whole, its data synced
-    virtual bool rename(const std::string& from, const std::string& to) = 0;  // atomic
-    virtual bool remove(const std::string& name) = 0;                         // true if it was not there
-    virtual bool sync() = 0;  // names: what was renamed, made or removed before is there after a crash
+    virtual bool write(const std::string& name,
+                       std::string_view bytes) = 0;  ///< anew, whole, its data synced
+    virtual bool rename(const std::string& from, const std::string& to) = 0;  ///< atomic
+    virtual bool remove(const std::string& name) = 0;                         ///< true if it was not there
+    virtual bool sync() = 0;  ///< names: what was renamed, made or removed before is there after a crash
     virtual std::optional<std::string> read(const std::string& name) const = 0;
-    virtual std::vector<std::string> list() const = 0;  // sorted
+    virtual std::vector<std::string> list() const = 0;  ///< sorted
     virtual std::string lastError() const = 0;
 };
 
-// A folder of the real file system. Locked while it lives: a second one on the same folder, in whatever
-// process, is refused. Files are made with mode 0600, folders with 0700.
+/// A directory of the real file system. Locked while it lives: a second one on the same folder, in whatever
+/// process, is refused. Files are made with mode 0600, directories with 0700.
 class PosixDisk final : public Disk {
   public:
     enum class Opened { yes, busy, failed };
@@ -34,7 +35,7 @@
     ~PosixDisk() override;
     PosixDisk(const PosixDisk&) = delete;
 
-    Opened open();  // makes the folder if it is missing
+    Opened open();  ///< makes the directory if it is missing
     bool write(const std::string& name, std::string_view bytes) override;
     bool rename(const std::string& from, const std::string& to) override;
     bool remove(const std::string& name) override;
@@ -48,7 +49,7 @@
     std::string pathOf(const std::string& name) const { return folder_ + "/" + name; }
 
     std::string folder_, lastError_;
-    std::vector<std::string> touched_;  // folders whose names await a sync
+    std::vector<std::string> touched_;  // directories whose names await a sync
     int lock_ = -1;
 };
 
--- a/tests/adapter/wire.cpp
+++ b/tests/adapter/wire.cpp
@@ -6,10 +6,13 @@
 
 TEST_CASE("a line that cannot be parsed names the message and the field") {
     LineReader line("NEW_REQUEST\t3\tr-1\t-\tmany");
-    line.integer("who", 0, 100), line.word("tid"), line.word("affinity");
+    line.integer("who", 0, 100);
+    line.word("tid");
+    line.word("affinity");
     CHECK_THROWS_WITH(line.integer("marks", 0, 100), "cannot read NEW_REQUEST: field marks");
     LineReader odd("HEARD\t3\t2\tabc");
-    odd.integer("who", 0, 100), odd.integer("srcPeer", 0, 100);
+    odd.integer("who", 0, 100);
+    odd.integer("srcPeer", 0, 100);
     CHECK_THROWS_WITH(odd.bytes("data"), "cannot read HEARD: field data");
 }
 
--- a/tests/metadata/uptane.cpp
+++ b/tests/metadata/uptane.cpp
@@ -23,7 +23,8 @@
         images.target("targets", path, bytes, {{"hardwareId", "m2"}, {"releaseCounter", counter}});
     }
     Result<std::map<std::string, uptane::Directive>> directives() {
-        director.publish(), images.publish();
+        director.publish();
+        images.publish();
         directorClient.update(director.files);
         auto set = TrustedSet::start(directorClient.kept.files.at("root.json"), start + 60);
         set->timestamp(directorClient.kept.files.at("timestamp.json"));
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -69,7 +69,8 @@
     {
         Repository spoilt = repository;
         addListing(spoilt.snapshot, "targets.json", listingOf(2, "", false));
-        bumpVersion(spoilt.snapshot, start + 7 * day), bumpVersion(spoilt.timestamp, start + day);
+        bumpVersion(spoilt.snapshot, start + 7 * day);
+        bumpVersion(spoilt.timestamp, start + day);
         sign(spoilt.snapshot, spoilt.keys.at("snapshot"));
         spoilt.put("snapshot", versionOf(spoilt.snapshot), textOf(spoilt.snapshot));
         spoilt.publishTimestamp();
@@ -104,7 +105,8 @@
         late.publish();
         auto kNewSuffix = client;
         tape.note("at the snapshot's end", kNewSuffix.update(late.files, start + 7 * day));
-        late.snapshotUntil = start + 200 * day, late.timestampUntil = start + 200 * day;
+        late.snapshotUntil = start + 200 * day;
+        late.timestampUntil = start + 200 * day;
         late.publish();
         kNewSuffix = client;
         tape.note("at the targets' end", kNewSuffix.update(late.files, start + 90 * day));
--- a/tests/policy/fleet.cpp
+++ b/tests/policy/fleet.cpp
@@ -6,7 +6,9 @@
 struct Fleet {
     Fleet() {
         auto custom = testSettings();
-        custom.balancers = 100, custom.votesPerSecond = 16, custom.onVotesNeeded = 50;
+        custom.balancers = 100;
+        custom.votesPerSecond = 16;
+        custom.onVotesNeeded = 50;
         for (custom.index = 0; custom.index < 100; ++custom.index)
             scenes.emplace_back(custom).notesOnly = true;
     }
@@ -23,7 +25,9 @@
             for (auto& scene : scenes)
                 for (scene.advanceTo(now); scene.votes > 0; --scene.votes) {
                     const bool taken = left >= 1;
-                    left -= taken, counted += taken, early += now < 1000 * kMs;
+                    left -= taken;
+                    counted += taken;
+                    early += now < 1000 * kMs;
                     scene.policy->onRolloutUpdate(6, stage, RolloutState::testing, true,
                                                   taken ? Outcome::succeeded : Outcome::rejected, 1, 0);
                 }
--- a/tests/policy/routing.cpp
+++ b/tests/policy/routing.cpp
@@ -3,7 +3,10 @@
 TEST_CASE("retries keep away from the build on trial") {
     PolicyFixture scene;
     scene.updateRollout(6, 1, RolloutState::testing, 1);
-    scene.listPod(1, 5), scene.listPod(2, 6), scene.listPod(3, 6), scene.listPod(4, 6);
+    scene.listPod(1, 5);
+    scene.listPod(2, 6);
+    scene.listPod(3, 6);
+    scene.listPod(4, 6);
     for (int turn = 0; turn < 12; ++turn) {
         auto& request = scene.request("h" + std::to_string(turn), 0);
         scene.finish(request, Outcome::rejected);
@@ -14,7 +17,8 @@
 
 TEST_CASE("a pod that is silent while attempts are in flight is ejected until it responds") {
     PolicyFixture scene;
-    scene.listPod(1, 5), scene.listPod(2, 5);
+    scene.listPod(1, 5);
+    scene.listPod(2, 5);
     auto& stuck = scene.request("stuck", 0);
     auto* silent = stuck.attempts[0].pod;
     scene.advanceTo(400 * kMs);
--- a/tests/policy/rules.cpp
+++ b/tests/policy/rules.cpp
@@ -2,7 +2,8 @@
 
 TEST_CASE("a non-idempotent request is retried only if it was never executed") {
     PolicyFixture scene;
-    scene.listPod(1, 5), scene.listPod(2, 5);
+    scene.listPod(1, 5);
+    scene.listPod(2, 5);
     scene.finish(scene.request("turned-away", 2), Outcome::unreachable);
     scene.note("an error page promises nothing, so it is no bounce");
     scene.finish(scene.request("may-have-run", 2), Outcome::failed);
@@ -11,7 +12,9 @@
 
 TEST_CASE("a deduplicated request is retried only within its zone and window") {
     PolicyFixture scene;
-    scene.listPod(1, 5, 0), scene.listPod(2, 5, 0), scene.listPod(3, 5, 1);
+    scene.listPod(1, 5, 0);
+    scene.listPod(2, 5, 0);
+    scene.listPod(3, 5, 1);
     for (int turn = 0; turn < 4; ++turn) {
         auto& request = scene.request("in-zone-" + std::to_string(turn), 1);
         scene.finish(request, Outcome::failed);
@@ -28,7 +31,8 @@
 
 TEST_CASE("nothing is sent to a pod that drains or was removed") {
     PolicyFixture scene;
-    scene.listPod(1, 5), scene.listPod(2, 5);
+    scene.listPod(1, 5);
+    scene.listPod(2, 5);
     scene.listPod(1, 5, 0, Availability::draining);
     for (int turn = 0; turn < 4; ++turn)
         scene.finish(scene.request("h" + std::to_string(turn), 0), Outcome::succeeded);
@@ -86,7 +90,8 @@
                 if (at >= 4000 * kMs) ++all;
                 scene.finish(scene.requests["h" + std::to_string(turn)], Outcome::succeeded, 60 * kMs);
             }
-            cold += mine, most = std::max(most, mine);
+            cold += mine;
+            most = std::max(most, mine);
         }
         kept.trace << sidecars << " sidecars sent the cold pod " << cold << " of " << all
                    << " hits while it was cold, one sidecar at most " << most << '\n';
--- a/tests/policy/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -6,14 +6,18 @@
 std::string counts(std::uint32_t epoch, std::uint32_t seq, std::vector<Tallies> pairs,
                    std::uint32_t build = 6) {
     Message head;
-    head.epoch = epoch, head.seq = seq, head.build = build;
+    head.epoch = epoch;
+    head.seq = seq;
+    head.build = build;
     return encodeCounts(head, pairs).front();
 }
 
 Tallies pair(std::uint32_t newFast, std::uint32_t newBad, std::uint32_t oldFast, std::uint32_t oldBad) {
     Tallies made;
-    made[0].bins[3] = newFast, made[0].bins[kLatencyBins - 1] = made[0].errored = newBad;
-    made[1].bins[3] = oldFast, made[1].bins[kLatencyBins - 1] = made[1].errored = oldBad;
+    made[0].bins[3] = newFast;
+    made[0].bins[kLatencyBins - 1] = made[0].errored = newBad;
+    made[1].bins[3] = oldFast;
+    made[1].bins[kLatencyBins - 1] = made[1].errored = oldBad;
     return made;
 }
 
@@ -21,7 +25,8 @@
 struct TrialFixture : PolicyFixture {
     TrialFixture() {
         updateRollout(6, 0, RolloutState::testing, 0.5);
-        listPod(1, 5), listPod(2, 6);
+        listPod(1, 5);
+        listPod(2, 6);
     }
     void sendToPeer(int peer, const std::string& bytes) override {
         PolicyFixture::sendToPeer(peer, bytes);
@@ -121,7 +126,8 @@
     trial.start();
     trial.pods.clear();
     trial.updateRollout(6, 0, RolloutState::testing, 0.5);
-    trial.listPod(1, 5), trial.listPod(2, 6);
+    trial.listPod(1, 5);
+    trial.listPod(2, 6);
     trial.policy->onPeerMessage(2, counts(4, 40, {pair(60, 0, 300, 0)}));
     trial.matches("voter-restart");
 }
@@ -135,10 +141,14 @@
         custom.index = index;
         PolicyFixture scene(custom);
         scene.updateRollout(6, 0, RolloutState::testing, 0.5);
-        scene.listPod(1, 5), scene.listPod(2, 6);
+        scene.listPod(1, 5);
+        scene.listPod(2, 6);
         Message message;
         message.kind = Message::Kind::verdict;
-        message.epoch = 3, message.seq = 1, message.build = 6, message.verdict = 3;
+        message.epoch = 3;
+        message.seq = 1;
+        message.build = 6;
+        message.verdict = 3;
         int heard = 0;
         for (int peer = 0; peer < 8; ++peer)
             if (peer != index) {
@@ -282,7 +292,9 @@
     std::stringstream whole;
     for (const auto control : {VoteMode::majority, VoteMode::timed}) {
         auto custom = testSettings();
-        custom.attestationRequired = true, custom.voteMode = control, custom.balancers = 1,
+        custom.attestationRequired = true;
+        custom.voteMode = control;
+        custom.balancers = 1;
         custom.caps = {0.2, 0.6, 1};
         PolicyFixture scene(custom);
         scene.note(control == VoteMode::timed ? "the clock goes on" : "votes");
@@ -331,7 +343,8 @@
     for (const bool told : {false, true}) {
         PolicyFixture scene;
         scene.updateRollout(6, 0, RolloutState::testing, 0.5);
-        scene.listPod(1, 5), scene.listPod(2, 6);
+        scene.listPod(1, 5);
+        scene.listPod(2, 6);
         if (told) scene.policy->onAttestation(6, Attestation::withdrawn);
         for (int one = 0; one < 200; ++one) {
             scene.advanceTo(scene.now + 20 * kMs);
--- a/tests/sidecar/connection.cpp
+++ b/tests/sidecar/connection.cpp
@@ -127,7 +127,8 @@
     std::stringstream trace;
     for (const auto& [what, bytes] : answers) {
         const auto serve = [&bytes = bytes](HttpStandIn& standIn, evhttp_request* request) {
-            standIn.hold(request), standIn.sendRaw(request, bytes);
+            standIn.hold(request);
+            standIn.sendRaw(request, bytes);
         };
         trace << what << ": " << resultOf(serve) << '\n';
     }
--- a/tests/sidecar/metadata_mirrors.cpp
+++ b/tests/sidecar/metadata_mirrors.cpp
@@ -111,7 +111,8 @@
     const auto used = static_cast<std::size_t>(2 - alone);
     // The operator turns it round: the one in use drains.
     auto config = *fixture.trust;
-    config.metadata[1].draining = false, config.metadata[used].draining = true;
+    config.metadata[1].draining = false;
+    config.metadata[used].draining = true;
     fixture.sidecar->reload(config);
     fixture.nextRefresh();
     const auto before = fixture.mirrors[used]->requestPaths.size();
@@ -137,7 +138,8 @@
     fixture.runUntil([&] { return held() >= 0; });
     const auto asked = static_cast<std::size_t>(held()), kept = (asked + 1) % 3, dropped = (asked + 2) % 3;
     auto config = *fixture.trust;
-    config.metadata = {fixture.trust->metadata[kept]}, config.targets = {fixture.trust->targets[kept]};
+    config.metadata = {fixture.trust->metadata[kept]};
+    config.targets = {fixture.trust->targets[kept]};
     fixture.sidecar->reload(config);
     for (auto& script : fixture.scripts) script = nullptr;
     fixture.mirrors[asked]->respondToPending(500, "");
@@ -152,7 +154,8 @@
 TEST_CASE("a sidecar serves complete sets that it has verified, within limits, beside requests") {
     TrustFixture fixture;
     fixture.trust->serve = sidecar::Address{"127.0.0.1", 0};
-    fixture.trust->serveConnections = 8, fixture.trust->serveBytes = 100'000;
+    fixture.trust->serveConnections = 8;
+    fixture.trust->serveBytes = 100'000;
     for (int build = 6; build < 12; ++build)
         fixture.repository.target("targets", "releases/" + std::to_string(build),
                                   std::string(20'000, static_cast<char>('a' + build)));
--- a/tests/sidecar/platform_client.cpp
+++ b/tests/sidecar/platform_client.cpp
@@ -41,7 +41,8 @@
                                                            {0, "", Verdict::on},
                                                            {-1, "", Verdict::on}};
     for (const auto& [with, body, verdict] : votes) {
-        code = with, answer = body;
+        code = with;
+        answer = body;
         const auto before = received;
         client.vote(verdict, 42, 1);
         fixture.runUntil([&] { return received > before; });
--- a/tests/sidecar/reload_and_shutdown.cpp
+++ b/tests/sidecar/reload_and_shutdown.cpp
@@ -13,7 +13,8 @@
     HttpStandIn registry(fixture.loop, [&](auto& standIn, auto* request) { standIn.hold(request); });
     HttpStandIn platform(fixture.loop, [&](auto& standIn, auto* request) { standIn.hold(request); });
     Config config;
-    config.discovery = registry.address, config.platform = platform.address;
+    config.discovery = registry.address;
+    config.platform = platform.address;
     fixture.sidecar->reload(config);
     fixture.sidecar->reload(config);  // twice in a row
     fixture.runUntil([&] { return !registry.pending.empty() && !platform.pending.empty(); });
--- a/tests/sidecar/request_handler.cpp
+++ b/tests/sidecar/request_handler.cpp
@@ -37,8 +37,11 @@
             const auto* value = evhttp_find_header(evhttp_request_get_input_headers(request), name);
             return std::string(value ? value : "-");
         };
-        path = evhttp_request_get_uri(request), id = header("X-Call-Id"), key = header("Idempotency-Key");
-        host = header("Host"), budget = parseBudget(header("X-Budget"));
+        path = evhttp_request_get_uri(request);
+        id = header("X-Call-Id");
+        key = header("Idempotency-Key");
+        host = header("Host");
+        budget = parseBudget(header("X-Budget"));
         body = HttpStandIn::bodyOf(request);
         standIn.respond(request, 200, "done");
     };
--- a/tests/sidecar/trust_manager.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -85,7 +85,8 @@
         at.respond(call, 409, "{\"error\":\"STALE\"}");
     });
     sidecar::Config moved;
-    moved.discovery = fixture.discovery->address, moved.platform = desk.address;
+    moved.discovery = fixture.discovery->address;
+    moved.platform = desk.address;
     fixture.sidecar->reload(moved);
     CHECK(fixture.nextRefresh().empty());
     const auto before = votes.size();
--- a/tests/sidecar/upstream_pool.cpp
+++ b/tests/sidecar/upstream_pool.cpp
@@ -16,7 +16,9 @@
             noDescriptor += response.result == CallResult::noDescriptor;
         });
     };
-    send(), send(), send();
+    send();
+    send();
+    send();
     fixture.runUntil([&] { return pod.pending.size() == 2 && ended == 1; });
     CHECK(noDescriptor == 1);
     const auto second = pod.portOf(pod.pending[1]);
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -49,7 +49,8 @@
         if (broken || !now_.count(from)) return fails("broken");
         now_[to] = now_.at(from);
         now_.erase(from);
-        dirty_.insert(from), dirty_.insert(to);
+        dirty_.insert(from);
+        dirty_.insert(to);
         step();
         return true;
     }
