--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -17,7 +17,6 @@
 constexpr Nanos kPoolingInterval = 2 * kSecond;  // between sends of counts to the voters
 constexpr Nanos kMinJudgeInterval = 500 * kMs;   // between rank tests of a voter
 constexpr Nanos kMaxSkip = 2 * kSecond;          // after a pod's start its outcomes are ignored
-constexpr Nanos kUndecidedTimeout = 1500 * kMs;
 constexpr int kVoterCount = 3, kRankTestDraws = 200, kLastBin = kLatencyBins - 1;
 constexpr double kOnThreshold = 0.4, kAheadThreshold = 0.55, kBackThreshold = 0.38;
 constexpr double kConfidence = 0.95, kHighConfidence = 0.99;
@@ -43,7 +42,7 @@
 constexpr double kSlowFactor = 1.3;         // of the mean slowness, up to which a pod gets its full share
 constexpr double kMinSlowness = 0.05;       // in latency targets: faster makes no difference
 constexpr double kSlownessScale = 64;       // fixed-point scale of slowness in messages
-constexpr Nanos kLoadReportTtl = kSecond;
+constexpr Nanos kLoadReportTtl = kSecond, kUndecidedTimeout = 1500 * kMs;
 constexpr int kMaxRetries = 2, kProbesPerRequest = 2;
 constexpr double kSparseLoadFactor = 8;  // pods per own request in flight, from which own load says little
 constexpr std::size_t kMaxProbedPods = 4;
@@ -146,8 +145,7 @@
     limits::Bucket probeBudget{0, 2};
     std::unordered_map<std::string, int> buildOfKey;  // monotonic keys: the build that answered
     PodStats overallStats;                            // recent own outcomes of all pods
-    double typicalCost = 0;
-    double deliveredCost = 0, deliveredRate = 0;  // this second; per second and warm pod
+    double typicalCost = 0, deliveredCost = 0, deliveredRate = 0;  // delivered: this second; per warm pod
     int measuredSeconds = 0, ticks = 0, lostPods = 0;
     double pace = 0;  // successes within target, in target latencies, decaying
     Nanos nextSecond = 0;
