--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -50,7 +50,7 @@
         endAttempt(request, *last, end, status, took);
     }
     // As a host tells it: all but what ends unreached was written first.
-    void endAttempt(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
+    void endAttempt(RoutedRequest& request, routing::Attempt& attempt, AttemptEvent end, int status = 200,
                     Nanos took = 100 * kMillisecond) {
         if (end != AttemptEvent::unreached) attempt.apply(AttemptEvent::written);
         router->onAttemptEnded(request, attempt, end, status, took, now);
@@ -63,7 +63,7 @@
     }
     config::BootstrapSettings boot;
     std::unique_ptr<Router> router;
-    std::shared_ptr<Attempt> last;
+    std::shared_ptr<routing::Attempt> last;
     Nanos now = 100 * kSecond;
 };
 
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -45,11 +45,13 @@
             *port = free.local_endpoint().port();
         }
         platform = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-        spawn(io, "platform", accept(*platform, [this](const auto& request) { return list(request); }));
+        lichenlanding::transport::spawn(
+            io, "platform", accept(*platform, [this](const auto& request) { return list(request); }));
         for (const auto* name : {"i-1", "i-2"}) {
             doors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
             pods[name] = "127.0.0.1:" + std::to_string(doors.back()->local_endpoint().port());
-            spawn(io, "pod", accept(*doors.back(), [this](const auto& request) { return serve(request); }));
+            lichenlanding::transport::spawn(
+                io, "pod", accept(*doors.back(), [this](const auto& request) { return serve(request); }));
         }
     }
     ~House() {
@@ -110,7 +112,7 @@
         close(ends[1]);
         program.lines.clear();
         program.out = std::make_unique<asio::posix::stream_descriptor>(io, ends[0]);
-        spawn(io, "log", follow(program));
+        lichenlanding::transport::spawn(io, "log", follow(program));
     }
     void stop(Program& program, int signal) {
         if (program.id <= 0) return;
@@ -135,7 +137,7 @@
                                      const std::string& body = "", const std::string& id = "") {
         std::pair<int, std::string> answer{0, ""};
         bool done = false;
-        spawn(io, "call", ask(address, method, target, body, id, answer, done));
+        lichenlanding::transport::spawn(io, "call", ask(address, method, target, body, id, answer, done));
         while (!done) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
         return answer;
     }
@@ -205,7 +207,7 @@
             ErrorCode code;
             auto socket = co_await door.async_accept(withErrorCode(code));
             if (code) co_return;
-            spawn(io, "connection", answer(std::move(socket), handle));
+            lichenlanding::transport::spawn(io, "connection", answer(std::move(socket), handle));
         }
     }
     Task<> answer(tcp::socket socket, std::function<Json(const http::request<http::string_body>&)> handle) {
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -104,7 +104,7 @@
     spawn(proxyLoop, "clients", httpServer->serve(*clientAcceptor_));
     for (const auto& pod : pods) {
         acceptors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
-        start(worldLoop, "pod", serve(pod));
+        spawn(worldLoop, "pod", serve(pod));
         listEndpoint(pod);
     }
 }
