--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -48,10 +48,10 @@
 
 void ControlPlaneFeed::logContact(ContactChange change) const {
     if (change == ContactChange::none) return;
-    log(change == ContactChange::unsure ? "control_plane_contact_lost" : "control_plane_contact_established",
+    log(change == ContactChange::unconfirmed ? "control_plane_contact_lost" : "control_plane_contact_established",
         {{"step", "control_plane"},
          {"configuration", config::formatVersion(cache_.version())},
-         {"held_confirmed", quorumContact_.sure()}});
+         {"held_confirmed", quorumContact_.isConfirmed()}});
 }
 
 Json ControlPlaneFeed::digest() const {
@@ -61,9 +61,9 @@
 }
 
 bool ControlPlaneFeed::isWaitOver() {
-    if (!quorumContact_.waited(cache_.version() > 0, now())) return false;
+    if (!quorumContact_.waitElapsed(cache_.version() > 0, now())) return false;
     log("unconfirmed_state_accepted",
-        {{"step", "control_plane"}, {"waited_ms", quorumContact_.unsureWait / kMillisecond}});
+        {{"step", "control_plane"}, {"waited_ms", quorumContact_.kUnconfirmedWait / kMillisecond}});
     return true;
 }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -166,7 +166,7 @@
     // ---- Signals. ----
 
     Task<> drainAndStop() {
-        const Nanos end = now() + settings_.grace - kExitBeforeGrace;
+        const Nanos end = now() + settings_.shutdownGrace - kExitBeforeGrace;
         log("drain_started", {{"open", httpServer_.openConnections()}});
         httpServer_.drain();
         co_await sleep(std::min(kAcceptFor, settings_.shutdownGrace / 2));
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -378,7 +378,7 @@
             done = true;
         };
         call->abort();
-        start(fixture.proxyLoop, "send", send(fixture, call, request, back));
+        spawn(fixture.proxyLoop, "send", send(fixture, call, request, back));
         fixture.until([&] { return back; });
         CPPUNIT_ASSERT_EQUAL(0, fixture.arrivals["left"]);
         CPPUNIT_ASSERT(call->attempt->state() == routing::AttemptState::unsent);
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -26,7 +26,7 @@
 
 struct RouterFixture {
     explicit RouterFixture(std::size_t pods = 4, double slack = 20) {
-        boot.zone = "z", boot.budgetSlack = slack, boot.budgetRatio = 0.2, boot.exposureShare = 0.1;
+        boot.zone = "z", boot.retrySlack = slack, boot.retryBudgetRatio = 0.2, boot.exposureShare = 0.1;
         router = std::make_unique<Router>(boot, 7);
         router->setConfiguration(configurationOf("00000001"));
         router->setProxyCount(1, now - 10 * kSecond);
@@ -50,7 +50,7 @@
         endAttempt(request, *last, end, status, took);
     }
     // As a host tells it: all but what ends unreached was written first.
-    void endAttempt(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status = 200,
+    void endAttempt(RoutedRequest& request, routing::Attempt& attempt, AttemptEvent end, int status = 200,
                     Nanos took = 100 * kMillisecond) {
         if (end != AttemptEvent::unreached) attempt.apply(AttemptEvent::written);
         router->onAttemptEnded(request, attempt, end, status, took, now);
@@ -63,7 +63,7 @@
     }
     config::BootstrapSettings boot;
     std::unique_ptr<Router> router;
-    std::shared_ptr<Attempt> last;
+    std::shared_ptr<routing::Attempt> last;
     Nanos now = 100 * kSecond;
 };
 
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -30,7 +30,7 @@
 class HttpServerFixture {
   public:
     explicit HttpServerFixture(const std::string& routes = "") {
-        boot.zone = "z", boot.budgetSlack = 20;
+        boot.zone = "z", boot.retrySlack = 20;
         router = std::make_unique<routing::Router>(boot, 1);
         router->setConfiguration(
             std::make_shared<config::Configuration>(config::Configuration::parse(configuration(routes))));
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -101,10 +101,10 @@
     upstream = std::make_unique<proxy::UpstreamClient>(proxyLoop);
     httpServer = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
     clientAcceptor_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
-    start(proxyLoop, "clients", httpServer->serve(*clientAcceptor_));
+    spawn(proxyLoop, "clients", httpServer->serve(*clientAcceptor_));
     for (const auto& pod : pods) {
         acceptors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
-        start(worldLoop, "pod", serve(pod));
+        spawn(worldLoop, "pod", serve(pod));
         listEndpoint(pod);
     }
 }
@@ -139,7 +139,7 @@
     client->socket.set_option(tcp::no_delay(true));
     client->socket.non_blocking(true);
     allClients_.push_back(client);
-    start(worldLoop, "client", readAnswers(client));
+    spawn(worldLoop, "client", readAnswers(client));
     if (!bytes.empty()) write(client, bytes, ids);
     return client;
 }
@@ -244,7 +244,7 @@
         socket->set_option(tcp::no_delay(true));
         ++connections[pod];
         sockets_[pod].push_back(socket);
-        start(worldLoop, "pod connection", answerRequests(pod, socket));
+        spawn(worldLoop, "pod connection", answerRequests(pod, socket));
     }
 }
 
