--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -204,7 +204,7 @@
     if (writing_ || !requests_.front()->responseReady) return;
     writing_ = true;
     writeStarted = now();  // before the writer's turn comes: isStalled() looks at both
-    spawn(server_.io, "answer", writeResponses(shared_from_this()));
+    spawn(server_.io, "response", writeResponses(shared_from_this()));
 }
 
 Task<> ClientConnection::writeResponses(std::shared_ptr<ClientConnection> self) {
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -60,16 +60,16 @@
             io_,
             [this] {
                 if (std::exchange(stopping_, true)) return;
-                spawn(io_, "leave", drainAndStop());
+                spawn(io_, "drain", drainAndStop());
             },
             [this] { reload(); });
         log("proxy_started", {{"seed", seed_}, {"life", life_}});
         connections_.dialSeeds();
-        spawn(io_, "links", connections_.serve(peerAcceptor_));
+        spawn(io_, "peer_connections", connections_.serve(peerAcceptor_));
         spawn(io_, "clients", httpServer_.serve(clientAcceptor_));
         spawn(io_, "readiness", serveReadiness(io_, readinessAcceptor_, [this] { return ready(); }));
-        spawn(io_, "tend", housekeeping());
-        spawn(io_, "watch", watchPeers());
+        spawn(io_, "housekeeping", housekeeping());
+        spawn(io_, "peer_watch", watchPeers());
         io_.run();
     }
 
@@ -95,7 +95,7 @@
         for (const auto& name : fleet_.watched()) {
             const auto at = fleet_.proxies().find(name);
             if (at == fleet_.proxies().end() || at->second != connection.peer) continue;
-            log("peer_unresponsive", {{"step", "watch"}, {"peer", name}});
+            log("peer_unresponsive", {{"step", "peer_watch"}, {"peer", name}});
             connections_.sendToControlNodes(encode(PeerLost{name}));
         }
     }
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -139,7 +139,7 @@
     call->began = now();
     attempts_.push_back({call});
     nextHedgeCheck_ = hedgeable ? server_.router.hedgeAt(routed, now()) : routed.deadline;
-    spawn(server_.io, "send", runAttempt(shared_from_this(), call));
+    spawn(server_.io, "attempt", runAttempt(shared_from_this(), call));
 }
 
 Nanos RequestHandler::nextWakeUp() const {
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -31,7 +31,7 @@
         std::any_of(all.begin(), all.end(), [](const auto& rollout) { return rollout.running(); });
     if (!running || counting_) return;
     counting_ = true;
-    spawn(io_, "counts", countWhileRunning());
+    spawn(io_, "outcome_counts", countWhileRunning());
 }
 
 // Totals go out every kCountsEvery, and sooner once failures of a canary have come.
