--- a/tests/admin/configuration_record.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -130,7 +130,7 @@
 // The same over the register's real copies and runs: two writers of one number, the first one's order again
 // through a third as soon as anything was answered, messages in any order or lost, and one machine of the
 // three lost between for good.
-struct OrderSequences {
+struct RequestSequences {
     struct Message {
         std::size_t run = 0, copy = 0;
         consensus::Proposal::Step step = consensus::Proposal::Step::look;
@@ -140,7 +140,7 @@
     };
     static constexpr std::size_t members = 3;
 
-    explicit OrderSequences(std::uint32_t seed, Bug bug_) : draw(seed), bug(bug_), orders(two) {
+    explicit RequestSequences(std::uint32_t seed, Bug bug_) : draw(seed), bug(bug_), orders(two) {
         for (std::size_t at = 0; at < members; ++at)
             epoch.members.push_back({std::string(1, static_cast<char>('a' + at)), "disk", "", ""});
         for (const auto& member : epoch.members)
@@ -194,7 +194,7 @@
     }
     static std::string play(std::uint32_t from, std::uint32_t to, Bug bug, std::size_t& answers) {
         for (auto seed = from; seed < to; ++seed) {
-            OrderSequences world(seed, bug);
+            RequestSequences world(seed, bug);
             for (int step = 0; step < 400 && !world.messages.empty(); ++step) {
                 world.step();
                 if (!world.broken.empty()) return "seed " + std::to_string(seed) + ": " + world.broken;
@@ -249,28 +249,28 @@
 
 }  // namespace
 
-class OrdersTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(OrdersTest);
-    CPPUNIT_TEST(digests);
-    CPPUNIT_TEST(decisions);
-    CPPUNIT_TEST(earlierFormat);
-    CPPUNIT_TEST(unreadable);
-    CPPUNIT_TEST(bounded);
-    CPPUNIT_TEST(everySequence);
-    CPPUNIT_TEST(overTheRegister);
-    CPPUNIT_TEST(rolloutsAgain);
-    CPPUNIT_TEST(rolloutsAnew);
-    CPPUNIT_TEST(rolloutsRace);
-    CPPUNIT_TEST(rolloutsBounded);
+class AdminRequestsTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(AdminRequestsTest);
+    CPPUNIT_TEST(digestIsSha1);
+    CPPUNIT_TEST(requestsAreToldApart);
+    CPPUNIT_TEST(earlierFormatIsRead);
+    CPPUNIT_TEST(cutAndUnknownValuesAreRejected);
+    CPPUNIT_TEST(historyIsBounded);
+    CPPUNIT_TEST(invariantsHoldInEverySequence);
+    CPPUNIT_TEST(invariantsHoldOverTheRegister);
+    CPPUNIT_TEST(repeatedRolloutIsKnown);
+    CPPUNIT_TEST(otherDeadlineIsAnotherRequest);
+    CPPUNIT_TEST(oneOfTwoRolloutsRuns);
+    CPPUNIT_TEST(endedRolloutsAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    void digests() {
+    void digestIsSha1() {
         CPPUNIT_ASSERT_EQUAL(std::string("a9993e364706816aba3e25717850c26c9cd0d89d"), hex(digest("abc")));
         CPPUNIT_ASSERT_EQUAL(std::string("da39a3ee5e6b4b0d3255bfef95601890afd80709"), hex(digest("")));
     }
 
-    void decisions() {
+    void requestsAreToldApart() {
         const auto seven = makeRequest(7, "seven"), other = makeRequest(7, "other"),
                    nine = makeRequest(9, "nine");
         const auto five = makeRequest(5, "five"), fifth = makeRequest(5, "fifth");
@@ -304,7 +304,7 @@
 
     // Values of texts before: eight digits and the body. Nothing of them is lost, and the order in force is
     // known by its body.
-    void earlierFormat() {
+    void earlierFormatIsRead() {
         for (const auto& sent : {std::string("short"), std::string(5000, 'y')}) {
             const auto value = config::formatVersion(0xab) + transport::compress(sent);
             CPPUNIT_ASSERT_EQUAL(0xabu, version(value));
@@ -323,7 +323,7 @@
     }
 
     // What is cut or of another format is told, never guessed; a body cut later shows when it is read.
-    void unreadable() {
+    void cutAndUnknownValuesAreRejected() {
         const auto value =
             applyRequest(applyRequest("", makeRequest(7, std::string(3000, 'a'))), makeRequest(8, "eight"));
         const auto whole = value.size() - transport::compress("eight").size();
@@ -338,7 +338,7 @@
     }
 
     // So many are remembered, and the one in force for good, however many older ones come.
-    void bounded() {
+    void historyIsBounded() {
         std::string value = applyRequest("", makeRequest(1000, "in force"));
         for (std::uint32_t number = 1; number <= 200; ++number)
             value = applyRequest(value, makeRequest(number, "older" + std::to_string(number)));
@@ -357,7 +357,7 @@
         CPPUNIT_ASSERT(value.size() < 64 * 24 + 40);
     }
 
-    void everySequence() {
+    void invariantsHoldInEverySequence() {
         const auto whole = explore(Model(race, Bug::none));
         CPPUNIT_ASSERT_EQUAL(std::string(), whole.broken);
         std::string seen = "states " + std::to_string(whole.states) + "\n";
@@ -374,18 +374,18 @@
         approve("configuration-record-explored", seen);
     }
 
-    void overTheRegister() {
+    void invariantsHoldOverTheRegister() {
         std::size_t answers = 0;
-        CPPUNIT_ASSERT_EQUAL(std::string(), OrderSequences::play(1, 20'001, Bug::none, answers));
+        CPPUNIT_ASSERT_EQUAL(std::string(), RequestSequences::play(1, 20'001, Bug::none, answers));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(answers), answers > 20'000);  // most are answered at all
         std::cout << " (" << answers << " orders answered in 20000 schedules)";
-        const auto found = OrderSequences::play(1, 20'001, Bug::numberAlone, answers);
+        const auto found = RequestSequences::play(1, 20'001, Bug::numberAlone, answers);
         CPPUNIT_ASSERT(found.starts_with("seed "));
         std::cout << " (by the number alone: " << found << ")";
     }
 
     // Known again while it runs, after each way to end, and after others; never a second one.
-    void rolloutsAgain() {
+    void repeatedRolloutIsKnown() {
         const auto order = asked("s", "v2", 12'000);
         auto value = addRollout("", order);
         CPPUNIT_ASSERT(addRollout(value, order) == value);
@@ -406,7 +406,7 @@
 
     // Another deadline makes another order: refused while the first runs, nothing to do where that version is
     // the one that the service has come to, and else begun anew.
-    void rolloutsAnew() {
+    void otherDeadlineIsAnotherRequest() {
         const auto first = asked("s", "v2", 12'000), again = asked("s", "v2", 15'000);
         const auto running = addRollout("", first);
         CPPUNIT_ASSERT(classifyRequest(messages::decodeRollouts(running), again) ==
@@ -439,7 +439,7 @@
 
     // Two orders through two control nodes, in both sequences of ballots, each sent again: one runs, the
     // other is refused for as long as it does.
-    void rolloutsRace() {
+    void oneOfTwoRolloutsRuns() {
         const std::vector<messages::Rollout> both{asked("s", "v2", 12'000), asked("s", "v2", 15'000)};
         for (const std::size_t first : {0u, 1u}) {
             auto value = addRollout("", both[first]);
@@ -456,7 +456,7 @@
     }
 
     // Hundreds of rollouts: the ended ones go, but for the newest and for what each service has come to.
-    void rolloutsBounded() {
+    void endedRolloutsAreBounded() {
         auto value = ended(addRollout("", asked("quiet", "v1", 1000)), "v1", "completed");
         std::size_t bytes = 0;
         for (int at = 0; at < 400; ++at) {
@@ -476,4 +476,4 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{802}, highest);  // numbers go on rising
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(OrdersTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AdminRequestsTest);
--- a/tests/control_plane/admin_api_contract.cpp
+++ b/tests/control_plane/admin_api_contract.cpp
@@ -39,33 +39,33 @@
 
 }  // namespace
 
-class ContractTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(ContractTest);
-    CPPUNIT_TEST(fields);
-    CPPUNIT_TEST(answers);
+class AdminApiContractTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(AdminApiContractTest);
+    CPPUNIT_TEST(wrongFieldIsNamed);
+    CPPUNIT_TEST(documentedStatusesAreAnswered);
     CPPUNIT_TEST_SUITE_END();
 
     // Those of 413 and 431, which the connection answers, are brought about in the tests of callers.
-    void answers() {
+    void documentedStatusesAreAnswered() {
         const auto file = YAML::LoadFile(OPENAPI);
         const auto documented = file["paths"]["/api/rpc"]["post"]["responses"];
-        using control_stage::configuration;
-        control_stage::ControlStage stage;
+        using admin_api_fixture::configuration;
+        admin_api_fixture::AdminApiFixture fixture;
         std::map<std::string, std::vector<control_plane::AdminResponse>> seen;
         const auto ask = [&](const std::string& call, const std::string& body) {
-            const auto response = stage.call(call, body);
+            const auto response = fixture.call(call, body);
             seen[std::to_string(response.result_int())].push_back(response);
         };
         ask("config.read", ""), ask("config.other", ""), ask("rollouts.read&of=s", "");
         ask("config.replace", "{}"), ask("rollouts.begin", "{}");
         ask("config.replace", configuration("00000002"));
         ask("config.replace", configuration("00000002", "/b/"));
-        ask("rollouts.begin", control_stage::rollout("v2", "12s"));
-        ask("rollouts.begin", control_stage::rollout("v2", "15s"));
+        ask("rollouts.begin", admin_api_fixture::rollout("v2", "12s"));
+        ask("rollouts.begin", admin_api_fixture::rollout("v2", "15s"));
         ask("config.read", ""), ask("rollouts.read&of=s", ""), ask("status", "");
-        const auto read = stage.ask("/api/rpc?call=config.read", "", http::verb::get);
+        const auto read = fixture.ask("/api/rpc?call=config.read", "", http::verb::get);
         seen[std::to_string(read.result_int())].push_back(read);
-        stage.reg.contact = false;
+        fixture.reg.contact = false;
         ask("config.replace", configuration("00000003"));
         seen["413"], seen["431"];
         for (const auto& [status, responses] : seen) {
@@ -100,7 +100,7 @@
                              Json::parse(clashes[1].body()).at("target_version").get<std::string>());
     }
 
-    void fields() {
+    void wrongFieldIsNamed() {
         const auto schemas = YAML::LoadFile(OPENAPI)["components"]["schemas"];
         std::string seen;
         const std::vector<std::pair<std::string, std::string>> kinds{
@@ -139,4 +139,4 @@
         approve("contract-fields", seen);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(ContractTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(AdminApiContractTest);
--- a/tests/control_plane/endpoint_discovery.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -1,27 +1,27 @@
-// The list's duty against a platform that turns pages away.
+// Endpoint discovery against a platform that answers pages with 429.
 #include "control_plane/endpoint_discovery.hpp"
 
 #include "support/http_server_fixture.hpp"
 
 using namespace stage;
 
-class ListDutyTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(ListDutyTest);
-    CPPUNIT_TEST(turnedAway);
+class EndpointDiscoveryTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(EndpointDiscoveryTest);
+    CPPUNIT_TEST(rateLimitedListIsReadAnewOnce);
     CPPUNIT_TEST_SUITE_END();
 
     asio::io_context io{1};
-    tcp::acceptor door{listen(io, "127.0.0.1:0")};
+    tcp::acceptor acceptor{listen(io, "127.0.0.1:0")};
     config::BootstrapSettings boot;
     subscription::ConfigurationCache cache{{}};
     std::uint64_t term = 1;
     std::vector<std::string> asked;
-    std::function<std::string(const std::string& target)> page;  // "": turned away
-    control_plane::EndpointDiscovery duty{io, boot, cache, [this] { return term; },
-                                          [](const subscription::Json&) {}};
+    std::function<std::string(const std::string& target)> page;  // "": answered 429
+    control_plane::EndpointDiscovery discovery{io, boot, cache, [this] { return term; },
+                                               [](const subscription::Json&) {}};
 
     Task<> platform() {
-        auto socket = co_await door.async_accept(asio::use_awaitable);
+        auto socket = co_await acceptor.async_accept(asio::use_awaitable);
         beast::flat_buffer buffer;
         for (;;) {
             http::request<http::string_body> request;
@@ -40,19 +40,19 @@
   public:
     void tearDown() override { io.stop(); }
 
-    // The duty is had anew while a page is turned away: the new term's list is read from its first page.
-    // Turned away again, it asks ever more seldom; once what it has is old it reads anew, and then takes what
-    // it gets.
-    void turnedAway() {
+    // The lease is acquired anew while a page is answered 429: the new term's list is read from its first
+    // page. Answered 429 again, it asks ever more seldom; once what it has is old it reads anew, and then
+    // takes what it gets.
+    void rateLimitedListIsReadAnewOnce() {
         int firsts = 0;
         page = [&](const std::string& target) -> std::string {
             if (target == "/instances") return ++firsts, R"({"instance_list":[],"next_token":"x"})";
             if (firsts == 1) term = 2;
             return firsts < 3 ? "" : R"({"instance_list":[]})";
         };
-        boot.list = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
+        boot.list = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
         start(io, "platform", platform());
-        start(io, "list", duty.run());
+        start(io, "list", discovery.run());
         for (const Nanos began = now(); !cache.listed(); io.run_one_for(std::chrono::milliseconds(5)))
             CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", now() - began < 5 * kSecond);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, cache.endpointListVersion().term);
@@ -61,4 +61,4 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", asked.size() <= 14);
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(ListDutyTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(EndpointDiscoveryTest);
--- a/tests/integration/command_line.cpp
+++ b/tests/integration/command_line.cpp
@@ -5,43 +5,43 @@
 
 class CommandLineTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(CommandLineTest);
-    CPPUNIT_TEST(commandLine);
-    CPPUNIT_TEST(subcommandsOfBefore);
+    CPPUNIT_TEST(outputStatusAndHelpAreApproved);
+    CPPUNIT_TEST(subcommandNamesOfBeforeStillWork);
     CPPUNIT_TEST_SUITE_END();
 
     // What a call of the program comes to: its exit status and, unless the command line was wrong, its
     // output.
-    static std::string transcriptOf(House& house, std::vector<std::string> words) {
+    static std::string transcriptOf(Cluster& cluster, std::vector<std::string> words) {
         for (auto& word : words)
-            if (word.find(".json") != word.npos || word == "none") word = house.folder + "/" + word;
+            if (word.find(".json") != word.npos || word == "none") word = cluster.folder + "/" + word;
         Program tool;
-        house.spawn(tool, words, "X=");
+        cluster.spawn(tool, words, "X=");
         waitpid(tool.id, &tool.status, 0);
         tool.id = -1;
-        house.io.restart();
-        for (int turn = 0; turn < 200 && house.io.poll() > 0; ++turn) {
+        cluster.io.restart();
+        for (int turn = 0; turn < 200 && cluster.io.poll() > 0; ++turn) {
         }
         std::string seen;
         if (WEXITSTATUS(tool.status) != 2)
             for (const auto& out : tool.lines) {
                 auto text = out.value("text", out.dump());
-                for (auto at = text.find(house.folder); at != text.npos; at = text.find(house.folder))
-                    text.replace(at, house.folder.size(), "FOLDER");
+                for (auto at = text.find(cluster.folder); at != text.npos; at = text.find(cluster.folder))
+                    text.replace(at, cluster.folder.size(), "FOLDER");
                 seen += "  " + text + "\n";
             }
         return seen + "  status " + std::to_string(WEXITSTATUS(tool.status)) + "\n";
     }
-    static void writeConfigurations(const House& house) {
-        std::ofstream(house.folder + "/good.json") << House::configuration(3, "/a/");
-        std::ofstream(house.folder + "/bad.json")
+    static void writeConfigurations(const Cluster& cluster) {
+        std::ofstream(cluster.folder + "/good.json") << Cluster::configuration(3, "/a/");
+        std::ofstream(cluster.folder + "/bad.json")
             << R"({"config_version":"3","resources":[{"resource_type":"table"}]})";
     }
 
   public:
     // Output and exit status of the tools, and the help texts.
-    void commandLine() {
-        House house;
-        writeConfigurations(house);
+    void outputStatusAndHelpAreApproved() {
+        Cluster cluster;
+        writeConfigurations(cluster);
         std::string seen;
         for (const auto& words : std::vector<std::vector<std::string>>{{"config", "check", "good.json"},
                                                                        {"config", "check", "bad.json"},
@@ -64,15 +64,15 @@
                                                                        {"status", "--help"}}) {
             std::string line;
             for (const auto& word : words) line += " " + word;
-            seen += "$" + line + "\n" + transcriptOf(house, words);
+            seen += "$" + line + "\n" + transcriptOf(cluster, words);
         }
         approve("command-line", seen);
     }
 
     // The subcommands' names of version 0.3 do what the present ones do.
-    void subcommandsOfBefore() {
-        House house;
-        writeConfigurations(house);
+    void subcommandNamesOfBeforeStillWork() {
+        Cluster cluster;
+        writeConfigurations(cluster);
         using Words = std::vector<std::string>;
         for (const auto& [before, now] : std::vector<std::pair<Words, Words>>{
                  {{"foyer"}, {"proxy"}},
@@ -94,7 +94,7 @@
                  {{"rehearse", "hollow", "--help"}, {"scale-test", "hollow", "--help"}}}) {
             std::string line;
             for (const auto& word : before) line += " " + word;
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(line, transcriptOf(house, now), transcriptOf(house, before));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(line, transcriptOf(cluster, now), transcriptOf(cluster, before));
         }
     }
 };
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -1,5 +1,5 @@
-// Duties with terms: who takes one and when, what receivers make of a holder of a lower term, how long an
-// order has run, and what a proxy takes from a control node that is out of contact. All in virtual time.
+// Leases with terms: who acquires one and when, what receivers make of a holder of a lower term, how long a
+// rollout has run, and what a proxy takes from a control node that is out of contact. All in virtual time.
 #include "leases/leases.hpp"
 
 #include <filesystem>
@@ -19,9 +19,9 @@
 
 // Members that hear each other unless cut, down or frozen; their words of it are as old as `told` says. One
 // cell, changed by one ballot at a time, as the register sees to it.
-class Core {
+class Members {
   public:
-    explicit Core(int size) {
+    explicit Members(int size) {
         for (int at = 0; at < size; ++at) {
             members.insert(name(at));
             incarnations[name(at)] = static_cast<std::uint64_t>(100 + at);
@@ -83,66 +83,67 @@
 
 }  // namespace
 
-class DutiesTest : public CppUnit::TestFixture {
-    CPPUNIT_TEST_SUITE(DutiesTest);
-    CPPUNIT_TEST(taken);
-    CPPUNIT_TEST(races);
-    CPPUNIT_TEST(lowerTermDropped);
-    CPPUNIT_TEST(newerThanTheEdition);
-    CPPUNIT_TEST(missedInOneEdition);
-    CPPUNIT_TEST(askedByMany);
-    CPPUNIT_TEST(ages);
-    CPPUNIT_TEST(oldValues);
-    CPPUNIT_TEST(unsureNews);
-    CPPUNIT_TEST(noWallClock);
+class LeasesTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(LeasesTest);
+    CPPUNIT_TEST(candidatesAcquireInOrder);
+    CPPUNIT_TEST(oneOfTwoCandidatesWins);
+    CPPUNIT_TEST(lowerTermIsDropped);
+    CPPUNIT_TEST(endpointMissingInAHigherTermIsSetAside);
+    CPPUNIT_TEST(missedChangeIsMendedWithinATerm);
+    CPPUNIT_TEST(emptyCopiesAskForTheSame);
+    CPPUNIT_TEST(agesAreCountedOnBySteadyClocks);
+    CPPUNIT_TEST(earlierRolloutsAreRead);
+    CPPUNIT_TEST(unconfirmedStateIsTakenAfterAWait);
+    CPPUNIT_TEST(nothingReadsAWallClock);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // Who takes the duty, and when: a first start, kills, restarts, cuts. Each fifty milliseconds are a step.
-    void taken() {
+    // Who acquires the lease, and when: a first start, kills, restarts, cuts. Each fifty milliseconds are a
+    // step.
+    void candidatesAcquireInOrder() {
         std::string seen;
         for (const int size : {1, 3, 5}) {
-            Core core(size);
-            core.say(std::to_string(size) + " members, first start");
-            core.run(2 * kSecond);
-            core.say("quiet for a minute");
-            core.run(60 * kSecond);
+            Members group(size);
+            group.say(std::to_string(size) + " members, first start");
+            group.run(2 * kSecond);
+            group.say("quiet for a minute");
+            group.run(60 * kSecond);
             if (size > 1) {
-                const auto holder = core.held().holder;
-                core.say("the holder is killed");
-                core.down.insert(holder);
-                core.run(2 * kSecond);
-                CPPUNIT_ASSERT(core.held().holder != holder);
-                core.say("it comes back");
-                core.restart(holder);
-                core.run(10 * kSecond);
-                core.say("the new holder restarts, sooner than it is missed");
-                core.restart(core.held().holder);
-                core.run(2 * kSecond);
-                core.say("the holder and one other don't hear each other: it stays, a minute");
-                for (const auto& member : core.members)
-                    if (member != core.held().holder) {
-                        core.cutBetween(core.held().holder, member);
+                const auto holder = group.held().holder;
+                group.say("the holder is killed");
+                group.down.insert(holder);
+                group.run(2 * kSecond);
+                CPPUNIT_ASSERT(group.held().holder != holder);
+                group.say("it comes back");
+                group.restart(holder);
+                group.run(10 * kSecond);
+                group.say("the new holder restarts, sooner than it is missed");
+                group.restart(group.held().holder);
+                group.run(2 * kSecond);
+                group.say("the holder and one other don't hear each other: it stays, a minute");
+                for (const auto& member : group.members)
+                    if (member != group.held().holder) {
+                        group.cutBetween(group.held().holder, member);
                         break;
                     }
-                core.run(60 * kSecond);
-                core.cut.clear();
-                core.say("the holder is cut off from all, then joined");
-                for (const auto& member : core.members)
-                    if (member != core.held().holder) core.cutBetween(core.held().holder, member);
-                core.run(5 * kSecond);
-                core.cut.clear();
-                core.run(5 * kSecond);
+                group.run(60 * kSecond);
+                group.cut.clear();
+                group.say("the holder is cut off from all, then joined");
+                for (const auto& member : group.members)
+                    if (member != group.held().holder) group.cutBetween(group.held().holder, member);
+                group.run(5 * kSecond);
+                group.cut.clear();
+                group.run(5 * kSecond);
             }
-            CPPUNIT_ASSERT(core.most <= 1);
-            seen += core.seen;
+            CPPUNIT_ASSERT(group.most <= 1);
+            seen += group.seen;
         }
         approve("leases-taken", seen);
     }
 
     // Two that stand at once: one ballot is first, the other changes nothing. Seeded kills, cuts and restarts
-    // with a majority left: the duty has a holder again within a second and a half, and terms only rise.
-    void races() {
+    // with a majority left: the lease has a holder again within a second and a half, and terms only rise.
+    void oneOfTwoCandidatesWins() {
         const auto one = leases::acquireLease("list", {"a", 1}, 4),
                    other = leases::acquireLease("list", {"b", 2}, 4);
         const auto before = leases::encodeLeases({{"list", {"c", 3, 4}}, {"rollouts", {"c", 3, 9}}});
@@ -154,28 +155,28 @@
         for (unsigned seed = 1; seed <= 60; ++seed) {
             const std::string at = "seed " + std::to_string(seed);
             std::mt19937 chance(seed);
-            Core core(seed % 2 ? 3 : 5);
-            core.run(2 * kSecond);
+            Members group(seed % 2 ? 3 : 5);
+            group.run(2 * kSecond);
             std::uint64_t term = 0;
             for (int step = 0; step < 12; ++step) {
-                const auto member = Core::name(static_cast<int>(chance() % core.members.size()));
+                const auto member = Members::name(static_cast<int>(chance() % group.members.size()));
                 const auto what = chance() % 3;
-                if (core.down.contains(member)) core.restart(member);
-                else if (what == 0 && core.down.size() + 1 <= core.members.size() / 2)
-                    core.down.insert(member);
-                else if (what == 1) core.restart(member);
-                core.run(1500 * kMillisecond);
-                const auto held = core.held();
+                if (group.down.contains(member)) group.restart(member);
+                else if (what == 0 && group.down.size() + 1 <= group.members.size() / 2)
+                    group.down.insert(member);
+                else if (what == 1) group.restart(member);
+                group.run(1500 * kMillisecond);
+                const auto held = group.held();
                 CPPUNIT_ASSERT_MESSAGE(at, held.term >= term);
                 term = held.term;
-                CPPUNIT_ASSERT_MESSAGE(at, !core.down.contains(held.holder));
-                CPPUNIT_ASSERT_MESSAGE(at, held.incarnation == core.incarnations.at(held.holder));
+                CPPUNIT_ASSERT_MESSAGE(at, !group.down.contains(held.holder));
+                CPPUNIT_ASSERT_MESSAGE(at, held.incarnation == group.incarnations.at(held.holder));
             }
         }
     }
 
-    // A holder that has not noticed that its duty went to another: whatever it tells late changes nothing.
-    void lowerTermDropped() {
+    // A holder that has not noticed that its lease went to another: whatever it tells late changes nothing.
+    void lowerTermIsDropped() {
         ConfigurationCache old{{}}, next{{}}, proxy{{}}, neighbour{{}};
         old.list({pod("a"), pod("b")}, 1);
         tell(old, proxy, old.digest());
@@ -200,7 +201,7 @@
 
     // A copy of a higher term may be asked for sooner than one of the term before: a pod that only that one
     // knows is set aside, not taken for gone, and serves again as soon as the new holder lists it.
-    void newerThanTheEdition() {
+    void endpointMissingInAHigherTermIsSetAside() {
         ConfigurationCache old{{}}, next{{}}, proxy{{}};
         next.list({pod("a")}, 2);  // asked for, and late on its way
         old.list({pod("a"), pod("new")}, 1);
@@ -215,7 +216,7 @@
     }
 
     // A proxy that has missed a change is mended from the holder's copy of the very edition it follows.
-    void missedInOneEdition() {
+    void missedChangeIsMendedWithinATerm() {
         ConfigurationCache holder{{}}, proxy{{}}, other{{}};
         holder.list({pod("a"), pod("b")}, 1);
         for (auto* one : {&proxy, &other}) tell(holder, *one, holder.digest());
@@ -230,7 +231,7 @@
     }
 
     // What a copy without pods asks for is the same for all of them; any other is answered on its own.
-    void askedByMany() {
+    void emptyCopiesAskForTheSame() {
         ConfigurationCache holder{{}}, empty{{}}, other{{}};
         holder.list({pod("a"), pod("b", true), pod("c")}, 3);
         Json want;
@@ -250,9 +251,9 @@
         CPPUNIT_ASSERT(!holder.wantsFullList(want));  // of an edition that has passed
     }
 
-    // An order's age is a span: counted on by steady clocks, handed on between control nodes, written down
+    // A rollout's age is a span: counted on by steady clocks, handed on between control nodes, written down
     // each second.
-    void ages() {
+    void agesAreCountedOnBySteadyClocks() {
         using verdict::Age;
         verdict::Ages first, second_;
         first.learn("s\nv2", {0, 0, 0}, 50 * kSecond);
@@ -275,9 +276,9 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, second_.at("s\nv2", kSecond).inStage);
     }
 
-    // The register may hold orders of an earlier text, with times of a wall clock: they count from their
+    // The register may hold rollouts of an earlier version, with times of a wall clock: they count from their
     // reading.
-    void oldValues() {
+    void earlierRolloutsAreRead() {
         const auto read = messages::decodeRollouts(
             R"([{"service":"s","target":"v2","state":"in_progress","stage":1,"number":4,"began":1764645000000,)"
             R"("term":12000,"moved":1764645002000}])");
@@ -290,7 +291,7 @@
     }
 
     // A proxy's ways with control nodes in and out of contact.
-    void unsureNews() {
+    void unconfirmedStateIsTakenAfterAWait() {
         std::string seen;
         Nanos now = 10 * kSecond;
         const auto word = [](QuorumContact::Change change) {
@@ -350,7 +351,7 @@
     }
 
     // Nothing of the gateway reads a wall clock but the log's stamp: one that steps can change nothing else.
-    void noWallClock() {
+    void nothingReadsAWallClock() {
         namespace fs = std::filesystem;
         const fs::path sources = fs::path(TRANSCRIPTS) / "../../src";
         std::set<std::string> readers;
@@ -373,4 +374,4 @@
         CPPUNIT_ASSERT(readers == std::set<std::string>{"transport/log.cpp"});
     }
 };
-CPPUNIT_TEST_SUITE_REGISTRATION(DutiesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeasesTest);
--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -11,7 +11,7 @@
 #include "control_plane/admin_server.hpp"
 #include "support/event_loop_fixture.hpp"
 
-namespace control_stage {
+namespace admin_api_fixture {
 
 using namespace lichenlanding;
 using namespace lichenlanding::transport;
@@ -72,9 +72,9 @@
     std::string seen;  // status and body of each answer, a line each; "end" where the connection ends
 };
 
-class ControlStage {
+class AdminApiFixture {
   public:
-    explicit ControlStage(bool metrics = false, control_plane::AdminServerLimits limits = {})
+    explicit AdminApiFixture(bool metrics = false, control_plane::AdminServerLimits limits = {})
         : api(
               reg.its(),
               [] {
@@ -86,13 +86,13 @@
           server(io, api, limits) {}
     template <typename Done>
     void until(Done done) {
-        loop_stage::until(io, 200'000, done);
+        event_loop_fixture::until(io, 200'000, done);
     }
     control_plane::AdminResponse ask(const std::string& target, const std::string& body,
                                      http::verb method = http::verb::post) {
         control_plane::AdminRequest request(method, target, 11);
         request.body() = body;
-        return loop_stage::result(io, api.answer(request), [&](auto done) { until(done); });
+        return event_loop_fixture::result(io, api.answer(request), [&](auto done) { until(done); });
     }
     control_plane::AdminResponse call(const std::string& name, const std::string& body = "") {
         return ask("/api/rpc?call=" + name, body);
@@ -103,15 +103,15 @@
 
     // Over loopback.
     std::shared_ptr<Caller> connect(int receiveBuffer = 0) {
-        if (!door) {
-            door = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
-            start(io, "control", server.serve(*door));
+        if (!acceptor) {
+            acceptor = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
+            start(io, "control", server.serve(*acceptor));
         }
         auto caller = std::make_shared<Caller>(io);
         caller->socket.open(tcp::v4());
         if (receiveBuffer > 0)
             caller->socket.set_option(asio::socket_base::receive_buffer_size(receiveBuffer));
-        caller->socket.connect(door->local_endpoint());  // the backlog takes it
+        caller->socket.connect(acceptor->local_endpoint());  // the backlog takes it
         return caller;
     }
     static std::string bytes(const std::string& name, const std::string& body = "",
@@ -155,7 +155,7 @@
     ScriptedRegister reg{io};
     AdminApi api;
     control_plane::AdminServer server;
-    std::unique_ptr<tcp::acceptor> door;
+    std::unique_ptr<tcp::acceptor> acceptor;
 };
 
-}  // namespace control_stage
+}  // namespace admin_api_fixture
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -34,10 +34,10 @@
     int status = -1;
 };
 
-class House {
+class Cluster {
   public:
-    House() {
-        auto made = (std::filesystem::temp_directory_path() / "house-XXXXXX").string();
+    Cluster() {
+        auto made = (std::filesystem::temp_directory_path() / "cluster-XXXXXX").string();
         CPPUNIT_ASSERT(mkdtemp(made.data()));
         folder = made;
         for (auto* port : {&internal, &control, &front, &probe}) {
@@ -47,12 +47,13 @@
         platform = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
         start(io, "platform", accept(*platform, [this](const auto& request) { return list(request); }));
         for (const auto* name : {"i-1", "i-2"}) {
-            doors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
-            pods[name] = "127.0.0.1:" + std::to_string(doors.back()->local_endpoint().port());
-            start(io, "pod", accept(*doors.back(), [this](const auto& request) { return serve(request); }));
+            podAcceptors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
+            pods[name] = "127.0.0.1:" + std::to_string(podAcceptors.back()->local_endpoint().port());
+            start(io, "pod",
+                  accept(*podAcceptors.back(), [this](const auto& request) { return serve(request); }));
         }
     }
-    ~House() {
+    ~Cluster() {
         for (auto& [_, program] : programs) stop(program, SIGKILL);
         std::filesystem::remove_all(folder);
     }
@@ -154,8 +155,8 @@
         return call(at(name, probe), http::verb::get, "/api/readiness").first;
     }
     // Asked again until it says so; each try is a whole exchange.
-    template <typename RoutedRequest>
-    void until(const char* what, RoutedRequest holds) {
+    template <typename Condition>
+    void until(const char* what, Condition holds) {
         for (const Nanos end = now() + 15 * kSecond; now() < end;)
             if (holds()) return;
         CPPUNIT_FAIL(std::string("never: ") + what);
@@ -177,7 +178,7 @@
     std::string folder;
     unsigned internal = 0, control = 0, front = 0, probe = 0;
     std::unique_ptr<tcp::acceptor> platform;
-    std::vector<std::unique_ptr<tcp::acceptor>> doors;
+    std::vector<std::unique_ptr<tcp::acceptor>> podAcceptors;
     std::map<std::string, std::string> pods;
     std::multiset<std::string> ran;  // ids that pods have run
     std::map<std::string, Program> programs;
@@ -200,10 +201,11 @@
         ran.insert(std::string(request["X-Attempt-Id"]));
         return "served";
     }
-    Task<> accept(tcp::acceptor& door, std::function<Json(const http::request<http::string_body>&)> handle) {
+    Task<> accept(tcp::acceptor& acceptor,
+                  std::function<Json(const http::request<http::string_body>&)> handle) {
         for (;;) {
             ErrorCode code;
-            auto socket = co_await door.async_accept(withErrorCode(code));
+            auto socket = co_await acceptor.async_accept(withErrorCode(code));
             if (code) co_return;
             start(io, "connection", answer(std::move(socket), handle));
         }
--- a/tests/support/event_loop_fixture.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -6,7 +6,7 @@
 #include "support/transcript.hpp"
 #include "transport/event_loop.hpp"
 
-namespace loop_stage {
+namespace event_loop_fixture {
 
 using namespace lichenlanding::transport;
 
@@ -29,4 +29,4 @@
     return std::move(*ended);
 }
 
-}  // namespace loop_stage
+}  // namespace event_loop_fixture
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -84,7 +84,7 @@
     }
     template <typename Done>
     void until(Done done) {
-        loop_stage::until(io, 100'000, done);
+        event_loop_fixture::until(io, 100'000, done);
     }
     void settle() {
         while (io.poll() > 0) {
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -209,7 +209,7 @@
     }
     std::string change(int at, const consensus::Change& change, Nanos within) {
         const auto result =
-            loop_stage::result(io, replica(at).change(control_plane::kConfigurationKey, change, within),
+            event_loop_fixture::result(io, replica(at).change(control_plane::kConfigurationKey, change, within),
                                [&](auto done) { until("a change ends", done); });
         return result.value_or("-");
     }
