--- a/tests/control_plane/peer_messages.cpp
+++ b/tests/control_plane/peer_messages.cpp
@@ -156,7 +156,7 @@
     }
 
     void encodesHellos() {
-        const Hello hello{{"a:1", "b:1"}, true, false, status(), {kEpochOne, std::nullopt}};
+        const ReplicaHello hello{{"a:1", "b:1"}, true, false, status(), {kEpochOne, std::nullopt}};
         const Json expected{{"members", {"a:1", "b:1"}},
                             {"formed", true},
                             {"sure", false},
@@ -211,7 +211,7 @@
                 seen.insert(typeOf(message));
             }
             if (message.at("t") != "hello" || !message.contains("standing")) continue;
-            const Hello hello{{}, false, false, decodeHelloStatus(message), decodeHelloNotice(message)};
+            const ReplicaHello hello{{}, false, false, decodeHelloStatus(message), decodeHelloNotice(message)};
             CPPUNIT_ASSERT_EQUAL(message.at("about"), encode(hello).at("about"));
             CPPUNIT_ASSERT_EQUAL(message.at("standing"), encode(hello).at("standing"));
             ++hellos;
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -729,7 +729,7 @@
     // Whatever keepers of the register say to each other has the fields that it had: a write, a founding, and
     // a change of the members.
     void keepersTalk() {
-        keeper_stage::Cast cast(4, 4);
+        replica_fixture::Cluster cast(4, 4);
         std::set<std::string> kinds;
         std::vector<Json> all;
         for (auto& member : cast.members)
--- /dev/null
+++ b/tests/membership/planning.cpp
@@ -0,0 +1,88 @@
+// Which machines become members, and which losses a set of members survives.
+#include <cppunit/extensions/HelperMacros.h>
+
+#include "membership/membership.hpp"
+
+using namespace lichenlanding;
+using membership::Candidate;
+using membership::FaultTolerance;
+
+namespace {
+
+consensus::Member machine(const std::string& name, const std::string& zone, const std::string& region = "r") {
+    return {name, "d-" + name, zone, region};
+}
+std::vector<Candidate> all(const std::vector<consensus::Member>& members) {
+    std::vector<Candidate> told;
+    for (const auto& member : members) told.push_back({member, true, true});
+    return told;
+}
+std::string names(const std::vector<consensus::Member>& members) {
+    std::string text;
+    for (const auto& member : members) text += (text.empty() ? "" : " ") + member.address;
+    return text;
+}
+
+}  // namespace
+
+class MembershipPlanningTest : public CppUnit::TestFixture {
+    CPPUNIT_TEST_SUITE(MembershipPlanningTest);
+    CPPUNIT_TEST(choosesFewestMembersThatSurviveTheLosses);
+    CPPUNIT_TEST(keepsMembersUntilCompleteOnesReplaceThem);
+    CPPUNIT_TEST_SUITE_END();
+
+  public:
+    void choosesFewestMembersThatSurviveTheLosses() {
+        const std::vector<consensus::Member> five{machine("a", "1"), machine("b", "1"), machine("c", "2"),
+                                                  machine("d", "2"), machine("e", "3")};
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), membership::planMembers({}, all(five), {1, 0, 0}).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(5), membership::planMembers({}, all(five), {2, 0, 0}).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), membership::planMembers({}, all(five), {0, 0, 0}).size());
+        // One zone: three members, one in each.
+        const auto spread = membership::planMembers({}, all(five), {0, 1, 0});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), spread.size());
+        CPPUNIT_ASSERT(membership::unmetTolerance(spread, {1, 1, 0}).empty());
+        // Two zones of two can't bear the loss of one of them; machines go first, and what isn't borne is
+        // said.
+        const std::vector<consensus::Member> two{machine("a", "1"), machine("b", "1"), machine("c", "2"),
+                                                 machine("d", "2")};
+        const auto chosen = membership::planMembers({}, all(two), {1, 1, 0});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), chosen.size());
+        CPPUNIT_ASSERT_EQUAL(std::string("1 zone"), membership::unmetTolerance(chosen, {1, 1, 0}).front());
+        // Regions: five over three of them bear one region of two machines.
+        const std::vector<consensus::Member> wide{machine("a", "1", "x"), machine("b", "2", "x"),
+                                                  machine("c", "3", "y"), machine("d", "4", "y"),
+                                                  machine("e", "5", "z"), machine("f", "6", "z")};
+        const auto regions = membership::planMembers({}, all(wide), {2, 1, 1});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(5), regions.size());
+        CPPUNIT_ASSERT(membership::unmetTolerance(regions, {2, 1, 1}).empty());
+        CPPUNIT_ASSERT(!membership::unmetTolerance(five, {2, 2, 0}).empty());
+    }
+
+    // A place goes from one that is absent to one that is complete; it is never given up for nothing, nor
+    // moved between machines that are both there.
+    void keepsMembersUntilCompleteOnesReplaceThem() {
+        const auto a = machine("a", "1"), b = machine("b", "2"), c = machine("c", "3"), d = machine("d", "3"),
+                   again = consensus::Member{"c", "d-new", "3", "r"};
+        const FaultTolerance one{1, 0, 0};
+        const std::vector<consensus::Member> now{a, b, c};
+        CPPUNIT_ASSERT_EQUAL(std::string("a b c"),
+                             names(membership::planMembers(now, all({a, b, c, d}), one)));
+        CPPUNIT_ASSERT_EQUAL(std::string("a b d"), names(membership::planMembers(now, all({a, b, d}), one)));
+        CPPUNIT_ASSERT_EQUAL(std::string("a b c"), names(membership::planMembers(now, all({a, b}), one)));
+        CPPUNIT_ASSERT(membership::planMembers(now, all({a, b}), one) == now);
+        // Not complete: it waits.
+        auto half = all({a, b, d});
+        half[2].complete = false;
+        CPPUNIT_ASSERT(membership::planMembers(now, half, one) == now);
+        // The same machine with another disk is another member.
+        CPPUNIT_ASSERT(membership::planMembers(now, all({a, b, again}), one).back() == again);
+        // Two absent of three: there is no majority to decide anything, and none is pretended.
+        CPPUNIT_ASSERT(membership::planMembers(now, all({a}), one) == now);
+        // One that is about to leave is absent.
+        auto leaving = all({a, b, c, d});
+        leaving[2].present = false;
+        CPPUNIT_ASSERT_EQUAL(std::string("a b d"), names(membership::planMembers(now, leaving, one)));
+    }
+};
+CPPUNIT_TEST_SUITE_REGISTRATION(MembershipPlanningTest);
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -10,7 +10,7 @@
 #include "support/subscription_fixture.hpp"
 #include "transport/compression.hpp"
 
-using namespace keeper_stage;
+using namespace replica_fixture;
 using subscription_fixture::ConfigurationCache, subscription_fixture::pods;
 
 namespace {
@@ -81,13 +81,14 @@
     static const std::string& value(const Member& member) {
         return member.replica->known(control_plane::kConfigurationKey).value;
     }
-    static bool votes(Cast& cast, const std::vector<int>& all) {
-        return cast.hasQuorumContact(all) &&
-               std::all_of(all.begin(), all.end(), [&](int at) { return cast.replica(at).isVotingMember(); });
+    static bool votes(Cluster& cluster, const std::vector<int>& all) {
+        return cluster.hasQuorumContact(all) && std::all_of(all.begin(), all.end(), [&](int at) {
+                   return cluster.replica(at).isVotingMember();
+               });
     }
     // Asked again where there is no contact yet.
-    static void change(Cast& cast, int at, const std::string& to) {
-        cast.until("a change is taken", [&] { return cast.write(at, to, kSecond) == to; });
+    static void change(Cluster& cluster, int at, const std::string& to) {
+        cluster.until("a change is taken", [&] { return cluster.write(at, to, kSecond) == to; });
     }
 
   public:
@@ -97,9 +98,9 @@
         for (const bool empty : {false, true}) {
             std::vector<Cost> costs;
             for (const int count : changes) {
-                Cast machines(3);
+                Cluster machines(3);
                 {
-                    Cast before(3, 3);
+                    Cluster before(3, 3);
                     before.until("all three vote", [&] { return votes(before, {0, 1, 2}); });
                     change(before, 0, valueOf(0));
                     before.until("all three have it", [&] {
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -1,4 +1,4 @@
-// Keepers of the register over real links in one thread, each on a scripted disk that hangs, is full, is lost
+// Replicas over real connections in one thread, each on a scripted disk that hangs, is full, is lost
 // or comes back as it once was. Nothing waits for time to pass: the loop runs until something is so.
 #pragma once
 
@@ -8,7 +8,7 @@
 #include "control_plane/replica_node.hpp"
 #include "support/event_loop_fixture.hpp"
 
-namespace keeper_stage {
+namespace replica_fixture {
 
 using namespace lichenlanding;
 using namespace lichenlanding::transport;
@@ -46,8 +46,8 @@
     }
 };
 
-struct ScriptedBook final : storage::ReplicaStore {
-    explicit ScriptedBook(Disk& disk_) : disk(disk_) {}
+struct ScriptedStore final : storage::ReplicaStore {
+    explicit ScriptedStore(Disk& disk_) : disk(disk_) {}
     std::map<std::string, consensus::RegisterState> states() const override {
         std::lock_guard hold(disk.lock);
         return disk.cells;
@@ -84,7 +84,7 @@
             }};
         replica = std::make_unique<ReplicaNode>(io, boot, of, [this](bool anew) {
             if (anew) disk.restore({});
-            return std::make_unique<ScriptedBook>(disk);
+            return std::make_unique<ScriptedStore>(disk);
         });
         owner = std::make_shared<PeerConnection::Callbacks>();
         owner->makeHello = [this](PeerConnection& link) {
@@ -106,9 +106,9 @@
             if (dialer != dialers.end() && !dialer->second->connection())
                 replica->onPeerDisconnected(link.peer);
         };
-        door = std::make_unique<tcp::acceptor>(listen(io, at()));
+        acceptor = std::make_unique<tcp::acceptor>(listen(io, at()));
         replica->open();
-        spawn(io, "links", servePeerConnections(io, *door, owner));
+        spawn(io, "links", servePeerConnections(io, *acceptor, owner));
         spawn(io, "maintain", replica->run());
         for (const auto& seed : boot.seeds) dial(boot.peerAddress(hostOf(seed)));
     }
@@ -133,7 +133,7 @@
     void kill() {
         gone = true;
         ErrorCode ignored;
-        door->close(ignored);
+        acceptor->close(ignored);
         for (auto& [_, dialer] : dialers) dialer->stop();
         for (auto& link : open)
             if (auto held = link.lock()) held->close();
@@ -150,13 +150,13 @@
     std::shared_ptr<PeerConnection::Callbacks> owner;
     std::map<std::string, std::shared_ptr<Dialer>> dialers;
     std::vector<std::weak_ptr<PeerConnection>> open;
-    std::unique_ptr<tcp::acceptor> door;
+    std::unique_ptr<tcp::acceptor> acceptor;
     std::vector<std::string> told;
 };
 
 // So many machines, the first three of them seeds; some are started.
-struct Cast {
-    explicit Cast(int machines, int started = -1) : disks(static_cast<std::size_t>(machines)) {
+struct Cluster {
+    explicit Cluster(int machines, int started = -1) : disks(static_cast<std::size_t>(machines)) {
         {
             tcp::acceptor free(listen(io, "127.0.0.1:0"));
             port = free.local_endpoint().port();
@@ -166,7 +166,7 @@
         tolerance = [](config::BootstrapSettings& boot) { boot.machinesLost = 1; };
         for (int at = 0; at < started; ++at) launch(at, true);
     }
-    ~Cast() {
+    ~Cluster() {
         for (auto& disk : disks) disk.set(disk.hangs, false);
         io.stop();
     }
@@ -234,4 +234,4 @@
     std::vector<std::unique_ptr<Member>> members, ended;  // ended: lives that are over, kept for their tasks
 };
 
-}  // namespace keeper_stage
+}  // namespace replica_fixture
