--- a/src/subscription/quorum_contact.cpp
+++ b/src/subscription/quorum_contact.cpp
@@ -34,7 +34,7 @@
 bool QuorumContact::acceptsUpdates(bool confirmed, bool holding, Nanos now) {
     if (confirmed || holding) return true;
     if (unconfirmedSince_ < 0 && !reached())
-        unconfirmedSince_ = now;  // a neighbour's, with no control node in reach
+        unconfirmedSince_ = now;  // another proxy's, with no control node in reach
     return hasWaitedLongEnough(now);
 }
 
--- a/src/transport/chunks.cpp
+++ b/src/transport/chunks.cpp
@@ -74,18 +74,18 @@
 
 std::optional<std::string> ChunkReassembler::addFrame(std::string_view frame) {
     if (frame.empty() || frame.front() != kChunkMark) return std::string(frame);
-    if (frame.size() < kHeaderBytes) throw wrongChunk("piece: no head");
+    if (frame.size() < kHeaderBytes) throw wrongChunk("chunk: no header");
     const auto [number, index, count, sum] = readHeader(frame);
     frame.remove_prefix(kHeaderBytes);
     checkSequence(number, index, count, sum);
     const bool last = index + 1 == count;
     if (last ? frame.empty() || frame.size() > kChunkBytes : frame.size() != kChunkBytes)
-        throw wrongChunk("piece: of a wrong length");
+        throw wrongChunk("chunk: of a wrong length");
     bytes_.append(frame);
     index_ = last ? 0 : index + 1;
     if (!last) return std::nullopt;
     auto whole = std::exchange(bytes_, {});
-    if (checksum(whole) != sum_) throw wrongChunk("piece: the whole is spoilt");
+    if (checksum(whole) != sum_) throw wrongChunk("chunk: the whole message is corrupt");
     return whole;
 }
 
@@ -94,12 +94,12 @@
                                      std::uint32_t sum) {
     if (index != 0) {
         if (number != number_ || index != index_ || count != count_ || sum != sum_)
-            throw wrongChunk("piece: not the next one");
+            throw wrongChunk("chunk: not the next one");
         return;
     }
-    if (index_ != 0) throw wrongChunk("piece: the message before it is not whole");
+    if (index_ != 0) throw wrongChunk("chunk: the message before it is not whole");
     if (number != number_ + 1 || count == 0 || count > chunkCount(kMaxMessageBytes))
-        throw wrongChunk("piece: of no message that can come");
+        throw wrongChunk("chunk: of no message that can come");
     number_ = number;
     count_ = count;
     sum_ = sum;
--- a/src/transport/compression.cpp
+++ b/src/transport/compression.cpp
@@ -32,22 +32,23 @@
 }
 
 std::string decompress(std::string_view compressed, std::size_t most) {
-    if (compressed.empty()) throw wrongBytes("squeezed bytes: none");
+    if (compressed.empty()) throw wrongBytes("compressed bytes: none");
     const char kind = compressed.front();
     compressed.remove_prefix(1);
     if (kind == kPlainMark) return std::string(compressed);
     std::uint64_t size = 0;
     if (kind != kCompressedMark || compressed.size() < sizeof size)
-        throw wrongBytes("squeezed bytes: of no known kind");
+        throw wrongBytes("compressed bytes: of no known kind");
     std::memcpy(&size, compressed.data(), sizeof size);
     compressed.remove_prefix(sizeof size);
     // zlib makes no more than about a thousand times of anything: a greater size is a lie.
-    if (size > most || size > (compressed.size() + 64) * 1100) throw wrongBytes("squeezed bytes: too large");
+    if (size > most || size > (compressed.size() + 64) * 1100)
+        throw wrongBytes("compressed bytes: too large");
     std::string bytes(size, '\0');
     uLongf length = size;
     const auto code = uncompress(reinterpret_cast<Bytef*>(bytes.data()), &length,
                                  reinterpret_cast<const Bytef*>(compressed.data()), compressed.size());
-    if (code != Z_OK || length != size) throw wrongBytes("squeezed bytes: spoilt");
+    if (code != Z_OK || length != size) throw wrongBytes("compressed bytes: corrupt");
     return bytes;
 }
 
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -1,7 +1,7 @@
 // libFuzzer's way into what the gateway reads from outside: configurations, settings, the platform's list,
-// links' messages, squeezed bytes, rollouts, and HTTP heads and bodies as the front reads them. What is
-// refused is refused by an exception of the reader's own kind; what is read survives being written and read
-// again.
+// peers' messages, compressed bytes, rollouts, and HTTP heads and bodies as the HTTP server reads them. What
+// is refused is refused by an exception of the reader's own kind; what is read survives being written and
+// read again.
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <cstdlib>
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -360,15 +360,15 @@
             const bool before = store == "promptbook_before_epochs";
             const auto opened = copied(store);
             const auto earlier = records(opened);
-            LmdbReplicaStore book(opened, 8 << 20);
-            const auto cells = book.states();
+            LmdbReplicaStore replicaStore(opened, 8 << 20);
+            const auto cells = replicaStore.states();
             CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cells.size());
             std::set<std::string> names, expected{"disk", "standing", "writes", "witness"};
             if (before) expected = {"members"};
             std::map<std::string, std::string> notes;
             for (const auto& [key, _] : earlier)
                 if (key[0] == 'n')
-                    names.insert(key.substr(1)), notes[key.substr(1)] = book.note(key.substr(1));
+                    names.insert(key.substr(1)), notes[key.substr(1)] = replicaStore.note(key.substr(1));
             CPPUNIT_ASSERT(expected == names);
             CPPUNIT_ASSERT_EQUAL(std::string("diskstandingmembers"),
                                  storage::kDiskNote + storage::kStandingNote + storage::kOldMembersNote);
@@ -398,7 +398,7 @@
             std::filesystem::create_directories(again);
             LmdbReplicaStore(again, 8 << 20).write(cells, notes);
             CPPUNIT_ASSERT_MESSAGE(store, earlier == records(again));
-            book.write(cells, notes);
+            replicaStore.write(cells, notes);
             CPPUNIT_ASSERT_MESSAGE(store, earlier == records(opened));
         }
     }
@@ -407,11 +407,11 @@
     void majority() {
         std::vector<consensus::Acceptor> copies;
         for (const auto& store : memberStores) {
-            const LmdbReplicaStore book(copied("promptbook/" + store), 8 << 20);
+            const LmdbReplicaStore replicaStore(copied("promptbook/" + store), 8 << 20);
             const auto& address = storedMembers[copies.size()].address;
-            auto& copy = copies.emplace_back(address, book.note(storage::kDiskNote));
-            copy.apply({book.states(),
-                        membership::decodeEpochState(Json::parse(book.note(storage::kStandingNote)))});
+            auto& copy = copies.emplace_back(address, replicaStore.note(storage::kDiskNote));
+            copy.apply({replicaStore.states(), membership::decodeEpochState(
+                                                   Json::parse(replicaStore.note(storage::kStandingNote)))});
             CPPUNIT_ASSERT(copy.isVotingMember());
         }
         const consensus::Epoch& epoch = copies[0].epochState().epoch;
@@ -510,10 +510,10 @@
                            (std::set<std::string>{me, "127.0.1.2:7720", "127.0.1.3:7720"}));
             CPPUNIT_ASSERT_EQUAL("first-" + me, replica.describe().at("disk").get<std::string>());
         }
-        const LmdbReplicaStore book(opened, 8 << 20);
-        CPPUNIT_ASSERT(cells == book.states());
-        CPPUNIT_ASSERT_EQUAL("first-" + me, book.note("disk"));
-        const auto standing = membership::decodeEpochState(Json::parse(book.note("standing")));
+        const LmdbReplicaStore replicaStore(opened, 8 << 20);
+        CPPUNIT_ASSERT(cells == replicaStore.states());
+        CPPUNIT_ASSERT_EQUAL("first-" + me, replicaStore.note("disk"));
+        const auto standing = membership::decodeEpochState(Json::parse(replicaStore.note("standing")));
         CPPUNIT_ASSERT(standing.open);
         CPPUNIT_ASSERT_EQUAL(std::string("first-127.0.1.2:7720"), standing.epoch.members.at(1).disk);
     }
@@ -756,12 +756,12 @@
         second_["name"] = "f2";
         core["at"] = core["about"]["at"] = at(other, internal), core["members"] = {at(other, internal)};
         core["standing"]["epoch"]["number"] = 0;  // of no members that would take the place of its own
-        Played proxy(message("hello_of_foyer")), neighbour(second_), controlNode(core);
+        Played proxy(message("hello_of_foyer")), otherProxy(second_), controlNode(core);
         tcp::acceptor door(listen(io, at(other, internal)));
         spawn(io, "links", servePeerConnections(io, door, controlNode.owner));
         const Program program("prompter", settings("c1", ip, ip, internal, from), scratch + "/settings");
         std::vector<std::shared_ptr<Dialer>> dialers;
-        for (auto* played : {&proxy, &neighbour}) {
+        for (auto* played : {&proxy, &otherProxy}) {
             dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), played->owner));
             dialers.back()->start();
         }
@@ -778,7 +778,7 @@
         until(io, "it is in contact", [&] { return status().at("register").at("contact").get<bool>(); });
         rpc("config.replace", admin::body(bytesOf("values/configuration.bin")));
         rpc("rollouts.begin", R"({"service_name":"s","target_version":"v2","deadline":"3600s"})");
-        until(io, "the foyer is told", [&] {
+        until(io, "the proxy is told", [&] {
             return proxy.find("digest", [](const Json& told) { return told.at("configuration") == 20; }) &&
                    proxy.find("rollouts");
         });
@@ -830,10 +830,10 @@
         const int internal = freePort(), from = freePort();
         const std::string ip = "127.0.6.2", core = "127.0.6.1", third = "127.0.6.3";
         asio::io_context io{1};
-        auto hello = message("hello_of_prompter"), neighbour = message("hello_of_foyer");
+        auto hello = message("hello_of_prompter"), otherProxy = message("hello_of_foyer");
         hello["at"] = at(core, internal), hello["members"] = {at(core, internal)};
-        neighbour["name"] = "f9", neighbour["at"] = at(third, internal);
-        Played controlNode(hello), proxy(neighbour);
+        otherProxy["name"] = "f9", otherProxy["at"] = at(third, internal);
+        Played controlNode(hello), proxy(otherProxy);
         tcp::acceptor first(listen(io, at(core, internal))), second_(listen(io, at(third, internal)));
         spawn(io, "links", servePeerConnections(io, first, controlNode.owner));
         spawn(io, "links", servePeerConnections(io, second_, proxy.owner));
@@ -851,7 +851,7 @@
         auto roster = message("roster");
         roster["foyers"] = {{"f9", at(third, internal)}};
         controlNode.onHello->send(roster);
-        until(io, "it votes and says hello, digest and counts to the other foyer", [&] {
+        until(io, "it votes and says hello, digest and counts to the other proxy", [&] {
             return controlNode.find("vote") && proxy.find("hello") && proxy.find("digest") &&
                    proxy.find("counts");
         });
--- a/tests/transport/chunks.cpp
+++ b/tests/transport/chunks.cpp
@@ -139,7 +139,7 @@
         spoil("a count of none", frames);
         for (std::size_t head = 1; head < 17; ++head) {  // any bit of a head
             frames = good, frames[1][head] ^= 4;
-            CPPUNIT_ASSERT_EQUAL(std::string("piece: not the next one"), refused(frames));
+            CPPUNIT_ASSERT_EQUAL(std::string("chunk: not the next one"), refused(frames));
         }
         approve("chunks-corrupt", seen);
     }
