--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -30,7 +30,7 @@
 class HttpServerFixture {
   public:
     explicit HttpServerFixture(const std::string& routes = "") {
-        boot.zone = "z", boot.budgetSlack = 20;
+        boot.zone = "z", boot.retrySlack = 20;
         router = std::make_unique<routing::Router>(boot, 1);
         router->setConfiguration(
             std::make_shared<config::Configuration>(config::Configuration::parse(configuration(routes))));
@@ -84,7 +84,7 @@
     }
     template <typename Done>
     void until(Done done) {
-        loop_stage::until(io, 100'000, done);
+        event_loop_fixture::until(io, 100'000, done);
     }
     void settle() {
         while (io.poll() > 0) {
