--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
 # What a developer types. deploy/balancer.toml holds what operators run.
+JOBS ?= 4
 .PHONY: build test sanitize bench fuzz lint run clean
 
 build:
@@ -6,8 +7,8 @@
 	cmake --build build -j4
 
 test:
-	cmake -B build-tests -DCMAKE_BUILD_TYPE=Release -DLICHENLANDING_TESTS=ON
-	cmake --build build-tests -j4
+	cmake -B build-tests -DCMAKE_BUILD_TYPE=Release -DLICHENLANDING_TESTS=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
+	cmake --build build-tests -j$(JOBS)
 	ctest --test-dir build-tests --output-on-failure
 
 # The same tests under the address and undefined-behaviour sanitizers.
@@ -29,9 +30,10 @@
 	build-fuzz/lichenlanding_fuzz_metadata -max_total_time=60 -max_len=4096 build-fuzz/corpus
 	build-fuzz/lichenlanding_fuzz_gateway -max_total_time=60 -max_len=4096 build-fuzz/corpus-gateway
 
+# Every static check, as in CI. Needs no build, only the tests' compilation database.
 lint:
-	clang-format --dry-run -Werror $$(git ls-files '*.cpp' '*.hpp')
-	cppcheck --quiet --std=c++20 --error-exitcode=1 --enable=warning,performance --inline-suppr --suppress=internalAstError -Isrc src
+	cmake -B build-tests -DCMAKE_BUILD_TYPE=Release -DLICHENLANDING_TESTS=ON -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
+	JOBS=$(JOBS) tools/lint.sh build-tests
 
 run: build
 	exec build/lichenlanding
