--- a/src/command/scale_test.cpp
+++ b/src/command/scale_test.cpp
@@ -38,7 +38,7 @@
         ->option_text("TEXT REQUIRED");
     scaleTest->add_option("--set", *overrides, "NAME=VALUE in place of the file's; may come more than once");
     scaleTest->footer(
-        "Example:\n  lichenlanding-gateway scale-test bench/scale/base.toml --set foyers=300 --set seed=2");
+        "Example:\n  lichenlanding-gateway scale-test bench/scale/base.toml --set proxies=300 --set seed=2");
 
     const auto instructions = std::make_shared<std::string>();
     auto* hollow =
