--- a/src/control_plane/configuration_publisher.cpp
+++ b/src/control_plane/configuration_publisher.cpp
@@ -41,8 +41,8 @@
 void ConfigurationPublisher::onWant(PeerConnection& proxy, Json want) {
     const bool contact = quorumContact_();
     if (want.contains(kWantConfiguration) && cache_.version() > 0) {
-        proxy.send(
-            encodeOnce(configuration_, {cache_.version(), contact}, [&] { return stamped(cache_.configurationMessage()); }));
+        proxy.send(encodeOnce(configuration_, {cache_.version(), contact},
+                              [&] { return stamped(cache_.configurationMessage()); }));
         want.erase(kWantConfiguration);
     }
     if (cache_.wantsFullList(want)) {
@@ -56,10 +56,12 @@
 
 void ConfigurationPublisher::answer(PeerConnection& proxy, const Json& message) const {
     cache_.handleMessage(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
-                 [&](Json reply) { proxy.send(stamped(std::move(reply))); });
+                         [&](Json reply) { proxy.send(stamped(std::move(reply))); });
 }
 
-void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const { proxy.send(stamped(cache_.digestMessage())); }
+void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const {
+    proxy.send(stamped(cache_.digestMessage()));
+}
 
 void ConfigurationPublisher::broadcast(const Json& message) const {
     proxies_.broadcast(PeerConnection::encode(stamped(message)));
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -152,7 +152,8 @@
 void ControlPlane::onControlPlaneHello(PeerConnection& connection, const Hello& hello, const Json& message) {
     connection.peer = hello.address;
     const auto ownConnection = peers_.connectionTo(hello.address);
-    if (ownConnection.get() == &connection) replica_.onPeerConnected(hello.address, connection.shared_from_this());
+    if (ownConnection.get() == &connection)
+        replica_.onPeerConnected(hello.address, connection.shared_from_this());
     else if (!ownConnection)
         peers_.retryNow(hello.address);  // after a loss of all, those that are up first wait for the others
     replica_.onHello(message);
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -25,7 +25,9 @@
 
 /// Between two requests, so that they stay within the platform's rate limit for all.
 Nanos EndpointDiscovery::requestGap() const {
-    return boot_.platformCallsPerSecond > 0 ? static_cast<Nanos>(1e9 / (boot_.platformCallsPerSecond * kShareOfRate)) : 0;
+    return boot_.platformCallsPerSecond > 0
+               ? static_cast<Nanos>(1e9 / (boot_.platformCallsPerSecond * kShareOfRate))
+               : 0;
 }
 
 Task<> EndpointDiscovery::run() {
@@ -53,7 +55,8 @@
     try {
         co_await readPages(client, term, list);
     } catch (const std::exception& error) {
-        log("endpoint_list_failed", {{"step", "read_list"}, {"peer", boot_.platformAddress}, {"error", error.what()}});
+        log("endpoint_list_failed",
+            {{"step", "read_list"}, {"peer", boot_.platformAddress}, {"error", error.what()}});
         client.reset();
         list.complete = false;
     }
@@ -71,8 +74,9 @@
         ++requests_;
         if (response.result_int() == kTooManyRequests) {
             ++rateLimited_;
-            log("endpoint_list_rejected",
-                {{"step", "request_page"}, {"peer", boot_.platformAddress}, {"status", response.result_int()}});
+            log("endpoint_list_rejected", {{"step", "request_page"},
+                                           {"peer", boot_.platformAddress},
+                                           {"status", response.result_int()}});
             co_await sleep(backoff);
             backoff = std::max(firstBackoff, std::min(backoff * 2, kMaxBackoff));
             if (!readOn(term, token.empty(), startedAt)) co_return;
--- a/src/control_plane/endpoint_list_client.cpp
+++ b/src/control_plane/endpoint_list_client.cpp
@@ -28,7 +28,8 @@
 EndpointListPage decodeEndpointListPage(const std::string& body) {
     const auto decoded = nlohmann::json::parse(body);
     EndpointListPage page;
-    for (const auto& entry : decoded.at(kListField)) page.endpoints.push_back(messages::decodePlatformEntry(entry));
+    for (const auto& entry : decoded.at(kListField))
+        page.endpoints.push_back(messages::decodePlatformEntry(entry));
     const auto next = decoded.find(kNextTokenField);
     if (next != decoded.end() && !next->is_null()) page.nextToken = next->get<std::string>();
     return page;
--- a/src/control_plane/peer_messages.cpp
+++ b/src/control_plane/peer_messages.cpp
@@ -199,8 +199,9 @@
 }
 
 Json encode(const LearnMessage& message) {
-    return {
-        {kType, kLearnType}, {kKey, message.key}, {kProposalNumber, messages::encode(message.proposalNumber)}};
+    return {{kType, kLearnType},
+            {kKey, message.key},
+            {kProposalNumber, messages::encode(message.proposalNumber)}};
 }
 
 LearnMessage decodeLearnMessage(const Json& from) {
--- a/src/control_plane/reconfiguration_driver.cpp
+++ b/src/control_plane/reconfiguration_driver.cpp
@@ -181,7 +181,8 @@
     broker_.end(id);
     const bool done = currentStep() == Step::done;
     if (done && epochs_.open().number < to.number) epochs_.adopt(to);
-    if (epochs_.open().number == to.number) peers_.broadcast(PeerConnection::encode(encode(epochs_.notice())));
+    if (epochs_.open().number == to.number)
+        peers_.broadcast(PeerConnection::encode(encode(epochs_.notice())));
     co_return done;
 }
 
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -70,7 +70,8 @@
 }
 
 config::ClientLimits ClientConnection::limits() const {
-    return server_.router.configuration() ? server_.router.configuration()->clientLimits : config::ClientLimits{};
+    return server_.router.configuration() ? server_.router.configuration()->clientLimits
+                                          : config::ClientLimits{};
 }
 
 void ClientConnection::startIdle(Nanos idleTimeout) {
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -70,8 +70,8 @@
         const auto connection = connections_.peer(fleet_.proxies().at(voter));
         if (!connection) continue;
         if (!packed)
-            packed =
-                PeerConnection::encode(encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
+            packed = PeerConnection::encode(
+                encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
         connection->send(packed);
     }
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -73,8 +73,8 @@
     request.route = configuration_ ? configuration_->findRoute(host, path) : nullptr;
     if (!request.route) return false;
     const auto& route = *request.route;
-    request.service =
-        route.serviceForDraw(static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.totalWeight)));
+    request.service = route.serviceForDraw(
+        static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.totalWeight)));
     request.arrived = now;
     request.deadline = now + std::min(clientTimeout, route.timeout);
     retryBudget_.countRequest(request.service, now);
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -95,7 +95,8 @@
 
 void HollowProxy::sendToControlNodes(const Json& message) {
     for (const auto& [_, dialer] : controlNodes_)
-        if (const auto connection = dialer->connection(); connection && connection->kind == wire::kControlNode)
+        if (const auto connection = dialer->connection();
+            connection && connection->kind == wire::kControlNode)
             send(*connection, message);
 }
 
@@ -220,7 +221,8 @@
         co_await sleep(self->process_.heartbeat);
         auto digest = self->cache_.digestMessage();
         digest[wire::kSure] = self->quorumContact_.isConfirmed();
-        if (self->quorumContact_.waitElapsed(self->cache_.version() > 0, now())) self->sendToControlNodes(digest);
+        if (self->quorumContact_.waitElapsed(self->cache_.version() > 0, now()))
+            self->sendToControlNodes(digest);
         for (const auto& [_, address] : self->watched_) {
             const auto peer = self->peers_.find(address);
             if (peer == self->peers_.end()) continue;
--- a/tests/control_plane/endpoint_discovery.cpp
+++ b/tests/control_plane/endpoint_discovery.cpp
@@ -53,7 +53,8 @@
         boot.platformAddress = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
         spawn(io, "platform", platform());
         spawn(io, "list", discovery.run());
-        for (const Nanos began = now(); !cache.endpointsCurrent(); io.run_one_for(std::chrono::milliseconds(5)))
+        for (const Nanos began = now(); !cache.endpointsCurrent();
+             io.run_one_for(std::chrono::milliseconds(5)))
             CPPUNIT_ASSERT_MESSAGE(std::to_string(asked.size()) + " pages", now() - began < 5 * kSecond);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, cache.endpointListVersion().term);
         CPPUNIT_ASSERT_EQUAL(std::string("/instances"), asked[2]);
--- a/tests/control_plane/peer_messages.cpp
+++ b/tests/control_plane/peer_messages.cpp
@@ -211,7 +211,8 @@
                 seen.insert(typeOf(message));
             }
             if (message.at("t") != "hello" || !message.contains("standing")) continue;
-            const ReplicaHello hello{{}, false, false, decodeHelloStatus(message), decodeHelloNotice(message)};
+            const ReplicaHello hello{
+                {}, false, false, decodeHelloStatus(message), decodeHelloNotice(message)};
             CPPUNIT_ASSERT_EQUAL(message.at("about"), encode(hello).at("about"));
             CPPUNIT_ASSERT_EQUAL(message.at("standing"), encode(hello).at("standing"));
             ++hellos;
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -14,10 +14,10 @@
 
     static void open(Cluster& cluster) {
         for (const auto* name : {"c1", "c2", "c3", "e1", "e2"}) cluster.launch(name);
-        for (const auto* name : {"c1", "c2", "c3"}) cluster.await(name, "formed");
+        for (const auto* name : {"c1", "c2", "c3"}) cluster.await(name, "register_synchronized");
         // Each has said that it is in contact: the first call at any of them is taken.
         CPPUNIT_ASSERT_EQUAL(200, cluster.replace("c2", Cluster::configuration(3, "/a/")));
-        for (const auto* name : {"e1", "e2"}) cluster.await(name, "ready");
+        for (const auto* name : {"e1", "e2"}) cluster.await(name, "readiness_gained");
     }
 
   public:
@@ -64,7 +64,7 @@
                       [&] { return cluster.rpc("c3", "config.read").first == 200; });
         std::filesystem::remove_all(cluster.folder + "/c1");
         cluster.launch("c1", false);
-        cluster.await("c1", "rejoined");
+        cluster.await("c1", "membership_gained");
         cluster.stop(cluster.programs["c2"], SIGKILL);
         // Orders of before are known again by control nodes that have been down, one with an empty disk.
         int again = 503;
@@ -98,7 +98,7 @@
         const auto written = age("c1");
         for (auto& [_, program] : cluster.programs) cluster.stop(program, SIGKILL);
         for (const auto* name : {"c1", "c2", "c3", "e1"}) cluster.launch(name, false);
-        cluster.await("e1", "ready");
+        cluster.await("e1", "readiness_gained");
         const auto read = cluster.rpc("c3", "rollouts.read&of=s");
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"state":"in_progress","target_version":"v2"})"), read.second);
         CPPUNIT_ASSERT_EQUAL(Cluster::configuration(3, "/a/"), cluster.rpc("c3", "config.read").second);
@@ -109,12 +109,12 @@
         CPPUNIT_ASSERT_EQUAL(200, cluster.readiness("e1"));
         auto& proxy = cluster.programs["e1"];
         kill(proxy.id, SIGHUP);
-        cluster.await("e1", "settings_read");
+        cluster.await("e1", "settings_reloaded");
         kill(proxy.id, SIGTERM);
-        cluster.await("e1", "leaving");
+        cluster.await("e1", "drain_started");
         CPPUNIT_ASSERT_EQUAL(503, cluster.readiness("e1"));
         CPPUNIT_ASSERT_EQUAL(200, cluster.get("e1", "/r/1"));
-        cluster.await("e1", "left");
+        cluster.await("e1", "proxy_stopped");
         cluster.stop(proxy, 0);
         CPPUNIT_ASSERT(WIFEXITED(proxy.status) && WEXITSTATUS(proxy.status) == 0);
         // A stopped control node's disk can be read.
@@ -151,9 +151,9 @@
         auto& proxy = cluster.programs["e1"];
         kill(proxy.id, SIGSTOP);
         CPPUNIT_ASSERT_EQUAL(200, cluster.replace("c1", Cluster::configuration(8, "/eight/")));
-        cluster.await("c1", "link_silent");  // two seconds on, a control node has given it up
+        cluster.await("c1", "peer_connection_lost");  // two seconds on, a control node has given it up
         kill(proxy.id, SIGCONT);
-        cluster.await("e1", "woke");
+        cluster.await("e1", "standstill_detected");
         // How soon is a matter of this machine's speed (150 ms are waited for); it never goes back.
         cluster.until("the proxy uses version 8", [&] { return get("/a/1") == 404; });
         CPPUNIT_ASSERT_EQUAL(200, get("/eight/1"));
@@ -193,7 +193,7 @@
             return pods.contains("s") && pods.at("s").at("v1").at(0) == 1;
         });
         cluster.launch(holder, false);
-        cluster.await(holder, "contact");
+        cluster.await(holder, "quorum_contact_established");
         cluster.until("it knows of the term", [&] { return lease(holder).at("term") == nextTerm; });
         CPPUNIT_ASSERT(!lease(holder).at("mine").get<bool>());
     }
@@ -204,14 +204,15 @@
         Cluster cluster;
         open(cluster);
         for (const auto* name : {"c1", "c3", "e1", "e2"}) cluster.stop(cluster.programs[name], SIGKILL);
-        cluster.await("c2", "contact_lost");
+        cluster.await("c2", "quorum_contact_lost");
         cluster.launch("e2", false);
-        cluster.await("e2", "news_unsure");
-        const auto taken = cluster.await("e2", "news_taken_unsure");
+        cluster.await("e2", "control_plane_contact_lost");
+        const auto taken = cluster.await("e2", "unconfirmed_state_accepted");
         CPPUNIT_ASSERT_EQUAL(503, cluster.readiness("e2"));
         CPPUNIT_ASSERT_EQUAL(503, cluster.rpc("c2", "config.read").first);
         cluster.launch("c1", false);
-        cluster.await("e2", "ready", cluster.await("e2", "news_sure", taken) - 1);
+        cluster.await("e2", "readiness_gained",
+                      cluster.await("e2", "control_plane_contact_established", taken) - 1);
         CPPUNIT_ASSERT_EQUAL(200, cluster.get("e2", "/r/1"));
     }
 };
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -50,8 +50,9 @@
         for (const auto* name : {"i-1", "i-2"}) {
             podAcceptors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
             pods[name] = "127.0.0.1:" + std::to_string(podAcceptors.back()->local_endpoint().port());
-            lichenlanding::transport::spawn(io, "pod",
-                  accept(*podAcceptors.back(), [this](const auto& request) { return serve(request); }));
+            lichenlanding::transport::spawn(
+                io, "pod",
+                accept(*podAcceptors.back(), [this](const auto& request) { return serve(request); }));
         }
     }
     ~Cluster() {
--- a/tests/support/main.cpp
+++ b/tests/support/main.cpp
@@ -16,8 +16,9 @@
     results.addListener(&collected), results.addListener(&progress);
     CppUnit::TestRunner runner;
     auto* all = CppUnit::TestFactoryRegistry::getRegistry().makeTest();
-    runner.addTest(count > 1 ? all->findTest(words[1])
-                             : all);  // one suite or test by its name, such as RegisterTest::holdsInSeededSchedules
+    runner.addTest(count > 1
+                       ? all->findTest(words[1])
+                       : all);  // one suite or test by its name, such as RegisterTest::holdsInSeededSchedules
     runner.run(results);
     CppUnit::CompilerOutputter(&collected, std::cerr).write();
     std::cout << collected.runTests() - collected.testFailuresTotal() << " passed, "
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -209,9 +209,9 @@
             at, [](const std::string& held) { return held; }, kSecond);
     }
     std::string change(int at, const consensus::Change& change, Nanos within) {
-        const auto result =
-            event_loop_fixture::result(io, replica(at).update(control_plane::kConfigurationKey, change, within),
-                               [&](auto done) { until("a change ends", done); });
+        const auto result = event_loop_fixture::result(
+            io, replica(at).update(control_plane::kConfigurationKey, change, within),
+            [&](auto done) { until("a change ends", done); });
         return result.value_or("-");
     }
     // The registers that there are: each set of members that some control node holds for the newest.
