--- a/src/admin/configuration_record.hpp
+++ b/src/admin/configuration_record.hpp
@@ -29,7 +29,7 @@
 struct ConfigurationRequest {
     std::uint32_t number = 0;  // its version
     Digest body{};             // of the bytes as they were sent
-    std::string compressed;    // those bytes (wings::squeeze)
+    std::string compressed;    // those bytes (transport::compress)
 };
 ConfigurationRequest makeRequest(std::uint32_t number, std::string_view body);
 
--- a/src/control_plane/link_messages.hpp
+++ b/src/control_plane/link_messages.hpp
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "consensus/consensus.hpp"
+#include "messages/wire_names.hpp"
 #include "state.hpp"
 #include "transport/peer_connection.hpp"
 #include "verdict/stages.hpp"
@@ -21,7 +22,8 @@
 using transport::Json;
 
 /// What PeerConnection::kind says of the other side once its hello has come: the wire's words.
-inline const std::string kControlPlaneKind = "prompter", kProxyKind = "foyer";
+inline const std::string kControlPlaneKind = messages::kWireKindControlNode,
+                         kProxyKind = messages::kWireKindProxy;
 
 enum class MessageType { hello, known, want, digest, lost, acknowledgement, vote, other };
 MessageType messageType(const Json& message);
--- a/src/proxy/peer_messages.hpp
+++ b/src/proxy/peer_messages.hpp
@@ -9,6 +9,7 @@
 #include <string>
 #include <vector>
 
+#include "messages/wire_names.hpp"
 #include "verdict/rollout.hpp"
 
 namespace lichenlanding::proxy {
@@ -17,22 +18,22 @@
 
 namespace wire {
 // Kinds of peers, as they travel in "hello"; older releases know them by these words alone.
-inline constexpr const char* kProxy = "foyer";
-inline constexpr const char* kControlNode = "prompter";
+inline constexpr const char* kProxy = messages::kWireKindProxy;
+inline constexpr const char* kControlNode = messages::kWireKindControlNode;
 // Types of messages ("t").
-inline constexpr const char* kHello = "hello";
-inline constexpr const char* kRoster = "roster";
-inline constexpr const char* kCounts = "counts";
-inline constexpr const char* kVote = "vote";
-inline constexpr const char* kPeerLost = "lost";
-inline constexpr const char* kAcknowledgement = "ack";
-inline constexpr const char* kWant = "want";
-inline constexpr const char* kConfiguration = "configuration";
-inline constexpr const char* kDigest = "digest";
+inline constexpr const char* kHello = messages::kTypeHello;
+inline constexpr const char* kRoster = messages::kTypeRoster;
+inline constexpr const char* kCounts = messages::kTypeCounts;
+inline constexpr const char* kVote = messages::kTypeVote;
+inline constexpr const char* kPeerLost = messages::kTypePeerLost;
+inline constexpr const char* kAcknowledgement = messages::kTypeAcknowledgement;
+inline constexpr const char* kWant = messages::kTypeFetch;
+inline constexpr const char* kConfiguration = messages::kTypeConfiguration;
+inline constexpr const char* kDigest = messages::kTypeDigest;
 // The proxies of a roster: addresses by name.
-inline constexpr const char* kRosterProxies = "foyers";
+inline constexpr const char* kRosterProxies = messages::kFieldProxies;
 // Of messages and of replies: the sender speaks, or was told, for a majority of the control nodes.
-inline constexpr const char* kSure = "sure";
+inline constexpr const char* kSure = messages::kFieldConfirmed;
 }  // namespace wire
 
 /// The type of any message.
--- a/src/scale_test/cost_report.cpp
+++ b/src/scale_test/cost_report.cpp
@@ -92,7 +92,7 @@
         auto row = addProcess(phase, process, role);
         const auto cpu = static_cast<double>(phase.cpuOf(process));
         if (role == Role::proxy && firstProxy.empty()) firstProxy = std::move(row);
-        if (role == Role::controlNode && cpu >= busiest) {
+        else if (role == Role::controlNode && cpu >= busiest) {
             busiest = cpu;
             busiestControlNode = std::move(row);
         }
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -311,7 +311,7 @@
         };
         {
             QuorumContact proxy;
-            seen += "an empty foyer on the cut-off side\n";
+            seen += "an empty proxy on the cut-off side\n";
             line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
             now += 1499 * kMillisecond;
             line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
@@ -331,7 +331,7 @@
         holding = false;
         {
             QuorumContact proxy;
-            seen += "an empty foyer, one prompter cut off, one not\n";
+            seen += "an empty proxy, one control node cut off, one not\n";
             line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
             now += kSecond;
             line(proxy, "c2 sure", proxy.onControlNodeMessage("c2", true, now));
@@ -345,7 +345,7 @@
         }
         {
             QuorumContact proxy;
-            seen += "an empty foyer that only reaches neighbours\n";
+            seen += "an empty proxy that only reaches neighbours\n";
             line(proxy, "a neighbour's unsure word", QuorumContact::Change::none);
             now += 1500 * kMillisecond;
             line(proxy, "again", QuorumContact::Change::none);
--- a/tests/membership/founding.cpp
+++ b/tests/membership/founding.cpp
@@ -166,7 +166,7 @@
         std::filesystem::create_directories(folder);
         const auto image = cluster.disks[0].image();
         const auto command = [&](const std::string& more) {
-            return std::string(GATEWAY) + " promptbook found " + folder.string() + " --address " +
+            return std::string(GATEWAY) + " store found " + folder.string() + " --address " +
                    cluster.members[0]->at() + more + " > /dev/null";
         };
         {
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -131,7 +131,8 @@
                                [&] { return value(*machines.members[2]) == newest && votes(machines, {2}); });
             }
             // Rounds that meet one another begin anew, so counts differ a little from run to run.
-            flat(empty ? "prompter, empty disk" : "prompter, old disk", costs, 100, 15 * valueOf(0).size());
+            flat(empty ? "control node, empty disk" : "control node, old disk", costs, 100,
+                 15 * valueOf(0).size());
         }
     }
 
@@ -159,8 +160,8 @@
                 CPPUNIT_ASSERT(one->endpoints().endpoints() == controlNode.endpoints().endpoints());
             }
         }
-        flat("foyer, empty", empty, 5, 21'000);
-        flat("foyer, with old news", old, 5, 22'000);
+        flat("proxy, empty", empty, 5, 21'000);
+        flat("proxy, with old updates", old, 5, 22'000);
     }
 
     // 24,000 routes: their size on disks and links, and that they are read.
