--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -195,7 +195,7 @@
 }  // namespace
 
 ValidationError::ValidationError(std::vector<std::string> found)
-    : std::runtime_error(joined(found)), errors(found) {}
+    : std::runtime_error(joined(found)), errors(std::move(found)) {}
 
 Nanos parseDuration(std::string_view text) {
     const auto unit = text.find_first_not_of("0123456789.");
