--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -57,7 +57,7 @@
     return cost;
 }
 
-constexpr int changes[] = {10, 300, 1100};
+constexpr int kChanges[] = {10, 300, 1100};
 
 // Bounds that know nothing of how many changes there were.
 void flat(const std::string& what, const std::vector<Cost>& costs, std::size_t messages, std::size_t bytes) {
@@ -97,7 +97,7 @@
     void controlNodes() {
         for (const bool empty : {false, true}) {
             std::vector<Cost> costs;
-            for (const int count : changes) {
+            for (const int count : kChanges) {
                 Cluster machines(3);
                 {
                     Cluster before(3, 3);
@@ -138,9 +138,11 @@
     // A proxy that starts, and one that comes back with the news of before, after so many changes of the
     // configuration and as many of the list (40 pods at any time, each replaced in turn).
     void proxies() {
-        std::vector<Cost> empty, old;
-        for (const int count : changes) {
-            ConfigurationCache controlNode{{}}, away{{}};
+        std::vector<Cost> empty;
+        std::vector<Cost> old;
+        for (const int count : kChanges) {
+            ConfigurationCache controlNode{{}};
+            ConfigurationCache away{{}};
             controlNode.setConfiguration(1, valueOf(0));
             controlNode.setRollouts(0, "[]");
             controlNode.updateEndpoints(pods(10'000, 10'040), 1);
--- a/tests/subscription/peer_updates.cpp
+++ b/tests/subscription/peer_updates.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
-constexpr Nanos heartbeat = 1500 * kMillisecond;
+constexpr Nanos kHeartbeat = 1500 * kMillisecond;
 
 // One control node (number 0) and proxies that it tells; links of 1 ms that lose what is cut.
 class Network {
   public:
     Network(std::size_t proxies, std::uint64_t seed) : chance(seed) {
         caches.emplace_back(ConfigurationCache::Subscriber{});
-        names.push_back("control-node");
+        names.emplace_back("control-node");
         std::vector<std::string> all;
         for (std::size_t at = 1; at <= proxies; ++at) {
             names.push_back("edge-" + std::to_string(at));
@@ -37,7 +37,7 @@
         if (from * to == 0 && (cut[from] || cut[to])) return;  // cut off from the control node
         if (loss > 0 && chance() % 100 < static_cast<unsigned>(loss)) return;
         const Nanos late = disorder ? static_cast<Nanos>(chance() % 50) * kMillisecond : 0;
-        way.emplace(std::pair(now + kMillisecond + late, ++order), std::tuple(from, to, message));
+        way_.emplace(std::pair(now + kMillisecond + late, ++order_), std::tuple(from, to, message));
     }
     void all(const Json& message) {
         if (message.is_null()) return;
@@ -47,13 +47,13 @@
     void round() {
         for (const auto& [from, to] : watch) send(from, to, caches[from].digestMessage());
         settle();
-        now += heartbeat;
+        now += kHeartbeat;
     }
     void settle() {
-        for (std::size_t steps = 0; !way.empty(); ++steps) {
+        for (std::size_t steps = 0; !way_.empty(); ++steps) {
             CPPUNIT_ASSERT_MESSAGE("messages go round for ever", steps < 400 * caches.size());
-            const auto [at, what] = *way.begin();
-            way.erase(way.begin());
+            const auto [at, what] = *way_.begin();
+            way_.erase(way_.begin());
             now = std::max(now, at.first);
             const auto& [from, to, message] = what;
             const auto role = to == 0     ? ConfigurationCache::MessageSource::subscriber
@@ -66,7 +66,8 @@
     std::size_t agreeing() const {
         std::size_t count = 0;
         for (std::size_t at = 1; at < caches.size(); ++at) {
-            const auto mine = caches[at].digestMessage(), its = caches[0].digestMessage();
+            const auto mine = caches[at].digestMessage();
+            const auto its = caches[0].digestMessage();
             count += mine["configuration"] == its["configuration"] && mine["rollouts"] == its["rollouts"] &&
                      mine.value("sums", Json()) == its["sums"];
         }
@@ -89,8 +90,8 @@
     Nanos now = 100 * kSecond;
 
   private:
-    std::map<std::pair<Nanos, std::uint64_t>, std::tuple<std::size_t, std::size_t, Json>> way;
-    std::uint64_t order = 0;
+    std::map<std::pair<Nanos, std::uint64_t>, std::tuple<std::size_t, std::size_t, Json>> way_;
+    std::uint64_t order_ = 0;
 };
 
 void begin(Network& network, int count) {
@@ -133,7 +134,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(12), network.agreeing());
         CPPUNIT_ASSERT(rounds <= 2);
         for (std::size_t at = 1; at <= 12; ++at) {
-            CPPUNIT_ASSERT_EQUAL(9u, network.caches[at].version());
+            CPPUNIT_ASSERT_EQUAL(9U, network.caches[at].version());
             CPPUNIT_ASSERT(network.caches[at].endpoints().hasLeft(pod(0).id));
             CPPUNIT_ASSERT(network.caches[at].endpoints().endpoints().at(pod(4).id).draining);
         }
@@ -147,7 +148,8 @@
             begin(network, 30);
             network.loss = 20, network.disorder = true;
             for (int step = 1; step <= 8; ++step) {
-                const int first = step, last = 30 + 2 * step;
+                const int first = step;
+                const int last = 30 + 2 * step;
                 network.caches[0].setConfiguration(7 + static_cast<std::uint32_t>(step),
                                                    std::string(100, 'x'));
                 network.all(network.caches[0].versionsMessage());
--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -34,7 +34,7 @@
                         std::move(key), [](const std::string& held) { return held; }, within);
                 }};
     }
-    Task<std::optional<std::string>> run(std::string key, consensus::Change change, Nanos) {
+    Task<std::optional<std::string>> run(std::string key, consensus::Change change, Nanos /*unused*/) {
         ++asked;
         auto fate = Fate::answered;
         if (!fates.empty()) fate = fates.front(), fates.pop_front();
--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -50,8 +50,9 @@
         for (const auto* name : {"i-1", "i-2"}) {
             podAcceptors.push_back(std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0")));
             pods[name] = "127.0.0.1:" + std::to_string(podAcceptors.back()->local_endpoint().port());
-            lichenlanding::transport::spawn(io, "pod",
-                  accept(*podAcceptors.back(), [this](const auto& request) { return serve(request); }));
+            lichenlanding::transport::spawn(
+                io, "pod",
+                accept(*podAcceptors.back(), [this](const auto& request) { return serve(request); }));
         }
     }
     ~Cluster() {
@@ -101,7 +102,8 @@
         posix_spawn_file_actions_adddup2(&actions, ends[1], 1);
         posix_spawn_file_actions_addclose(&actions, ends[0]);
         words.insert(words.begin(), GATEWAY);
-        std::vector<char*> arguments, variables;
+        std::vector<char*> arguments;
+        std::vector<char*> variables;
         for (auto& word : words) arguments.push_back(word.data());
         arguments.push_back(nullptr);
         auto text = variable;
@@ -185,7 +187,7 @@
     std::map<std::string, Program> programs;
 
   private:
-    Json list(const http::request<http::string_body>&) {
+    Json list(const http::request<http::string_body>& /*unused*/) {
         Json entries = Json::array();
         for (const auto& [id, address] : pods)
             entries.push_back({{"instance_id", id},
--- a/tests/support/folder_server.cpp
+++ b/tests/support/folder_server.cpp
@@ -10,8 +10,8 @@
 #include <sstream>
 #include <string>
 
-int main(int, char** argv) {
-    static const std::string folder = argv[1];
+int main(int /*unused*/, char** argv) {
+    static const std::string kFolder = argv[1];
     auto* base = event_base_new();
     auto* server = evhttp_new(base);
     evhttp_set_gencb(
@@ -19,10 +19,10 @@
         [](evhttp_request* request, void*) {
             char* path =
                 evhttp_uridecode(evhttp_uri_get_path(evhttp_request_get_evhttp_uri(request)), 0, nullptr);
-            std::ifstream file(folder + (path ? path : ""), std::ios::binary);
+            std::ifstream file(kFolder + (path ? path : ""), std::ios::binary);
             // A name with a quoted slash is a file's as it stands.
             if (!file.is_open())
-                file.open(folder + evhttp_uri_get_path(evhttp_request_get_evhttp_uri(request)),
+                file.open(kFolder + evhttp_uri_get_path(evhttp_request_get_evhttp_uri(request)),
                           std::ios::binary);
             std::free(path);
             std::stringstream bytes;
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -157,7 +157,7 @@
             auto reply = script.front();
             script.pop_front();
             const std::string id(request["X-Attempt-Id"]);
-            for (auto at = reply.bytes.find("{id}"); at != reply.bytes.npos; at = reply.bytes.find("{id}"))
+            for (auto at = reply.bytes.find("{id}"); at != std::string::npos; at = reply.bytes.find("{id}"))
                 reply.bytes.replace(at, 4, id);
             if (!reply.bytes.empty())
                 co_await asio::async_write(socket, asio::buffer(reply.bytes), withErrorCode(code));
--- a/tests/support/http_stand_in.hpp
+++ b/tests/support/http_stand_in.hpp
@@ -84,7 +84,7 @@
         return bufferevent_getfd(evhttp_connection_get_bufferevent(evhttp_request_get_connection(request)));
     }
     void onRequest(evhttp_request* request) {
-        requestPaths.push_back(evhttp_request_get_uri(request));
+        requestPaths.emplace_back(evhttp_request_get_uri(request));
         auto* connection = evhttp_request_get_connection(request);
         if (std::find(connections_.begin(), connections_.end(), connection) == connections_.end())
             connections_.push_back(connection);
--- a/tests/support/metadata_repository.hpp
+++ b/tests/support/metadata_repository.hpp
@@ -14,12 +14,13 @@
 
 using namespace lichenlanding::metadata;
 
-constexpr UnixSeconds start = 1'800'000'000;
-constexpr UnixSeconds day = 86'400;
+constexpr UnixSeconds kStart = 1'800'000'000;
+constexpr UnixSeconds kDay = 86'400;
 
 // Without what differs from run to run: key ids, and ports.
 inline std::string masked(const std::string& text) {
-    static const std::regex ids("[0-9a-f]{12,}"), ports("127\\.0\\.0\\.1:[0-9]+");
+    static const std::regex ids("[0-9a-f]{12,}");
+    static const std::regex ports("127\\.0\\.0\\.1:[0-9]+");
     return std::regex_replace(std::regex_replace(text, ids, "ID"), ports, "MIRROR");
 }
 
@@ -41,16 +42,16 @@
 
 class Repository {
   public:
-    explicit Repository(bool consistent_ = true, UnixSeconds from_ = stand_ins::start)
+    explicit Repository(bool consistent_ = true, UnixSeconds from_ = stand_ins::kStart)
         : consistent(consistent_), start(from_) {
-        root = newRoot(start + 365 * day, consistent);
+        root = newRoot(start + 365 * kDay, consistent);
         for (const auto* role : {"root", "timestamp", "snapshot", "targets"}) {
             keys.emplace(role, SigningKey::generate(Scheme::ed25519));
             addKey(root, role, keys.at(role).key());
         }
-        roles["targets"] = newTargets(start + 90 * day);
-        snapshot = newSnapshot(start + 7 * day);
-        timestamp = newTimestamp(start + day);
+        roles["targets"] = newTargets(start + 90 * kDay);
+        snapshot = newSnapshot(start + 7 * kDay);
+        timestamp = newTimestamp(start + kDay);
         publishRoot();
         publish();
     }
@@ -86,13 +87,13 @@
         keys.emplace(role, SigningKey::generate(Scheme::ed25519));
         addKey(root, role, keys.at(role).key());
         removeKey(root, role, old);
-        bumpVersion(root, start + 365 * day);
+        bumpVersion(root, start + 365 * kDay);
     }
     Json& role(const std::string& name) { return roles.at(name); }
     // A delegated role with a key of its own.
     Json& make(const std::string& name) {
-        if (!keys.count(name)) keys.emplace(name, SigningKey::generate(Scheme::ed25519));
-        return roles.emplace(name, newTargets(start + 90 * day)).first->second;
+        if (!keys.contains(name)) keys.emplace(name, SigningKey::generate(Scheme::ed25519));
+        return roles.emplace(name, newTargets(start + 90 * kDay)).first->second;
     }
     void delegateTo(const std::string& from, const std::string& to, std::vector<std::string> paths,
                     bool terminating = false, std::vector<std::string> prefixes = {}) {
@@ -109,7 +110,7 @@
         redo(in);
     }
     void redo(const std::string& name) {
-        if (published_) bumpVersion(role(name), start + 90 * day);
+        if (published_) bumpVersion(role(name), start + 90 * kDay);
         else role(name)["signatures"] = Json::array();
     }
     void put(const std::string& name, std::int64_t version, const std::string& text) {
@@ -122,7 +123,7 @@
     std::map<std::string, SigningKey> keys;  // by role
     Json root, snapshot, timestamp;
     std::map<std::string, Json> roles;  // targets and delegated ones
-    UnixSeconds snapshotUntil = start + 7 * day, timestampUntil = start + day;
+    UnixSeconds snapshotUntil = start + 7 * kDay, timestampUntil = start + kDay;
     std::map<std::string, std::string> files, contents;  // as served; targets' bytes by path
 
   private:
@@ -135,7 +136,7 @@
     explicit Client(const std::string& root) { kept.files["root.json"] = root; }
 
     // "done" with the versions trusted, or the refusal's text.
-    std::string update(const std::map<std::string, std::string>& files, UnixSeconds now = start + 60,
+    std::string update(const std::map<std::string, std::string>& files, UnixSeconds now = kStart + 60,
                        const std::vector<std::string>& paths = {}, UpdateLimits bounds = {}) {
         auto set = TrustedSet::start(kept.files.at("root.json"), now);
         if (!set) return set.refusal().text();
--- a/tests/support/policy_fixture.hpp
+++ b/tests/support/policy_fixture.hpp
@@ -3,6 +3,7 @@
 
 #include <map>
 #include <memory>
+#include <utility>
 
 #include "policy/gossip.hpp"
 #include "policy/policy_engine.hpp"
@@ -36,8 +37,8 @@
 /// Starts with build 5 released.
 class PolicyFixture : public PolicyHost {
   public:
-    explicit PolicyFixture(const Settings& settings_ = testSettings(), std::uint64_t seed = 7)
-        : settings(settings_), seed_(seed) {
+    explicit PolicyFixture(Settings settings_ = testSettings(), std::uint64_t seed = 7)
+        : settings(std::move(settings_)), seed_(seed) {
         start();
     }
 
@@ -94,7 +95,9 @@
         line() << "forward " << attempt.request->id << " to pod " << attempt.pod->id << " of build "
                << attempt.build->number << ", waits " << timeout / kMs << '\n';
     }
-    void reject(const Request& request, Nanos) override { line() << "bounce " << request.id << '\n'; }
+    void reject(const Request& request, Nanos /*retryAfter*/) override {
+        line() << "bounce " << request.id << '\n';
+    }
     void fail(const Request& request) override { line() << "error " << request.id << '\n'; }
     void cancel(const Request& request, int attempt) override {
         line() << "cancel " << request.id << " " << attempt << '\n';
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 std::string filled(std::string text, const std::string& id) {
-    for (auto at = text.find("{id}"); at != text.npos; at = text.find("{id}")) text.replace(at, 4, id);
+    for (auto at = text.find("{id}"); at != std::string::npos; at = text.find("{id}"))
+        text.replace(at, 4, id);
     return text;
 }
 
--- a/tests/transport/chunks.cpp
+++ b/tests/transport/chunks.cpp
@@ -40,7 +40,11 @@
         ChunkReassembler in;
         out.push(large);
         std::map<std::string, Nanos> pushed;
-        Nanos time = 0, lastHeard = 0, longestGap = 0, longestWait = 0, wholeAt = 0;
+        Nanos time = 0;
+        Nanos lastHeard = 0;
+        Nanos longestGap = 0;
+        Nanos longestWait = 0;
+        Nanos wholeAt = 0;
         int small = 0;
         for (Nanos nextSmall = 0; !out.empty() || wholeAt == 0;) {
             while (nextSmall <= time) {
@@ -153,8 +157,8 @@
         std::mt19937 chance(7);
         for (auto& letter : text) letter = static_cast<char>(chance());  // what can't be compressed
         std::vector<std::string> came;
-        auto reader = std::make_shared<PeerConnection::Callbacks>(),
-             writer = std::make_shared<PeerConnection::Callbacks>();
+        auto reader = std::make_shared<PeerConnection::Callbacks>();
+        auto writer = std::make_shared<PeerConnection::Callbacks>();
         reader->makeHello = [](PeerConnection&) { return Json(); };
         reader->onClosed = writer->onClosed = [](PeerConnection&) {};
         reader->onMessage = [&](PeerConnection&, const Json& message) {
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr Nanos kMillisecond = 1'000'000, target = 600 * kMillisecond;
+constexpr Nanos kMillisecond = 1'000'000, kTarget = 600 * kMillisecond;
 
 Counts counts(int good, Nanos took, int bad = 0) {
     Counts made;
-    for (int at = 0; at < good; ++at) made.count(took + (at % 7) * 10 * kMillisecond, target, false);
-    for (int at = 0; at < bad; ++at) made.count(took, target, true);
+    for (int at = 0; at < good; ++at) made.count(took + (at % 7) * 10 * kMillisecond, kTarget, false);
+    for (int at = 0; at < bad; ++at) made.count(took, kTarget, true);
     return made;
 }
 
@@ -39,16 +39,16 @@
         const auto all = [&] { return pool.sum()["r"][0].all(); };
         pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});
         pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});  // twice
-        CPPUNIT_ASSERT_EQUAL(5u, all());
+        CPPUNIT_ASSERT_EQUAL(5U, all());
         pool.take("a", 1, 3, {{"r", {counts(9, 100 * kMillisecond), {}}}});
         pool.take("a", 1, 2, {{"r", {counts(7, 100 * kMillisecond), {}}}});  // late
-        CPPUNIT_ASSERT_EQUAL(9u, all());
+        CPPUNIT_ASSERT_EQUAL(9U, all());
         pool.take("a", 2, 1,
                   {{"r", {counts(2, 100 * kMillisecond), {}}}});  // its next life counts beside the first
         pool.take("b", 1, 1, {{"r", {counts(4, 100 * kMillisecond), {}}}});
-        CPPUNIT_ASSERT_EQUAL(15u, all());
+        CPPUNIT_ASSERT_EQUAL(15U, all());
         const auto back = messages::decodeTotals(messages::encode(pool.sum()));
-        CPPUNIT_ASSERT_EQUAL(15u, back.at("r")[0].all());
+        CPPUNIT_ASSERT_EQUAL(15U, back.at("r")[0].all());
     }
 
     void judgesByOutcomes() {
@@ -121,7 +121,8 @@
 
     // Lists that come late or by another way bring nobody back; the differences mend any view.
     void endpointsNeverComeBack() {
-        discovery::EndpointSet ahead, behind;
+        discovery::EndpointSet ahead;
+        discovery::EndpointSet behind;
         const auto follow = [](discovery::EndpointSet& view, const std::vector<discovery::Endpoint>& listed) {
             std::string seen;
             for (const auto& event : view.eventsTowards(listed, 0)) {
