--- a/bench/metadata.cpp
+++ b/bench/metadata.cpp
@@ -32,7 +32,7 @@
         delegateBins(top.role("targets"), bins, {key.key()});
         top.redo("targets");
         for (const auto& [name, targets] : byBin) {
-            auto envelope = newTargets(start + 90 * day);
+            auto envelope = newTargets(kStart + 90 * kDay);
             for (const auto target : targets) addTarget(envelope, pathOf(target), "bytes");
             sign(envelope, key);
             top.put(name, 1, textOf(envelope));
@@ -54,7 +54,7 @@
     std::size_t bytes = 0;
     for (auto _ : state) {
         Client client(bins().top.firstRoot());
-        benchmark::DoNotOptimize(client.update(files, start + 60, {pathOf(7)}));
+        benchmark::DoNotOptimize(client.update(files, kStart + 60, {pathOf(7)}));
         if (client.whoLists(pathOf(7)) == "-") state.SkipWithError("not found");
         bytes = 0;
         for (const auto& name : client.asked)
@@ -67,8 +67,8 @@
 // Nothing new: the timestamp alone is fetched, the rest is read from what is kept.
 void refreshWithoutNews(benchmark::State& state) {
     Client client(bins().top.firstRoot());
-    client.update(bins().top.files, start + 60, {pathOf(7)});
-    for (auto _ : state) benchmark::DoNotOptimize(client.update(bins().top.files, start + 60, {pathOf(7)}));
+    client.update(bins().top.files, kStart + 60, {pathOf(7)});
+    for (auto _ : state) benchmark::DoNotOptimize(client.update(bins().top.files, kStart + 60, {pathOf(7)}));
 }
 
 // 100 targets in an update that has been accepted: each its own bin.
@@ -77,7 +77,7 @@
     for (auto _ : state) {
         state.PauseTiming();
         Client client(bins().top.firstRoot());
-        auto set = TrustedSet::start(bins().top.firstRoot(), start);
+        auto set = TrustedSet::start(bins().top.firstRoot(), kStart);
         Update update(std::move(*set), client.kept);
         const auto drive = [&] {
             while (update.next().kind == Update::Next::fetch) {
@@ -98,7 +98,7 @@
 
 // All 100,000 in one role.
 void readOneRole(benchmark::State& state) {
-    auto envelope = newTargets(start + day);
+    auto envelope = newTargets(kStart + kDay);
     for (int target = 0; target < targetCount; ++target) addTarget(envelope, pathOf(target), "bytes");
     const auto key = SigningKey::generate(Scheme::ed25519);
     sign(envelope, key);
--- a/src/limits/fleet.cpp
+++ b/src/limits/fleet.cpp
@@ -48,14 +48,14 @@
 
 double probeRate(std::size_t pods, int sidecars) {
     if (sidecars < 1) throw std::invalid_argument("probe rate: no sidecar");
-    return probesPerPod * static_cast<double>(pods) / sidecars;
+    return kProbesPerPod * static_cast<double>(pods) / sidecars;
 }
 
 std::size_t subsetSize(std::size_t pods, int sidecars) {
     if (sidecars < 1) throw std::invalid_argument("subset: no sidecar");
     const auto wanted =
-        static_cast<std::size_t>(std::ceil(sidecarsPerPod * static_cast<double>(pods) / sidecars));
-    return std::min(pods, std::max(wanted, leastSubset));
+        static_cast<std::size_t>(std::ceil(kSidecarsPerPod * static_cast<double>(pods) / sidecars));
+    return std::min(pods, std::max(wanted, kLeastSubset));
 }
 
 Nanos turn(std::uint64_t about, std::uint32_t sidecar, int sidecars, double perSecond) {
--- a/tests/metadata/properties.cpp
+++ b/tests/metadata/properties.cpp
@@ -130,7 +130,7 @@
     repository.publish();
     const auto old = repository.files;
     Client before(repository.firstRoot());
-    before.update(old, start + 60, {"releases/1"});
+    before.update(old, kStart + 60, {"releases/1"});
     repository.target("rel", "releases/2", "three");
     const auto held = SigningKey::fromPem(repository.keys.at("root").toPem());
     repository.rotate("timestamp");
@@ -175,7 +175,7 @@
             }
         }
         auto client = before;
-        const auto said = client.update(files, start + 60, {"releases/1", "releases/2"});
+        const auto said = client.update(files, kStart + 60, {"releases/1", "releases/2"});
         if (said.find("done") == std::string::npos) {
             ++refused;
         } else {
--- a/tests/metadata/uptane.cpp
+++ b/tests/metadata/uptane.cpp
@@ -26,14 +26,14 @@
         director.publish();
         images.publish();
         directorClient.update(director.files);
-        auto set = TrustedSet::start(directorClient.kept.files.at("root.json"), start + 60);
+        auto set = TrustedSet::start(directorClient.kept.files.at("root.json"), kStart + 60);
         set->timestamp(directorClient.kept.files.at("timestamp.json"));
         set->snapshot(directorClient.kept.files.at("snapshot.json"));
         set->targets(directorClient.kept.files.at("targets.json"));
         return uptane::readDirectives(*set->trusted());
     }
     std::map<std::string, std::optional<Found>> found(const std::vector<std::string>& paths) {
-        imageClient.update(images.files, start + 60, paths);
+        imageClient.update(images.files, kStart + 60, paths);
         return imageClient.found;
     }
 };
@@ -106,7 +106,7 @@
     Keys keys;
     keys.emplace(key.id(), key);
     uptane::Secondary unit({"pods-a", "m2", 41}, keys, {{key.id()}, 1});
-    const auto take = [&](const char* what, const std::string& bytes, UnixSeconds now = start) {
+    const auto take = [&](const char* what, const std::string& bytes, UnixSeconds now = kStart) {
         const auto taken = unit.targets(bytes, now);
         trace << what << ": " << (taken ? "takes " + taken->path : taken.refusal().text()) << '\n';
     };
@@ -118,9 +118,9 @@
     trace << "the image: " << word(unit.install("image 42")) << ", runs counter "
           << unit.installed().releaseCounter << '\n';
     take("older targets", fleet.director.files.at("1.targets.json"));
-    take("expired targets", second, start + 90 * day);
+    take("expired targets", second, kStart + 90 * kDay);
     auto forged = fleet.director.role("targets");
-    bumpVersion(forged, start + 900 * day);
+    bumpVersion(forged, kStart + 900 * kDay);
     sign(forged, SigningKey::generate(Scheme::ed25519));
     take("targets signed by a stranger", textOf(forged));
     fleet.director.target("targets", "releases/42", "image 40", customOf("pods-a", "m2", 40));
@@ -138,8 +138,8 @@
     const auto a = SigningKey::generate(Scheme::ecdsaP256);
     const auto b = SigningKey::generate(Scheme::ed25519);
     const std::map<std::string, Key> known{{"pods-a", a.key()}, {"pods-b", b.key()}};
-    const uptane::UnitReport one{"pods-a", "releases/42", 42, {{"sha256", "00"}}, start, ""};
-    const uptane::UnitReport two{"pods-b", "releases/41", 41, {{"sha256", "11"}}, start, "rollback"};
+    const uptane::UnitReport one{"pods-a", "releases/42", 42, {{"sha256", "00"}}, kStart, ""};
+    const uptane::UnitReport two{"pods-b", "releases/41", 41, {{"sha256", "11"}}, kStart, "rollback"};
     const auto play = [&](const char* what, const Json& manifest) {
         const auto read = uptane::readManifest(textOf(manifest), primary.key(), known);
         trace << what << ": ";
@@ -157,8 +157,9 @@
     play("a unit under another's key", uptane::manifest("register", "n0", {uptane::report(one, b)}, primary));
     play("a unit twice",
          uptane::manifest("register", "n0", {uptane::report(one, a), uptane::report(one, a)}, primary));
-    play("an unknown unit",
-         uptane::manifest("register", "n0", {uptane::report({"pods-c", "x", 1, {}, start, ""}, a)}, primary));
+    play(
+        "an unknown unit",
+        uptane::manifest("register", "n0", {uptane::report({"pods-c", "x", 1, {}, kStart, ""}, a)}, primary));
     auto spoilt = whole;
     spoilt["signed"]["ecuVersionReports"][0]["signed"]["installedImage"]["releaseCounter"] = 99;
     play("changed on the way", spoilt);
@@ -175,9 +176,9 @@
     CHECK(!builds.track(42));
     const auto look = [&](const char* what) {
         repository.publish();
-        client.update(repository.files, start + 60, builds.paths());
+        client.update(repository.files, kStart + 60, builds.paths());
         trace << what << ":";
-        for (const auto& [build, word] : builds.update(client.found, start + day))
+        for (const auto& [build, word] : builds.update(client.found, kStart + kDay))
             trace << ' ' << build << ' ' << words[static_cast<int>(word)];
         trace << '\n';
     };
@@ -199,16 +200,16 @@
     restarted.restore(kept);
     restarted.restore("no JSON");
     trace << "after a restart:";
-    for (const auto& [build, word] : restarted.update(client.found, start + day))
+    for (const auto& [build, word] : restarted.update(client.found, kStart + kDay))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << "\nrun out a second early:";
-    for (const auto& [build, word] : builds.expire(start + day - 1))
+    for (const auto& [build, word] : builds.expire(kStart + kDay - 1))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << "\nrun out:";
-    for (const auto& [build, word] : builds.expire(start + day))
+    for (const auto& [build, word] : builds.expire(kStart + kDay))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << "\nrun out, again:";
-    for (const auto& [build, word] : builds.expire(start + day))
+    for (const auto& [build, word] : builds.expire(kStart + kDay))
         trace << ' ' << build << ' ' << words[static_cast<int>(word)];
     trace << '\n';
     for (int build = 100; build < 140; ++build) builds.track(build);
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -14,7 +14,7 @@
     }
     // A refusal changes nothing of what is kept.
     void refuses(const std::string& what, Client& client, const std::map<std::string, std::string>& files,
-                 UnixSeconds now = start + 60, const std::vector<std::string>& paths = {}) {
+                 UnixSeconds now = kStart + 60, const std::vector<std::string>& paths = {}) {
         const auto before = client.kept.files;
         const auto said = client.update(files, now, paths);
         note(what, said);
@@ -59,7 +59,7 @@
     tape.refuses("an older timestamp", client, files);
     {
         Repository spoilt = repository;
-        bumpVersion(spoilt.timestamp, start + day);
+        bumpVersion(spoilt.timestamp, kStart + kDay);
         addListing(spoilt.timestamp, "snapshot.json", listingOf(2, old.at("2.snapshot.json"), true));
         sign(spoilt.timestamp, spoilt.keys.at("timestamp"));
         files = spoilt.files;
@@ -69,8 +69,8 @@
     {
         Repository spoilt = repository;
         addListing(spoilt.snapshot, "targets.json", listingOf(2, "", false));
-        bumpVersion(spoilt.snapshot, start + 7 * day);
-        bumpVersion(spoilt.timestamp, start + day);
+        bumpVersion(spoilt.snapshot, kStart + 7 * kDay);
+        bumpVersion(spoilt.timestamp, kStart + kDay);
         sign(spoilt.snapshot, spoilt.keys.at("snapshot"));
         spoilt.put("snapshot", versionOf(spoilt.snapshot), textOf(spoilt.snapshot));
         spoilt.publishTimestamp();
@@ -98,21 +98,21 @@
     files = now;
     files["2.root.json"] = now.at("1.root.json");
     tape.refuses("the old root replayed as the next", client, files);
-    tape.refuses("at the timestamp's end", client, now, start + day);
+    tape.refuses("at the timestamp's end", client, now, kStart + kDay);
     {
         Repository late = repository;
-        late.timestampUntil = start + 30 * day;
+        late.timestampUntil = kStart + 30 * kDay;
         late.publish();
         auto kNewSuffix = client;
-        tape.note("at the snapshot's end", kNewSuffix.update(late.files, start + 7 * day));
-        late.snapshotUntil = start + 200 * day;
-        late.timestampUntil = start + 200 * day;
+        tape.note("at the snapshot's end", kNewSuffix.update(late.files, kStart + 7 * kDay));
+        late.snapshotUntil = kStart + 200 * kDay;
+        late.timestampUntil = kStart + 200 * kDay;
         late.publish();
         kNewSuffix = client;
-        tape.note("at the targets' end", kNewSuffix.update(late.files, start + 90 * day));
+        tape.note("at the targets' end", kNewSuffix.update(late.files, kStart + 90 * kDay));
         CHECK(kNewSuffix.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
     }
-    tape.refuses("at the root's end", client, now, start + 365 * day);
+    tape.refuses("at the root's end", client, now, kStart + 365 * kDay);
     {
         Repository spoilt = repository;
         spoilt.make("rel");
@@ -167,7 +167,7 @@
         tape.note("a root left out", late.update(files));
         CHECK(late.kept.files.count("timestamp.json") == 0);
         Client bounded(first.at("1.root.json"));
-        bounded.update(repository.files, start + 60, {}, {2, 64});
+        bounded.update(repository.files, kStart + 60, {}, {2, 64});
         CHECK(bounded.kept.files.count("root_history/3.root.json") == 1);
         CHECK(bounded.kept.files.count("root_history/4.root.json") == 0);
     }
@@ -205,7 +205,7 @@
         stolen.snapshot["signatures"] = Json::array();
         sign(stolen.snapshot, stolen.keys.at("snapshot"));
         stolen.put("snapshot", 5000, textOf(stolen.snapshot));
-        bumpVersion(stolen.timestamp, start + day);
+        bumpVersion(stolen.timestamp, kStart + kDay);
         stolen.publishTimestamp();
         auto victim = client;
         tape.note("the snapshot's fast-forward", victim.update(stolen.files));
@@ -225,7 +225,7 @@
         tape.note("and the next update", cut.update(mended.files));
         auto bounded = victim;
         tape.note("the new root is the last that the bound allows",
-                  bounded.update(mended.files, start + 60, {}, {1, 64}));
+                  bounded.update(mended.files, kStart + 60, {}, {1, 64}));
         tape.note("and back, with a new key", victim.update(mended.files));
     }
     tape.matches("metadata-roots");
@@ -328,7 +328,7 @@
     Repository repository;
     Client client(repository.firstRoot());
     client.update(repository.files);
-    bumpVersion(repository.timestamp, start + day);
+    bumpVersion(repository.timestamp, kStart + kDay);
     repository.publishTimestamp();
     const auto good = repository.files.at("timestamp.json");
     const auto bytes = [&](const std::string& what, const std::string& text) {
@@ -405,11 +405,11 @@
         delegations["keys"][repository.keys.at(name).key().id()] = repository.keys.at(name).key().object();
         delegations["roles"] = {entry};
         repository.redo("targets");
-        repository.roles.emplace(name, newTargets(start + 90 * day));
+        repository.roles.emplace(name, newTargets(kStart + 90 * kDay));
         addTarget(repository.roles.at(name), "file", "bytes");
         repository.publish();
         Client client(repository.firstRoot());
-        const auto said = client.update(repository.files, start + 60, {"file"});
+        const auto said = client.update(repository.files, kStart + 60, {"file"});
         tape.note("role " + what, said + ", listed by " + escaped(client.whoLists("file"), 60));
         for (const auto& [file, bytes] : client.kept.files) {
             CHECK((file.find('/') == file.npos || file.compare(0, 13, "root_history/") == 0));
@@ -433,7 +433,7 @@
         repository.redo("targets");
         repository.publish();
         Client client(repository.firstRoot());
-        const auto said = client.update(repository.files, start + 60, {name});
+        const auto said = client.update(repository.files, kStart + 60, {name});
         tape.note("target " + what, said + ", listed by " + client.whoLists(name));
     };
     target("with dots", "../../etc/passwd");
@@ -452,7 +452,7 @@
                           UpdateLimits bounds = {}) {
         of.publish();
         Client client(of.firstRoot());
-        auto said = client.update(of.files, start + 60, paths, bounds);
+        auto said = client.update(of.files, kStart + 60, paths, bounds);
         for (const auto& path : paths) said += ", " + path + " by " + client.whoLists(path);
         tape.note(what, said + ", visited " + std::to_string(client.visited));
         return client;
@@ -468,7 +468,7 @@
         of.target("second", "other/c", "not its path");
         auto client = play("preorder", of, {"releases/a", "releases/b", "other/c", "releases/x/y"});
         CHECK(client.asked.size() == 7);  // no role is fetched twice in one update
-        tape.note("and kept", client.update(of.files, start + 61, {"releases/a", "releases/b"}));
+        tape.note("and kept", client.update(of.files, kStart + 61, {"releases/a", "releases/b"}));
         CHECK(client.asked.size() == 2);  // the next root, the timestamp
     }
     {
@@ -566,7 +566,7 @@
     Repository repository;
     repository.make("rel");
     repository.publish();
-    auto set = TrustedSet::start(repository.firstRoot(), start);
+    auto set = TrustedSet::start(repository.firstRoot(), kStart);
     REQUIRE(set);
     const auto& files = repository.files;
     std::stringstream trace;
--- a/tests/sidecar/trust_manager.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -136,7 +136,7 @@
     CHECK(fixture.nextRefresh().empty());
     fixture.sidecar.reset();
     // As if the last update had been accepted a day and a second later: the clock has been set back since.
-    std::ofstream(fixture.folder + "/state/clock") << formatTime(wall() + day + 1);
+    std::ofstream(fixture.folder + "/state/clock") << formatTime(wall() + kDay + 1);
     fixture.pods.clear();
     fixture.start(1);
     CHECK(fixture.nextRefresh().substr(0, 18) == "timestamp: expired");
