--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -9,7 +9,7 @@
 int run(int argc, char** argv) {
     CLI::App app(
         "lichenlanding: routes hits while a fleet's software is replaced in stages, and votes on it.");
-    app.set_version_flag("--kVersion", std::string("lichenlanding ") + version);
+    app.set_version_flag("--version", std::string("lichenlanding ") + kVersion);
     app.footer(
         "Without a subcommand it serves, with the configuration named by RELAY_CONFIG.\n"
         "Exit status: 0 done, 1 refused or failed (one line tells), 2 wrong words.");
--- a/tests/storage/replica_store.cpp
+++ b/tests/storage/replica_store.cpp
@@ -61,7 +61,7 @@
         bytes << file.rdbuf();
         const auto text = bytes.str();
         int changed = 0;
-        for (auto at = text.find("the words that"); at != __string_type::npos;
+        for (auto at = text.find("the words that"); at != std::string::npos;
              at = text.find("the words that", at + 1), ++changed) {
             file.clear();
             file.seekp(static_cast<std::streamoff>(at));
