--- a/tests/policy/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -152,12 +152,8 @@
         message.seq = 1;
         message.build = 6;
         message.verdict = 3;
-        int heard = 0;
         for (int peer = 0; peer < 8; ++peer)
-            if (peer != index) {
-                scene.policy->onPeerMessage(peer, encode(message));
-                ++heard;
-            }
+            if (peer != index) scene.policy->onPeerMessage(peer, encode(message));
         if (scene.trace.str().find("vote back") != std::string::npos) {
             ++echoed;
             scene.policy->onRolloutUpdate(6, 0, RolloutState::testing, true, Outcome::succeeded, 0.5, 0);
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -421,7 +421,7 @@
         fixture.until([&] { return fixture.arrivals["frst"] == 1; });
         CPPUNIT_ASSERT(client->got.empty());
         fixture.release("A", "frst"), fixture.release("B", "frst");
-        fixture.until([&] { return client->got.find("100 Continue") != client->got.npos; });
+        fixture.until([&] { return client->got.find("100 Continue") != std::string::npos; });
         fixture.write(client, body);
         fixture.awaitAnswers(client, 2);
         fixture.awaitQuiet();
@@ -504,8 +504,8 @@
         fixture.awaitAnswers(client);
         fixture.awaitQuiet();
         CPPUNIT_ASSERT_EQUAL(1, fixture.runs["once"]);
-        CPPUNIT_ASSERT(client->got.find("X-Response-Seal: seal-once") != client->got.npos);
-        CPPUNIT_ASSERT(client->got.find("X-Hop") == client->got.npos);
+        CPPUNIT_ASSERT(client->got.find("X-Response-Seal: seal-once") != std::string::npos);
+        CPPUNIT_ASSERT(client->got.find("X-Hop") == std::string::npos);
         const auto two = fixture.client(post("onea", 4000, "x", "X-Attempt-Id: oneb\r\n"), {""});
         fixture.awaitAnswers(two);
         CPPUNIT_ASSERT_EQUAL(400, two->answers().at(0).status);
