--- a/tests/control_plane/admin_api_contract.cpp
+++ b/tests/control_plane/admin_api_contract.cpp
@@ -124,14 +124,15 @@
                 if (name == "traffic_split") spec.erase("service_name");
                 spec[name] = example(field.second, false);
                 const auto told = tell(wrong);
-                CPPUNIT_ASSERT_MESSAGE(schema + "." + name + ": " + told, told.find(name) != told.npos);
+                CPPUNIT_ASSERT_MESSAGE(schema + "." + name + ": " + told,
+                                       told.find(name) != std::string::npos);
                 seen += schema + "." + name + ": " + told + "\n";
             }
             for (const auto& required : schemas[schema]["required"]) {
                 auto wrong = whole;
                 wrong["resources"][at]["spec"].erase(required.as<std::string>());
                 const auto told = tell(wrong);
-                CPPUNIT_ASSERT_MESSAGE(told, told.find(required.as<std::string>()) != told.npos);
+                CPPUNIT_ASSERT_MESSAGE(told, told.find(required.as<std::string>()) != std::string::npos);
                 seen += schema + " without " + required.as<std::string>() + ": " + told + "\n";
             }
             ++at;
--- a/tests/integration/cluster.cpp
+++ b/tests/integration/cluster.cpp
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT_EQUAL(200, cluster.replace("c1", one));
         const auto clash = cluster.rpc("c3", "config.replace", other);
         CPPUNIT_ASSERT_EQUAL(409, clash.first);
-        CPPUNIT_ASSERT(clash.second.find("00000004") != clash.second.npos);
+        CPPUNIT_ASSERT(clash.second.find("00000004") != std::string::npos);
         for (const auto* name : {"c1", "c2", "c3"}) {
             CPPUNIT_ASSERT_EQUAL(200, cluster.replace(name, one));
             CPPUNIT_ASSERT_EQUAL(409, cluster.replace(name, other));
@@ -139,8 +139,8 @@
         CPPUNIT_ASSERT_EQUAL(Json::parse(Cluster::configuration(3, "/a/")),
                              Json::parse(says({"store", "export", store})));
         const auto shown = says({"status", cluster.at("c1", cluster.control)});
-        CPPUNIT_ASSERT_MESSAGE(shown, shown.find(", in contact") != shown.npos);
-        CPPUNIT_ASSERT_MESSAGE(shown, shown.find("\nlease list: ") != shown.npos);
+        CPPUNIT_ASSERT_MESSAGE(shown, shown.find(", in contact") != std::string::npos);
+        CPPUNIT_ASSERT_MESSAGE(shown, shown.find("\nlease list: ") != std::string::npos);
     }
 
     // A proxy stands still while a route is dropped and another is added, and wakes up with its old view.
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -412,8 +412,8 @@
         const auto said = client.update(repository.files, kStart + 60, {"file"});
         tape.note("role " + what, said + ", listed by " + escaped(client.whoLists("file"), 60));
         for (const auto& [file, bytes] : client.kept.files) {
-            CHECK((file.find('/') == file.npos || file.compare(0, 13, "root_history/") == 0));
-            CHECK(file.find('\0') == file.npos);
+            CHECK((file.find('/') == std::string::npos || file.compare(0, 13, "root_history/") == 0));
+            CHECK(file.find('\0') == std::string::npos);
             CHECK(file.size() < 256);
         }
     };
--- a/tests/proxy/http_server.cpp
+++ b/tests/proxy/http_server.cpp
@@ -238,7 +238,7 @@
             [&] { return fixture.arrivals.size() == 4 && fixture.httpServer->stats().served == 4; });
         fixture.settle();
         const auto seen = fixture.client(HttpServerFixture::get("5"), 1);
-        CPPUNIT_ASSERT(seen.find("small") != seen.npos);
+        CPPUNIT_ASSERT(seen.find("small") != std::string::npos);
         fixture.httpServer->enforceTimeouts(now() + 11 * kSecond);
         fixture.until([&] { return fixture.httpServer->openConnections() <= 1; });
     }
@@ -258,8 +258,8 @@
             const auto first = fixture.client(HttpServerFixture::get("1"), 1);
             CPPUNIT_ASSERT_MESSAGE(
                 std::to_string(size),
-                first.find("[Content-Length: " + std::to_string(size) + "]") != first.npos);
-            CPPUNIT_ASSERT(fixture.client(HttpServerFixture::get("2"), 1).find("next") != first.npos);
+                first.find("[Content-Length: " + std::to_string(size) + "]") != std::string::npos);
+            CPPUNIT_ASSERT(fixture.client(HttpServerFixture::get("2"), 1).find("next") != std::string::npos);
         }
         for (const std::size_t size : {300'000U, 900'000U}) {
             HttpServerFixture fixture(limits);
--- a/tests/proxy/readiness_server.cpp
+++ b/tests/proxy/readiness_server.cpp
@@ -56,7 +56,7 @@
             asio::async_read(client, asio::dynamic_buffer(got),
                              [&](ErrorCode, std::size_t) { ended = true; });
             while (!ended) CPPUNIT_ASSERT_MESSAGE(said, io_.run_one_for(std::chrono::seconds(2)) > 0);
-            CPPUNIT_ASSERT_EQUAL(std::strlen(said) > 8, got.find("503") != got.npos);
+            CPPUNIT_ASSERT_EQUAL(std::strlen(said) > 8, got.find("503") != std::string::npos);
         }
     }
 };
--- a/tests/sidecar/messages.cpp
+++ b/tests/sidecar/messages.cpp
@@ -31,7 +31,7 @@
 
 std::string with(std::string text, const std::string& from, const std::string& to) {
     const auto at = text.find(from);
-    REQUIRE(at != text.npos);
+    REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
 }
 
