--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -255,10 +255,10 @@
         });
     });
     while (!ended) co_await finished.wait(now() + 3600 * kSecond);
-    if (failure.empty())
-        ++writes_;  // NOLINT(bugprone-standalone-empty): used, clang-tidy 16 errs in coroutines
+    const bool synced = failure.empty();
+    if (synced) ++writes_;
     else log("store_write_failed", {{"step", "write"}, {"error", failure}});
-    co_return failure.empty();
+    co_return synced;
 }
 
 }  // namespace lichenlanding::control_plane
