--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -22,8 +22,7 @@
 
 ReplicaNode::ReplicaNode(asio::io_context& io, const config::BootstrapSettings& boot, Owner owner,
                          Opener opener)
-    : boot_(boot),
-      owner_(std::move(owner)),
+    : owner_(std::move(owner)),
       address_(boot.peerAddress(boot.ip)),
       seeds_(seedAddresses(boot)),
       storage_(io, {address_, seeds_, boot.bootstrap}, std::move(opener), storageHooks()),
--- a/src/control_plane/replica_node.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -87,7 +87,6 @@
     void handleReply(const PeerConnection& connection, const Json& message);
     Json describeMembers() const;
 
-    const config::BootstrapSettings& boot_;
     Owner owner_;
     const std::string address_;
     const std::vector<std::string> seeds_;  // internal addresses, sorted
