--- a/src/policy/count_pooling.hpp
+++ b/src/policy/count_pooling.hpp
@@ -25,7 +25,7 @@
         std::vector<std::pair<std::uint64_t, int>> order;
         for (int peer = 0; peer < sidecars; ++peer) {
             auto hash = (static_cast<std::uint64_t>(build) << 20) + static_cast<std::uint64_t>(peer) + 1;
-            for (int turn = 0; turn < 2; ++turn) hash = (hash ^ (hash >> 31)) * 0x9e3779b97f4a7c15ull;
+            for (int turn = 0; turn < 2; ++turn) hash = (hash ^ (hash >> 31)) * 0x9e3779b97f4a7c15ULL;
             order.emplace_back(hash ^ (hash >> 32), peer);
         }
         std::sort(order.begin(), order.end());
@@ -49,7 +49,7 @@
         }
         if (isNew && trial.firstCountedAt < 0) trial.firstCountedAt = now;
         const auto& edges = binEdges[group];
-        const auto edge = std::upper_bound(edges.begin(), edges.end(), latency);
+        const auto* const edge = std::upper_bound(edges.begin(), edges.end(), latency);
         const std::size_t bin = outcome == Outcome::succeeded ? edge - edges.begin() : kLastBin;
         ++tally.bins[bin];
         if (outcome == Outcome::failed) {
--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -48,7 +48,7 @@
             auto byte = static_cast<unsigned char>(bytes[at++]);
             value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
             if (byte < 0x80) {
-                if (value > 0xffffffffu) break;
+                if (value > 0xffffffffU) break;
                 return static_cast<std::uint32_t>(value);
             }
         }
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -4,6 +4,7 @@
 #include <cmath>
 #include <numeric>
 #include <unordered_map>
+#include <utility>
 
 #include "limits/fleet.hpp"
 #include "policy/gossip.hpp"
@@ -156,11 +157,11 @@
     std::vector<Tallies> baseline;  // in the last tally: outcomes before a build, halved now and then
     OwnVote ownVote;
 
-    PolicyState(const Settings& settings_, std::uint64_t seed, PolicyHost& host_)
-        : host(host_), settings(settings_) {
+    PolicyState(Settings settings_, std::uint64_t seed, PolicyHost& host_)
+        : host(host_), settings(std::move(settings_)) {
         std::seed_seq mix{static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32)};
         random.seed(mix);
-        epoch = static_cast<std::uint32_t>(random()) | 1u;
+        epoch = static_cast<std::uint32_t>(random()) | 1U;
         self = settings.index;
         sidecars = std::max(settings.balancers, 1);
         for (int peer = 0; peer < sidecars; ++peer) allPeers.push_back(peer);
@@ -181,7 +182,7 @@
         queueTime = static_cast<Nanos>(queuedVotes / settings.votesPerSecond * kSecond);
         for (const auto& group : settings.groups) {
             silenceTimeout = std::min(silenceTimeout, group.target / kSilenceDivisor);
-            double edge = static_cast<double>(group.target);  // then in steps of a square root of two
+            auto edge = static_cast<double>(group.target);  // then in steps of a square root of two
             auto& edges = binEdges.emplace_back();
             for (int bin = kLastBin; bin-- > 0; edge /= std::sqrt(2.0)) edges[bin] = static_cast<Nanos>(edge);
         }
