--- a/src/policy/gossip.cpp
+++ b/src/policy/gossip.cpp
@@ -25,7 +25,8 @@
 
 void put(std::string& to, const Tally& tally) {
     // Most counts are 0 under little traffic: a bit for each says whether it follows.
-    std::uint32_t present = 0, bit = 1;
+    std::uint32_t present = 0;
+    std::uint32_t bit = 1;
     visitCounts(tally, [&](auto count) {
         if (count) present |= bit;
         bit <<= 1;
