--- a/src/policy/count_pooling.hpp
+++ b/src/policy/count_pooling.hpp
@@ -185,6 +185,6 @@
         }
         last = tally;
     }
-};
+};  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::policy
--- a/src/policy/policy_engine.cpp
+++ b/src/policy/policy_engine.cpp
@@ -117,6 +117,6 @@
     if (undecided && impl.isVoter() && impl.now - impl.trial.judgedAt >= kMinJudgeInterval) impl.judge();
     impl.castVote();
     impl.scheduleTick();
-}
+}  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -206,6 +206,6 @@
     double peerSlowness(const Pod& pod) const {
         return now - pod.pooledSlownessAt < 2 * kPoolingInterval ? pod.pooledSlowness : 1;
     }
-};
+};  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::policy
--- a/src/policy/routing.hpp
+++ b/src/policy/routing.hpp
@@ -259,6 +259,6 @@
         pace *= 1 - 1.0 / kPaceTicks;
         host.scheduleTimer(kTickInterval);
     }
-};
+};  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::policy
--- a/src/policy/rules.hpp
+++ b/src/policy/rules.hpp
@@ -94,6 +94,6 @@
                 if (pod.build->number < found->second) return false;
         return !warmingUp(pod) || slowStartRoom(pod) >= 0;
     }
-};
+};  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::policy
--- a/src/policy/voter_verdict.hpp
+++ b/src/policy/voter_verdict.hpp
@@ -121,6 +121,6 @@
         const bool timeout = trial.firstCountedAt >= 0 && now - trial.firstCountedAt >= kUndecidedTimeout;
         return surelyAbove(kOnThreshold) || timeout ? Verdict::on : Verdict::none;
     }
-};
+};  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::policy
--- a/src/policy/votes.hpp
+++ b/src/policy/votes.hpp
@@ -100,6 +100,6 @@
         ownVote.notBefore = now + settings.voteTimeout;
         host.vote(ballot.verdict, ballot.build, ballot.stage);
     }
-};
+};  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::policy
--- a/src/verdict/rank.cpp
+++ b/src/verdict/rank.cpp
@@ -43,6 +43,6 @@
     for (auto* figure : {&bounds.lowerChance, &bounds.upperChance, &bounds.lowerMean, &bounds.upperMean})
         *figure /= times;
     return bounds;
-}
+}  // NOLINTEND(readability-isolate-declaration)
 
 }  // namespace lichenlanding::verdict
