--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -21,15 +21,15 @@
 
 // Each message says whether its sender speaks, or was told, for a majority.
 void ControlPlaneFeed::onMessage(PeerConnection& from, const Json& message, bool fromControlNode) {
-    const bool sure = message.value(wire::kSure, true);
+    const bool sure = message.value(wire::kConfirmed, true);
     const auto& type = typeOf(message);
-    if (type != wire::kWant) {
+    if (type != wire::kFetch) {
         if (fromControlNode) logContact(quorumContact_.onControlNodeMessage(from.peer, sure, now()));
         if (!quorumContact_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
     }
     const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
     cache_.handleMessage(message, source, now(), [&](Json reply) {
-        if (typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.isConfirmed();
+        if (typeOf(reply) != wire::kFetch) reply[wire::kConfirmed] = quorumContact_.isConfirmed();
         from.send(reply);
     });
     const bool confirms = type == wire::kConfiguration ||
@@ -57,7 +57,7 @@
 
 Json ControlPlaneFeed::digest() const {
     auto digest = cache_.digestMessage();
-    digest[wire::kSure] = quorumContact_.isConfirmed();
+    digest[wire::kConfirmed] = quorumContact_.isConfirmed();
     return digest;
 }
 
--- a/src/proxy/peer_messages.hpp
+++ b/src/proxy/peer_messages.hpp
@@ -27,13 +27,13 @@
 inline constexpr const char* kVote = messages::kTypeVote;
 inline constexpr const char* kPeerLost = messages::kTypePeerLost;
 inline constexpr const char* kAcknowledgement = messages::kTypeAcknowledgement;
-inline constexpr const char* kWant = messages::kTypeFetch;
+inline constexpr const char* kFetch = messages::kTypeFetch;
 inline constexpr const char* kConfiguration = messages::kTypeConfiguration;
 inline constexpr const char* kDigest = messages::kTypeDigest;
 // The proxies of a roster: addresses by name.
 inline constexpr const char* kRosterProxies = messages::kFieldProxies;
 // Of messages and of replies: the sender speaks, or was told, for a majority of the control nodes.
-inline constexpr const char* kSure = messages::kFieldConfirmed;
+inline constexpr const char* kConfirmed = messages::kFieldConfirmed;
 }  // namespace wire
 
 /// The type of any message.
--- a/src/scale_test/hollow_proxy.cpp
+++ b/src/scale_test/hollow_proxy.cpp
@@ -152,14 +152,14 @@
 void HollowProxy::onNews(PeerConnection& from, const Json& message) {
     const auto& type = proxy::typeOf(message);
     const bool fromControlNode = from.kind == wire::kControlNode;
-    const bool sure = message.value(wire::kSure, true);
-    if (type != wire::kWant) {
+    const bool sure = message.value(wire::kConfirmed, true);
+    if (type != wire::kFetch) {
         if (fromControlNode) quorumContact_.onControlNodeMessage(from.peer, sure, now());
         if (!quorumContact_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
     }
     const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
     cache_.handleMessage(message, source, now(), [&](Json reply) {
-        if (proxy::typeOf(reply) != wire::kWant) reply[wire::kSure] = quorumContact_.isConfirmed();
+        if (proxy::typeOf(reply) != wire::kFetch) reply[wire::kConfirmed] = quorumContact_.isConfirmed();
         send(from, reply);
     });
     const bool confirms = type == wire::kConfiguration ||
@@ -221,7 +221,7 @@
     while (!self->left_) {
         co_await sleep(self->process_.heartbeat);
         auto digest = self->cache_.digestMessage();
-        digest[wire::kSure] = self->quorumContact_.isConfirmed();
+        digest[wire::kConfirmed] = self->quorumContact_.isConfirmed();
         if (self->quorumContact_.waitElapsed(self->cache_.version() > 0, now()))
             self->sendToControlNodes(digest);
         for (const auto& [_, address] : self->watched_) {
