--- a/src/proxy/body_relay.cpp
+++ b/src/proxy/body_relay.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// One block of a body, as a chunk or as it is.
+// Writes one block of a body, either as a chunk or as it is.
 Task<ErrorCode> writeBlock(tcp::socket& socket, const std::string& block, bool chunked) {
     ErrorCode error;
     if (chunked) {
@@ -41,12 +41,11 @@
     co_return error;
 }
 
-// The next block of a host's response. Its silence is no reason to end the response before the request's
-// deadline.
+// Reads the next block of a host's response. The only time limit is the request's deadline.
 Task<ErrorCode> readResponseBlock(ClientConnection& connection, RequestContext& request, std::string& block) {
     auto& parser = *request.unreadResponse->parser;
     auto& upstream = *request.unreadResponse->connection;
-    block.resize(room(parser));
+    block.resize(readSize(parser));
     parser.get().body().data = block.data();
     parser.get().body().size = block.size();
     connection.writeStarted = 0;
@@ -63,10 +62,10 @@
 }  // namespace
 
 Task<ErrorCode> readBodyBlock(ClientConnection& connection, RequestParser& parser, std::string& body) {
-    const auto held = body.size();
-    body.resize(held + room(parser));
-    parser.get().body().data = body.data() + held;
-    parser.get().body().size = body.size() - held;
+    const auto offset = body.size();
+    body.resize(offset + readSize(parser));
+    parser.get().body().data = body.data() + offset;
+    parser.get().body().size = body.size() - offset;
     ErrorCode error;
     co_await http::async_read(connection.socket, connection.buffer, parser, withErrorCode(error));
     body.resize(body.size() - parser.get().body().size);
@@ -82,7 +81,7 @@
     auto error = co_await writeBlock(host, request->request.body(), chunked);
     while (!error && !parser.is_done()) {
         std::string block;
-        connection->readDeadline = now() + kRequestBodyWithin;
+        connection->readDeadline = now() + kRequestBodyTimeout;
         error = co_await readBodyBlock(*connection, parser, block);
         if (error || block.empty()) continue;
         error = co_await writeBlock(host, block, chunked);
--- a/src/proxy/body_relay.hpp
+++ b/src/proxy/body_relay.hpp
@@ -1,4 +1,5 @@
-/// Bodies that are too large to hold (kHoldAtMost) pass through in blocks. One thread, the server's loop.
+/// Streaming of bodies larger than kMaxBufferedBody between client and host, block by block. Used from one
+/// thread: the server's event loop.
 #pragma once
 
 #include <memory>
@@ -7,20 +8,21 @@
 
 namespace lichenlanding::proxy {
 
-constexpr Nanos kRequestBodyWithin = 30 * transport::kSecond;  ///< a request's body, or its next block
+/// Time limit for a whole buffered request body, or for the next block of a streamed one.
+constexpr Nanos kRequestBodyTimeout = 30 * transport::kSecond;
 
-/// Reads what comes next of a request's body and appends it to `body`. Returns the error of the connection.
+/// Reads the next block of a request body and appends it to `body`. Returns the connection's error, if any.
 transport::Task<transport::ErrorCode> readBodyBlock(ClientConnection& connection, RequestParser& parser,
                                                     std::string& body);
 
-/// The body of `request`, from the client to a host: the part that is held, then the rest as it comes.
-/// Returns the first error of either connection.
+/// Streams the body of `request` from the client to a host: first the buffered part, then the rest as it
+/// arrives. Returns the first error of either connection.
 transport::Task<transport::ErrorCode> relayRequestBody(std::shared_ptr<ClientConnection> connection,
                                                        std::shared_ptr<RequestContext> request,
                                                        transport::tcp::socket& host);
 
-/// The response of `request`, from the host to the client. False where either connection has ended: then the
-/// client's is to end too, so that what was cut short does not look whole.
+/// Streams the response of `request` from the host to the client. Returns false if either connection failed;
+/// the caller must then close the client's connection, so that a truncated response does not look complete.
 transport::Task<bool> relayResponseBody(std::shared_ptr<ClientConnection> connection,
                                         std::shared_ptr<RequestContext> request);
 
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-constexpr std::size_t kPipelineLimit = 32;        // requests of one connection that are read and not answered
-constexpr Nanos kUnreadFor = 10 * kSecond;        // a client that does not take its responses
-constexpr Nanos kLingerFor = 300 * kMillisecond;  // after the last response, for bytes that are on their way
-constexpr Nanos kHangUpCheckEvery = 100 * kMillisecond;  // while nothing is read
+constexpr std::size_t kPipelineLimit = 32;     // requests of one connection that were read but not answered
+constexpr Nanos kWriteTimeout = 10 * kSecond;  // for the client to accept response data
+constexpr Nanos kLingerTimeout = 300 * kMillisecond;  // after the last response, for bytes still in transit
+constexpr Nanos kHangUpCheckInterval = 100 * kMillisecond;  // while the pipeline is full and nothing is read
 
-// Beast's own errors but for those of a connection that has ended: the bytes are not HTTP.
+// Errors of Beast's HTTP parser, except those of an ended connection: the bytes are not valid HTTP.
 bool isSyntaxError(const ErrorCode& error) {
     return error.category() == make_error_code(http::error::bad_version).category() &&
            error != http::error::end_of_stream && error != http::error::partial_message;
@@ -33,7 +33,7 @@
 ClientConnection::ClientConnection(tcp::socket&& accepted, HttpServerContext& server, std::uint64_t number)
     : socket(std::move(accepted)), server_(server), number_(number), stateChanged_(server.io) {}
 
-// ---- State, as the server asks for it. ----
+// ---- Predicates for the server's periodic checks. ----
 
 bool ClientConnection::hasUnreadBytes() {
     ErrorCode error;
@@ -42,11 +42,11 @@
 
 bool ClientConnection::isStalled(Nanos now) const {
     if (upstreamSocket && now > upstreamDeadline) return true;
-    return writing_ && !lastResponseSent_ && writeStarted > 0 && now - writeStarted > kUnreadFor;
+    return writing_ && !lastResponseSent_ && writeStarted > 0 && now - writeStarted > kWriteTimeout;
 }
 
 bool ClientConnection::isIdleTooLong(Nanos now, Nanos idleTimeout) {
-    // A change of the timeout binds connections that are idle already only where it is longer.
+    // A changed timeout applies to connections that are already idle only if it is longer.
     return isIdle() && now - idleSince_ > std::max(idleTimeout_, idleTimeout) && !hasUnreadBytes();
 }
 
@@ -60,13 +60,13 @@
     ErrorCode ignored;
     socket.close(ignored);
     if (upstreamSocket) upstreamSocket->close(ignored);
-    onClientLeft();
+    onClientDisconnected();
     stateChanged_.notify();
 }
 
-// Whoever works for the client is told, once.
-void ClientConnection::onClientLeft() {
-    if (std::exchange(clientLeft_, true)) return;
+// Notifies the handlers of unanswered requests, once.
+void ClientConnection::onClientDisconnected() {
+    if (std::exchange(clientDisconnected_, true)) return;
     ErrorCode ignored;
     if (upstreamSocket && requests_.front()->routed.route->repeatable) upstreamSocket->close(ignored);
     std::size_t unanswered = 0;
@@ -75,7 +75,7 @@
         if (request->responseReady && !request->unreadResponse) continue;
         ++unanswered;
         inFlight += routing::inFlight(request->routed.attempts);
-        if (request->onClientLeft) request->onClientLeft();
+        if (request->onClientDisconnected) request->onClientDisconnected();
     }
     if (unanswered == 0) return;
     ++server_.stats.disconnected;
@@ -103,7 +103,7 @@
     idleTimeout_ = idleTimeout;
 }
 
-// The last of the two coroutines to end takes the connection with it.
+// Called by whichever of the two coroutines ends last.
 void ClientConnection::finish() {
     close();
     server_.onConnectionClosed(number_);
@@ -132,24 +132,24 @@
         spawn(self->server_.io, "request", RequestHandler::handle(handler));
         if (request->upload) co_await self->awaitUpload(request);
         self->lastRequestRead_ = request->closesConnection;
-        if (!co_await self->awaitRoom()) break;
+        if (!co_await self->awaitPipelineCapacity()) break;
     }
     self->reading_ = false;
-    self->onClientLeft();
+    self->onClientDisconnected();
     if (self->closed_ || (self->requests_.empty() && !self->writing_)) self->finish();
 }
 
-// The body's relay reads the socket until it has ended.
+// Waits for the end of the body's relay, which reads the socket meanwhile.
 Task<> ClientConnection::awaitUpload(std::shared_ptr<RequestContext> request) {
     while (!closed_ && !request->uploadEnded && !request->responseReady)
         co_await stateChanged_.wait(now() + kSecond);
 }
 
-// Until fewer requests than the pipeline takes are unanswered. False where the client leaves meanwhile: the
-// end of its side lies behind bytes that are not read.
-Task<bool> ClientConnection::awaitRoom() {
+// Waits until the number of unanswered requests is below the pipeline limit. Returns false if the client
+// disconnects meanwhile; this has to be polled, since its close comes after bytes that are not being read.
+Task<bool> ClientConnection::awaitPipelineCapacity() {
     while (requests_.size() >= kPipelineLimit && !closed_) {
-        co_await stateChanged_.wait(now() + kHangUpCheckEvery);
+        co_await stateChanged_.wait(now() + kHangUpCheckInterval);
         if (!closed_ && hasPeerHungUp()) co_return false;
     }
     co_return true;
@@ -160,8 +160,8 @@
     return ::poll(&entry, 1, 0) > 0;
 }
 
-// Until the first byte of a request has come. False where none will; bytes behind the last request or
-// response are discarded.
+// Waits for the first byte of a request; returns false if the connection has ended. Bytes after the last
+// request or response are discarded.
 Task<bool> ClientConnection::waitForBytes() {
     if (discardsInput()) buffer.consume(buffer.size());
     if (buffer.size() > 0) co_return true;
@@ -179,9 +179,10 @@
     co_return true;
 }
 
-// Head and body, the body up to what is held whole.
+// Reads the head and, up to the buffering limit, the body.
 Task<> ClientConnection::readRequest(IncomingRequest& incoming) {
-    const auto limits = this->limits();  // in force as the request begins, after an idle time
+    // Read at the start of the request: the limits may have changed while the connection was idle.
+    const auto limits = this->limits();
     incoming.parser = std::make_shared<RequestParser>();
     auto& parser = *incoming.parser;
     parser.header_limit(static_cast<std::uint32_t>(limits.headerBytes));
@@ -189,14 +190,14 @@
     readDeadline = now() + limits.headerTimeout;
     co_await http::async_read_header(socket, buffer, parser, withErrorCode(incoming.error));
     if (incoming.error || parser.is_done()) co_return;
-    readDeadline = now() + kRequestBodyWithin;
+    readDeadline = now() + kRequestBodyTimeout;
     if (boost::beast::iequals(parser.get()[http::field::expect], "100-continue"))
         co_await sendContinue(incoming);
-    while (!incoming.error && !parser.is_done() && incoming.body.size() < kHoldAtMost)
+    while (!incoming.error && !parser.is_done() && incoming.body.size() < kMaxBufferedBody)
         incoming.error = co_await readBodyBlock(*this, parser, incoming.body);
 }
 
-// Behind the responses that are due first.
+// Sends 100 Continue after the responses to all earlier requests.
 Task<> ClientConnection::sendContinue(IncomingRequest& incoming) {
     static const std::string kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
     while (!requests_.empty() && !closed_) co_await stateChanged_.wait(now() + kSecond);
@@ -204,8 +205,8 @@
     co_await asio::async_write(socket, asio::buffer(kContinue), withErrorCode(incoming.error));
 }
 
-// A request behind the last response counts as not read, whatever it is: its client sends it again elsewhere,
-// and to execute it would be to execute it twice. False where the connection has ended.
+// Discards a request that follows the last response. Clients treat it as not processed and send it again
+// elsewhere, so that running it would execute it twice. Returns false if the connection has ended.
 bool ClientConnection::discard(const IncomingRequest& incoming) {
     const auto& error = incoming.error;
     if (error && error.category() != make_error_code(http::error::bad_version).category()) return false;
@@ -213,7 +214,7 @@
     return true;
 }
 
-// Answers what cannot be read as one request with the reason. False where there is nobody to tell.
+// Replies with the reason why a request is invalid. Returns false if there is no client to reply to.
 bool ClientConnection::reject(const IncomingRequest& incoming) {
     const auto& error = incoming.error;
     LocalReplyDetail detail;
@@ -252,7 +253,7 @@
     request->responseReady = true;
     if (writing_ || !requests_.front()->responseReady) return;
     writing_ = true;
-    writeStarted = now();  // before the writer's turn comes: isStalled() looks at both
+    writeStarted = now();  // set before the writer coroutine starts, since isStalled() reads both
     spawn(server_.io, "response", writeResponses(shared_from_this()));
 }
 
@@ -260,7 +261,7 @@
     auto& requests = self->requests_;
     while (!self->closed_ && !requests.empty() && requests.front()->responseReady) {
         const auto request = requests.front();
-        // While draining, the last response to what has been read says so.
+        // While draining, the last response to the requests read so far carries Connection: close.
         const bool last = (request->closesConnection || self->server_.draining) && requests.size() == 1;
         self->lastResponseChosen_ = last;
         const auto error = co_await self->writeResponse(request, last);
@@ -307,13 +308,13 @@
     co_return error;
 }
 
-// Ends this side. The reader discards what the client has sent meanwhile, for a moment: closing on it would
-// reset the connection under a response that may not have arrived.
+// Closes the sending side. The reader discards input for a short time: closing the socket with unread bytes
+// would reset the connection before the client has received the response.
 void ClientConnection::startLingering() {
     ErrorCode ignored;
     socket.shutdown(tcp::socket::shutdown_send, ignored);
     lastResponseSent_ = true;
-    readDeadline = now() + kLingerFor;
+    readDeadline = now() + kLingerTimeout;
 }
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/client_connection.hpp
+++ b/src/proxy/client_connection.hpp
@@ -1,5 +1,4 @@
-/// One connection of a client: requests are read ahead (pipelining) and answered in the order in which they
-/// came.
+/// One client connection: requests are read ahead (pipelining) and answered in the order of their arrival.
 #pragma once
 
 #include <deque>
@@ -10,12 +9,12 @@
 
 namespace lichenlanding::proxy {
 
-/// Two coroutines at most serve a connection: one reads requests, one writes responses. The reader alone
-/// reads the socket (while a large body is uploaded, its relay does): behind the last request too, where it
-/// discards what comes, so that it sees a client that leaves. Then the requests that are unanswered are told
-/// (RequestContext::onClientLeft). A client that closes only its own side counts as one that has left: the
-/// two can't be told apart. Deadlines are held by the server, which calls the predicates below every so
-/// often. One thread, the server's loop.
+/// Runs at most two coroutines: one reads requests, the other writes responses. Only the reader reads the
+/// socket (during the upload of a large body, the body's relay). It keeps reading and discarding after the
+/// last request, in order to notice when the client disconnects; unanswered requests are then notified
+/// (RequestContext::onClientDisconnected). A half-close counts as a disconnect: the two cannot be told apart.
+/// The server enforces the deadlines by calling the predicates below periodically. Used from one thread: the
+/// server's event loop.
 class ClientConnection : public std::enable_shared_from_this<ClientConnection> {
   public:
     ClientConnection(transport::tcp::socket&& accepted, HttpServerContext& server, std::uint64_t number);
@@ -23,40 +22,44 @@
     /// Reads requests and starts a handler for each, until the client or the proxy ends the connection.
     static transport::Task<> readRequests(std::shared_ptr<ClientConnection> self);
 
-    /// The response of `request` is complete: it is written once it is its turn.
+    /// Called when the response of `request` is complete. It is written after the responses to all earlier
+    /// requests.
     void onResponseReady(const std::shared_ptr<RequestContext>& request);
 
-    /// Ends the connection at once, without what has not been written.
+    /// Closes the connection immediately and drops unwritten responses.
     void close();
-    /// Ends the read in progress. What has been received already is still served.
+    /// Cancels the read in progress. Requests that were received completely are still served.
     void cancelRead();
-    /// Ends the read in progress because its time is over (408, where a part of a request has come).
+    /// Cancels the read in progress because its deadline has passed. Replies 408 if part of a request was
+    /// received.
     void timeOutRead();
 
     std::uint64_t number() const { return number_; }
     bool closed() const { return closed_; }
-    /// The client has ended its side, or the connection is closed: no more is to be sent to a host for it.
-    bool clientLeft() const { return clientLeft_; }
-    /// The relay of a large request body has ended: the reader goes on.
+    /// The client has closed its side or the connection is closed: no further attempts are sent to hosts for
+    /// it.
+    bool clientDisconnected() const { return clientDisconnected_; }
+    /// Called when the relay of a large request body has ended; the reader resumes.
     void onUploadEnded() { stateChanged_.notify(); }
     /// No request is being read, handled or answered.
     bool isIdle() const { return waitingForRequest_ && requests_.empty() && !writing_ && !lastResponseSent_; }
-    /// Bytes that have arrived and are not read yet.
+    /// Whether the socket has received bytes that were not read yet.
     bool hasUnreadBytes();
-    /// The client does not take its response, or a host has not delivered the rest of one, in time.
+    /// The client has not accepted response data, or the host has not delivered the rest of a response, in
+    /// time.
     bool isStalled(Nanos now) const;
-    /// It has been idle for too long; `idleTimeout` is the present configuration's.
+    /// The connection has exceeded its idle timeout. `idleTimeout` is the value of the current configuration.
     bool isIdleTooLong(Nanos now, Nanos idleTimeout);
-    /// A request, or what follows the last response, has not been read in time.
+    /// A request, or the client's close after the last response, was not received in time.
     bool isReadOverdue(Nanos now);
 
-    /// For the relays of large bodies (body_relay.hpp), which work in the turn of the reader or of the
-    /// writer.
+    /// Public for the body relays (body_relay.hpp), which run in place of the reader or the writer.
     transport::tcp::socket socket;
-    transport::beast::flat_buffer buffer;  ///< received and not parsed yet
-    Nanos readDeadline = 0;                ///< of what is being read; 0: none
-    Nanos writeStarted = 0;                ///< of what is being written to the client; 0: nothing is
-    /// The host's connection that the writer waits for, and until when; null: it does not.
+    transport::beast::flat_buffer buffer;  ///< received bytes that are not parsed yet
+    Nanos readDeadline = 0;                ///< deadline of the read in progress; 0: none
+    Nanos writeStarted = 0;                ///< start of the write in progress; 0: none
+    /// The host connection that the writer is reading a response from, with its deadline. Null while it reads
+    /// from none.
     transport::tcp::socket* upstreamSocket = nullptr;
     Nanos upstreamDeadline = 0;
 
@@ -74,9 +77,9 @@
     bool reject(const IncomingRequest& incoming);
     bool discardsInput() const { return lastRequestRead_ || lastResponseChosen_; }
     transport::Task<> awaitUpload(std::shared_ptr<RequestContext> request);
-    transport::Task<bool> awaitRoom();
+    transport::Task<bool> awaitPipelineCapacity();
     bool hasPeerHungUp();
-    void onClientLeft();
+    void onClientDisconnected();
     std::shared_ptr<RequestContext> accept(IncomingRequest& incoming);
 
     static transport::Task<> writeResponses(std::shared_ptr<ClientConnection> self);
@@ -89,19 +92,19 @@
 
     HttpServerContext& server_;
     const std::uint64_t number_;
-    std::deque<std::shared_ptr<RequestContext>> requests_;  // read and not answered, in order
-    transport::AsyncEvent stateChanged_;  // a request was answered or uploaded, or the connection closed
-    bool reading_ = true;                 // the reading coroutine runs
-    bool writing_ = false;                // the writing coroutine runs
-    bool waitingForRequest_ = false;      // the reader waits for a request's first byte
-    bool timedOut_ = false;               // what was to be read in time has not come
-    bool lastRequestRead_ = false;        // what comes behind it is discarded
-    bool lastResponseChosen_ = false;     // requests behind it count as not read
+    std::deque<std::shared_ptr<RequestContext>> requests_;  // read but not answered, in order of arrival
+    transport::AsyncEvent stateChanged_;  // a request was answered or uploaded, or the connection was closed
+    bool reading_ = true;                 // the reader coroutine is running
+    bool writing_ = false;                // the writer coroutine is running
+    bool waitingForRequest_ = false;      // the reader is waiting for the first byte of a request
+    bool timedOut_ = false;               // the read was cancelled by timeOutRead()
+    bool lastRequestRead_ = false;        // all further input is discarded
+    bool lastResponseChosen_ = false;     // the last response was started; later requests are not run
     bool lastResponseSent_ = false;
-    bool clientLeft_ = false;
+    bool clientDisconnected_ = false;
     bool closed_ = false;
     Nanos idleSince_ = 0;
-    Nanos idleTimeout_ = 0;  // in force when it became idle
+    Nanos idleTimeout_ = 0;  // the configured value when the connection became idle
 };
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/control_plane_feed.cpp
+++ b/src/proxy/control_plane_feed.cpp
@@ -19,13 +19,13 @@
               },
               [this](const discovery::EndpointEvent& event) { router_.applyEndpointEvent(event, now()); }}) {}
 
-// Each message says whether its sender speaks, or was told, for a majority.
+// Each message states whether its content comes from a control node in contact with a majority.
 void ControlPlaneFeed::onMessage(PeerConnection& from, const Json& message, bool fromControlNode) {
-    const bool sure = message.value(wire::kConfirmed, true);
+    const bool confirmed = message.value(wire::kConfirmed, true);
     const auto& type = typeOf(message);
     if (type != wire::kFetch) {
-        if (fromControlNode) logContact(quorumContact_.onControlNodeMessage(from.peer, sure, now()));
-        if (!quorumContact_.acceptsUpdates(sure, cache_.version() > 0, now())) return;
+        if (fromControlNode) logContact(quorumContact_.onControlNodeMessage(from.peer, confirmed, now()));
+        if (!quorumContact_.acceptsUpdates(confirmed, cache_.version() > 0, now())) return;
     }
     const auto source = fromControlNode ? MessageSource::controlNode : MessageSource::peerProxy;
     cache_.handleMessage(message, source, now(), [&](Json reply) {
@@ -34,9 +34,9 @@
     });
     const bool confirms = type == wire::kConfiguration ||
                           (type == wire::kDigest && message.at("configuration") <= cache_.version());
-    if (sure && cache_.version() > 0 && confirms) quorumContact_.markConfirmed(true);
-    // Proxies that turn from host to host together do so by the clock of who tells them the list, not by
-    // theirs.
+    if (confirmed && cache_.version() > 0 && confirms) quorumContact_.markConfirmed(true);
+    // The proxies share the control node's clock, so that those that rotate over the hosts in step do not
+    // depend on their own clocks.
     if (fromControlNode && type == wire::kDigest && message.contains("clock"))
         router_.setSharedClockOffset(message.at("clock").get<std::int64_t>() * kMillisecond - now());
     if (cache_.endpointsCurrent()) router_.setEndpointsKnown();
@@ -61,7 +61,7 @@
     return digest;
 }
 
-bool ControlPlaneFeed::isWaitOver() {
+bool ControlPlaneFeed::checkWaitElapsed() {
     if (!quorumContact_.waitElapsed(cache_.version() > 0, now())) return false;
     log("unconfirmed_state_accepted",
         {{"step", "control_plane"},
@@ -73,8 +73,8 @@
     try {
         router_.setConfiguration(std::make_shared<const config::Configuration>(
             config::Configuration::parse(decompress(compressed))));
-    } catch (const std::exception& wrong) {
-        log("configuration_rejected", {{"step", "apply"}, {"error", wrong.what()}});
+    } catch (const std::exception& error) {
+        log("configuration_rejected", {{"step", "apply"}, {"error", error.what()}});
     }
     listener_.configuration(router_.configuration() ? router_.configuration()->version : 0);
 }
--- a/src/proxy/control_plane_feed.hpp
+++ b/src/proxy/control_plane_feed.hpp
@@ -1,5 +1,5 @@
-/// What a proxy serves by: configuration, rollouts and endpoints, as control nodes and neighbours tell them.
-/// One thread, the proxy's loop.
+/// The proxy's view of the control plane: configuration, rollouts and endpoints, received from control nodes
+/// and other proxies. Used from one thread: the proxy's event loop.
 #pragma once
 
 #include <functional>
@@ -14,24 +14,24 @@
 
 class ControlPlaneFeed {
   public:
-    /// What is told of news, once the router has them. None of them may be null.
+    /// Callbacks, invoked after the router was updated. None may be null.
     struct Listener {
-        /// A configuration has come; `version` is in force now (0: none).
+        /// A configuration was received; `version` is the one now in force (0: none).
         std::function<void(std::uint32_t version)> configuration;
         std::function<void()> rollouts;
     };
 
     ControlPlaneFeed(routing::Router& router, Listener listener);
 
-    /// A message of a control node or of a neighbour; replies go down its connection.
+    /// Handles a message from a control node or another proxy. Replies are sent on the same connection.
     void onMessage(transport::PeerConnection& from, const Json& message, bool fromControlNode);
-    /// The connection to a control node has ended.
+    /// Called when the connection to a control node has ended.
     void onControlNodeLost(const std::string& controlNode);
 
-    /// What is held, in short, for neighbours and control nodes to compare.
+    /// A summary of the current state, which other proxies and control nodes compare with their own.
     Json digest() const;
-    /// True once, where the wait for a control node that speaks for a majority is over.
-    bool isWaitOver();
+    /// Returns true once, when the wait for a control node that has contact with a majority has elapsed.
+    bool checkWaitElapsed();
 
   private:
     void onConfiguration(const std::string& compressed);
--- a/src/proxy/fleet_membership.hpp
+++ b/src/proxy/fleet_membership.hpp
@@ -1,5 +1,5 @@
-/// Which proxies there are, by the control nodes in reach; whom this one watches, and who votes on a rollout.
-/// Pure; one thread, the proxy's loop.
+/// The set of proxies as reported by the connected control nodes, the proxies that this one watches, and the
+/// voters of a rollout. No I/O; used from one thread: the proxy's event loop.
 #pragma once
 
 #include <map>
@@ -13,13 +13,14 @@
 
 class FleetMembership {
   public:
-    /// Knows this proxy alone; `settings` (its name and address) outlive this and may be read anew.
+    /// Starts with this proxy alone. `settings` (its name and address) must outlive this object and may
+    /// change on reload.
     explicit FleetMembership(const config::BootstrapSettings& settings);
 
-    /// What a control node knows: addresses by name.
+    /// Stores the roster of a control node: proxy addresses by name.
     void setRoster(const std::string& controlNode, std::map<std::string, std::string> roster);
-    /// Its connection has ended. False where it had told no roster. What was last known stands while no
-    /// control node is in reach.
+    /// Removes the roster of a disconnected control node; returns false if it had sent none. When no roster
+    /// is left, the last known set of proxies is kept.
     bool removeRoster(const std::string& controlNode);
     const std::map<std::string, std::string>& proxies() const { return proxies_; }  ///< addresses by name
     const std::vector<std::string>& watched() const { return watched_; }            ///< names
--- a/src/proxy/http_headers.hpp
+++ b/src/proxy/http_headers.hpp
@@ -1,4 +1,4 @@
-/// What the proxy reads from headers and changes in them, on the way in and on the way out. Pure; any thread.
+/// Reads and rewrites the headers of forwarded requests and responses. No I/O; may be called from any thread.
 #pragma once
 
 #include <string_view>
@@ -8,18 +8,19 @@
 
 namespace lichenlanding::proxy {
 
-/// A header's value as a standard view, valid as long as the header is.
+/// A header value as std::string_view; valid as long as the header.
 inline std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-/// The response for a local reply: its status, the reason as JSON, and Retry-After if there is one.
+/// Builds the response for a local reply: status, reason as JSON, and Retry-After if set.
 Response makeResponse(const routing::LocalReply& reply);
 
-/// Removes the headers that concern one connection alone, and those that Connection names; what goes from end
-/// to end stays whatever Connection names.
+/// Removes the hop-by-hop headers and those listed in Connection. End-to-end headers that the proxy relies on
+/// (Host, Content-Length and others) are kept even if Connection lists them.
 void removeHopByHopHeaders(http::fields& fields);
 
-/// UNASKED: whether another reader could see the end or the id of this request elsewhere than the proxy does.
-/// Beast takes a transfer coding that it does not know for none, and what follows for the next request.
+/// Whether another HTTP parser could see a different end or a different id of this request, as in request
+/// smuggling. Beast treats an unknown transfer coding as no coding, and would parse the body as the next
+/// request.
 bool isAmbiguous(const http::fields& fields);
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/http_server.cpp
+++ b/src/proxy/http_server.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-constexpr Nanos kAcceptPause = 20 * kMillisecond;  // after a failure, for want of descriptors among others
+// Pause after a failed accept(), which fails repeatedly while file descriptors are exhausted.
+constexpr Nanos kAcceptRetryDelay = 20 * kMillisecond;
 
 }  // namespace
 
 HttpServer::HttpServer(asio::io_context& io, routing::Router& router, UpstreamClient& upstream,
-                       std::function<bool()> awake)
-    : context_{io, router, upstream, std::move(awake),
+                       std::function<bool()> isStateFresh)
+    : context_{io, router, upstream, std::move(isStateFresh),
                [this](std::uint64_t connection) { connections_.erase(connection); }} {}
 
 HttpServer::~HttpServer() = default;
@@ -26,7 +27,7 @@
         if (error == asio::error::operation_aborted) co_return;
         if (error) {
             log("accept_failed", {{"step", "accept"}, {"error", error.message()}});
-            co_await sleep(kAcceptPause);
+            co_await sleep(kAcceptRetryDelay);
             continue;
         }
         ErrorCode ignored;
@@ -45,7 +46,8 @@
     std::vector<std::shared_ptr<ClientConnection>> idle;
     for (const auto& [_, connection] : connections_)
         if (connection->isIdle() && !connection->hasUnreadBytes()) idle.push_back(connection);
-    // Cancelled, not closed: what has been read, and whose turn has not come, is still served.
+    // Reads are cancelled instead of closing the connection, so that a request that was received but not yet
+    // processed is still served.
     for (const auto& connection : idle) connection->cancelRead();
 }
 
--- a/src/proxy/http_server.hpp
+++ b/src/proxy/http_server.hpp
@@ -1,4 +1,4 @@
-/// A proxy's clients: it accepts their connections, holds their timeouts and drains them.
+/// Accepts client connections, enforces their timeouts and drains them on shutdown.
 #pragma once
 
 #include <map>
@@ -7,23 +7,25 @@
 
 namespace lichenlanding::proxy {
 
-/// Reads ahead and answers in order on each connection (ClientConnection), each request through routing and
-/// the hosts (RequestHandler). Outlives its coroutines. One thread, the loop of `io`.
+/// Each connection reads ahead and answers in order (ClientConnection); each request passes through routing
+/// to the hosts (RequestHandler). Must outlive its coroutines. Used from one thread: the event loop of `io`.
 class HttpServer {
   public:
-    /// `awake`: false for a moment after a standstill of the machine, until a control node has been heard.
+    /// `isStateFresh`: see HttpServerContext.
     HttpServer(transport::asio::io_context& io, routing::Router& router, UpstreamClient& upstream,
-               std::function<bool()> awake);
+               std::function<bool()> isStateFresh);
     ~HttpServer();
 
     /// Accepts connections until the acceptor is closed.
     transport::Task<> serve(transport::tcp::acceptor& acceptor);
-    /// What has been read is answered; a connection ends with the response behind which no request waits.
+    /// Starts draining: requests that were read are answered, and a connection is closed after the response
+    /// that no further request waits behind.
     void drain();
-    /// While draining: ends connections on which nothing is asked. On any other the next request is the last:
-    /// a client that always sends ahead would be read from until the end.
+    /// While draining: closes idle connections. On the others, the next request is the last one; otherwise a
+    /// client that always pipelines would be served until the end of the shutdown grace.
     void closeIdle();
-    /// Ends what takes longer than it may; `now` is steady time. To be called every so often.
+    /// Ends reads and connections that have exceeded their timeouts; `now` is steady time. To be called
+    /// periodically.
     void enforceTimeouts(Nanos now);
 
     std::size_t openConnections() const { return connections_.size(); }
--- a/src/proxy/http_server_context.hpp
+++ b/src/proxy/http_server_context.hpp
@@ -1,4 +1,4 @@
-/// What the connections and the requests of one HTTP server share.
+/// State shared by the connections and requests of one HTTP server.
 #pragma once
 
 #include <cstdint>
@@ -8,27 +8,29 @@
 
 namespace lichenlanding::proxy {
 
-/// Counted since the start.
+/// Counters since the start of the process.
 struct HttpServerStats {
-    std::uint64_t served = 0;        ///< a host's answer was passed on
-    std::uint64_t rejected = 0;      ///< a local reply, and the request was not executed
-    std::uint64_t failed = 0;        ///< a local reply, and the request may have been executed
-    std::uint64_t disconnected = 0;  ///< clients that left while requests of theirs were unanswered
-    /// Ends of attempts that the table of attempts does not have: faults of the proxy, 0 in a right program.
+    std::uint64_t served = 0;        ///< responses of hosts that were passed on
+    std::uint64_t rejected = 0;      ///< local replies to requests that were not executed
+    std::uint64_t failed = 0;        ///< local replies to requests that may have been executed
+    std::uint64_t disconnected = 0;  ///< clients that disconnected with unanswered requests
+    /// Attempt ends that are no valid transition of the attempt's state machine. Each one is a bug in the
+    /// proxy; expected to be 0.
     std::uint64_t invalidTransitions = 0;
 };
 
-/// Outlives every coroutine of the server. One thread, the loop of `io`.
+/// Must outlive every coroutine of the server. Used from one thread: the event loop of `io`.
 struct HttpServerContext {
     transport::asio::io_context& io;
     routing::Router& router;
     UpstreamClient& upstream;
-    /// False for a moment after a standstill of the machine, until a control node has been heard.
-    std::function<bool()> awake;
-    /// Called once by a connection, by its number, when it has ended.
+    /// False for a moment after a standstill of the process, when routing state may be out of date until a
+    /// control node's update arrives.
+    std::function<bool()> isStateFresh;
+    /// Called once with its number when a connection has ended.
     std::function<void(std::uint64_t connection)> onConnectionClosed;
-    bool draining = false;     ///< a response behind which no request waits ends its connection
-    bool closingIdle = false;  ///< while draining: so does the response to the next request
+    bool draining = false;     ///< a connection ends with the response that no further request waits behind
+    bool closingIdle = false;  ///< while draining: also with the response to its next request
     HttpServerStats stats{};
 };
 
--- a/src/proxy/peer_connections.cpp
+++ b/src/proxy/peer_connections.cpp
@@ -5,20 +5,22 @@
 using namespace transport;
 
 PeerConnections::PeerConnections(asio::io_context& io, const config::BootstrapSettings& settings,
-                                 std::uint64_t life, Listener listener)
+                                 std::uint64_t incarnation, Listener listener)
     : io_(io),
       settings_(settings),
-      life_(life),
+      incarnation_(incarnation),
       listener_(std::move(listener)),
-      owner_(std::make_shared<PeerConnection::Callbacks>()) {
-    owner_->makeHello = [this](PeerConnection&) {
-        return encode(ProxyHello{settings_.name, settings_.peerAddress(settings_.ip), life_});
+      callbacks_(std::make_shared<PeerConnection::Callbacks>()) {
+    callbacks_->makeHello = [this](PeerConnection&) {
+        return encode(ProxyHello{settings_.name, settings_.peerAddress(settings_.ip), incarnation_});
     };
-    owner_->onMessage = [this](PeerConnection& from, const Json& message) { onMessage(from, message); };
-    owner_->onClosed = [this](PeerConnection& connection) { listener_.closed(connection); };
+    callbacks_->onMessage = [this](PeerConnection& from, const Json& message) { onMessage(from, message); };
+    callbacks_->onClosed = [this](PeerConnection& connection) { listener_.closed(connection); };
 }
 
-Task<> PeerConnections::serve(tcp::acceptor& acceptor) { return servePeerConnections(io_, acceptor, owner_); }
+Task<> PeerConnections::serve(tcp::acceptor& acceptor) {
+    return servePeerConnections(io_, acceptor, callbacks_);
+}
 
 bool PeerConnections::isControlNode(const PeerConnection& connection) {
     return connection.kind == wire::kControlNode;
@@ -38,7 +40,7 @@
 }
 
 std::shared_ptr<Dialer> PeerConnections::dial(const std::string& address) const {
-    auto dialer = std::make_shared<Dialer>(io_, address, owner_);
+    auto dialer = std::make_shared<Dialer>(io_, address, callbacks_);
     dialer->start();
     return dialer;
 }
@@ -78,8 +80,8 @@
 }
 
 void PeerConnections::sendToControlNodes(const Json& message) const {
-    const auto packed = PeerConnection::encode(message);
-    for (const auto& connection : controlNodes()) connection->send(packed);
+    const auto encoded = PeerConnection::encode(message);
+    for (const auto& connection : controlNodes()) connection->send(encoded);
 }
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/peer_connections.hpp
+++ b/src/proxy/peer_connections.hpp
@@ -1,5 +1,5 @@
-/// A proxy's connections to control nodes and to other proxies: dialled, kept and named by their kind. One
-/// thread, the proxy's loop.
+/// A proxy's connections to control nodes and other proxies: dials them, keeps them open and records the kind
+/// of the peer. Used from one thread: the proxy's event loop.
 #pragma once
 
 #include <map>
@@ -13,27 +13,30 @@
 
 class PeerConnections {
   public:
-    /// What is told of connections. None of them may be null.
+    /// Callbacks for connection events. None may be null.
     struct Listener {
-        std::function<void(transport::PeerConnection&, const Json&)> message;  ///< all but "hello"
-        std::function<void(transport::PeerConnection&)> closed;                ///< once, of one that was open
+        std::function<void(transport::PeerConnection&, const Json&)> message;  ///< every message but "hello"
+        /// Called once when an open connection has ended.
+        std::function<void(transport::PeerConnection&)> closed;
     };
 
-    /// `settings` outlive this and may be read anew. `life` is drawn at each start of the program.
+    /// `settings` must outlive this object and may change on reload. `incarnation` is drawn at each start of
+    /// the process.
     PeerConnections(transport::asio::io_context& io, const config::BootstrapSettings& settings,
-                    std::uint64_t life, Listener listener);
+                    std::uint64_t incarnation, Listener listener);
 
-    /// Takes connections of other proxies as long as the acceptor is open.
+    /// Accepts connections of other proxies until the acceptor is closed.
     transport::Task<> serve(transport::tcp::acceptor& acceptor);
-    /// Dials the control nodes of the settings; each names all others.
+    /// Dials the configured control nodes. Each one's "hello" lists all the others, which are then dialled
+    /// too.
     void dialSeeds();
-    /// Keeps connections to just these proxies, by address.
+    /// Keeps connections to exactly these proxies, given by address; closes all others.
     void setPeers(const std::set<std::string>& addresses);
 
-    /// Open connections.
+    /// All open connections to control nodes.
     std::vector<std::shared_ptr<transport::PeerConnection>> controlNodes() const;
-    std::shared_ptr<transport::PeerConnection> peer(
-        const std::string& address) const;  ///< null: none is open
+    /// The open connection to a proxy; null: none.
+    std::shared_ptr<transport::PeerConnection> peer(const std::string& address) const;
     void sendToControlNodes(const Json& message) const;
 
     static bool isControlNode(const transport::PeerConnection& connection);
@@ -46,9 +49,9 @@
 
     transport::asio::io_context& io_;
     const config::BootstrapSettings& settings_;
-    const std::uint64_t life_;
+    const std::uint64_t incarnation_;
     Listener listener_;
-    std::shared_ptr<transport::PeerConnection::Callbacks> owner_;
+    std::shared_ptr<transport::PeerConnection::Callbacks> callbacks_;
     std::map<std::string, std::shared_ptr<transport::Dialer>> controlNodes_, peers_;  // by address
 };
 
--- a/src/proxy/peer_messages.cpp
+++ b/src/proxy/peer_messages.cpp
@@ -11,7 +11,7 @@
             {"kind", wire::kProxy},
             {"name", hello.name},
             {"at", hello.address},
-            {"life", hello.life}};
+            {"life", hello.incarnation}};
 }
 
 std::string peerKindOf(const Json& hello) { return hello.at("kind").get<std::string>(); }
@@ -25,9 +25,9 @@
 }
 
 Json encode(const OutcomeCounts& counts) {
-    return {{"t", wire::kCounts},        {"from", counts.from},
-            {"life", counts.life},       {"number", counts.number},
-            {"rollout", counts.rollout}, {"totals", messages::encode(counts.totals)}};
+    return {{"t", wire::kCounts},         {"from", counts.from},
+            {"life", counts.incarnation}, {"number", counts.sequence},
+            {"rollout", counts.rollout},  {"totals", messages::encode(counts.totals)}};
 }
 
 OutcomeCounts decodeOutcomeCounts(const Json& message) {
--- a/src/proxy/peer_messages.hpp
+++ b/src/proxy/peer_messages.hpp
@@ -1,7 +1,7 @@
-/// What a proxy sends to control nodes and to other proxies, and what it hears, as values; the codec has the
-/// wire's strings. Configurations, rollouts and endpoints travel in messages of
-/// subscription::ConfigurationCache instead. Pure; any thread. Decoding throws nlohmann::json::exception on a
-/// message of another shape.
+/// Messages that a proxy exchanges with control nodes and other proxies. messages/wire_names.hpp defines the
+/// strings on the wire. Configurations, rollouts and endpoints are exchanged in messages of
+/// subscription::ConfigurationCache instead. No I/O; may be called from any thread. Decoding throws
+/// nlohmann::json::exception on a malformed message.
 #pragma once
 
 #include <map>
@@ -17,10 +17,10 @@
 using Json = nlohmann::json;
 
 namespace wire {
-// Kinds of peers, as they travel in "hello"; older releases know them by these words alone.
+// Values of "kind" in "hello". Older releases know only these strings.
 inline constexpr const char* kProxy = messages::kWireKindProxy;
 inline constexpr const char* kControlNode = messages::kWireKindControlNode;
-// Types of messages ("t").
+// Message types: values of "t".
 inline constexpr const char* kHello = messages::kTypeHello;
 inline constexpr const char* kRoster = messages::kTypeRoster;
 inline constexpr const char* kCounts = messages::kTypeCounts;
@@ -30,35 +30,36 @@
 inline constexpr const char* kFetch = messages::kTypeFetch;
 inline constexpr const char* kConfiguration = messages::kTypeConfiguration;
 inline constexpr const char* kDigest = messages::kTypeDigest;
-// The proxies of a roster: addresses by name.
+// Field of a roster: proxy addresses by name.
 inline constexpr const char* kRosterProxies = messages::kFieldProxies;
-// Of messages and of replies: the sender speaks, or was told, for a majority of the control nodes.
+// Field of messages and replies: the content comes from a control node in contact with a majority.
 inline constexpr const char* kConfirmed = messages::kFieldConfirmed;
 }  // namespace wire
 
-/// The type of any message.
+/// The type of a message.
 const std::string& typeOf(const Json& message);
 
-/// The first message of a proxy on each connection. `life` is drawn at each start.
+/// The first message of a proxy on each connection. `incarnation` is drawn at each start of the process.
 struct ProxyHello {
     std::string name, address;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
 };
 Json encode(const ProxyHello& hello);
 
-/// The kind of the peer that says hello: wire::kProxy or wire::kControlNode.
+/// The kind of the peer that sent `hello`: wire::kProxy or wire::kControlNode.
 std::string peerKindOf(const Json& hello);
-/// Addresses of all control nodes, as one of them says hello.
+/// The addresses of all control nodes, from the "hello" of one.
 std::vector<std::string> controlNodesOf(const Json& hello);
 
 /// The proxies that a control node knows: addresses by name.
 std::map<std::string, std::string> decodeRoster(const Json& roster);
 
-/// Running totals of one rollout at one proxy; `number` rises with each message of its life.
+/// Running totals of one rollout at one proxy. `sequence` increases with each message of an incarnation;
+/// receivers ignore older ones.
 struct OutcomeCounts {
     std::string from;
-    std::uint64_t life = 0, number = 0;
-    std::string rollout;  ///< its key: service, newline, version
+    std::uint64_t incarnation = 0, sequence = 0;
+    std::string rollout;  ///< service and target version, separated by a line feed
     verdict::Totals totals;
 };
 Json encode(const OutcomeCounts& counts);
@@ -72,13 +73,13 @@
 };
 Json encode(const Vote& vote);
 
-/// The connection to a watched proxy has ended.
+/// Reports to control nodes that the connection to a watched proxy has ended.
 struct PeerLost {
     std::string name;
 };
 Json encode(const PeerLost& lost);
 
-/// The version of the configuration that is in force here; 0: none.
+/// Reports the configuration version in force at this proxy; 0: none.
 struct Acknowledgement {
     std::uint32_t version = 0;
 };
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -16,37 +16,39 @@
 
 using namespace transport;
 
-constexpr Nanos kHousekeepingEvery = 250 * kMillisecond;
-constexpr Nanos kAcceptFor = 3000 * kMillisecond;       // after SIGTERM, until clients have been led away
-constexpr Nanos kExitBeforeGrace = 500 * kMillisecond;  // of the grace, kept back
-constexpr Nanos kDrainPollEvery = 30 * kMillisecond;
-constexpr Nanos kStandstillFrom = kSecond;  // between two housekeepings: the machine stood still
-constexpr Nanos kWaitAfterStandstill = 150 * kMillisecond;  // for news
-
-std::uint64_t drawLife() {
+constexpr Nanos kHousekeepingInterval = 250 * kMillisecond;
+// After SIGTERM new connections are accepted for this long, until clients have been routed elsewhere.
+constexpr Nanos kDrainAcceptTime = 3000 * kMillisecond;
+constexpr Nanos kExitMargin = 500 * kMillisecond;  // part of the shutdown grace that is kept for exiting
+constexpr Nanos kDrainPollInterval = 30 * kMillisecond;
+// Gap between two housekeeping runs that counts as a standstill of the process.
+constexpr Nanos kStandstillThreshold = kSecond;
+constexpr Nanos kWaitAfterStandstill = 150 * kMillisecond;  // time for updates from control nodes to arrive
+
+std::uint64_t drawIncarnation() {
     std::random_device draw;
     const auto high = static_cast<std::uint64_t>(draw()) << 32;
     return high | draw();
 }
 
-// The program: it puts connections, clients and hosts around the pure modules.
+// Connects sockets, clients and hosts to the modules without I/O, and owns them all.
 class Proxy {
   public:
     explicit Proxy(config::BootstrapSettings settings)
         : settings_(std::move(settings)),
           seed_(std::random_device{}()),
-          life_(drawLife()),
+          incarnation_(drawIncarnation()),
           router_(settings_, seed_),
           upstream_(io_),
-          httpServer_(io_, router_, upstream_, [this] { return awake(); }),
+          httpServer_(io_, router_, upstream_, [this] { return isStateFresh(); }),
           clientAcceptor_(listen(io_, settings_.httpAddress)),
           readinessAcceptor_(listen(io_, settings_.readinessAddress)),
           peerAcceptor_(listen(io_, settings_.peerAddress(settings_.ip))),
           fleet_(settings_),
-          connections_(io_, settings_, life_,
+          connections_(io_, settings_, incarnation_,
                        {[this](PeerConnection& from, const Json& message) { onMessage(from, message); },
                         [this](PeerConnection& connection) { onClosed(connection); }}),
-          voting_(io_, settings_, life_, router_, fleet_, connections_, [this] { updatePeers(); }),
+          voting_(io_, settings_, incarnation_, router_, fleet_, connections_, [this] { updatePeers(); }),
           feed_(router_, {[this](std::uint32_t version) {
                               connections_.sendToControlNodes(encode(Acknowledgement{version}));
                           },
@@ -64,7 +66,7 @@
                 spawn(io_, "drain", drainAndStop());
             },
             [this] { reload(); });
-        log("proxy_started", {{"seed", seed_}, {"life", life_}});
+        log("proxy_started", {{"seed", seed_}, {"life", incarnation_}});
         connections_.dialSeeds();
         spawn(io_, "peer_connections", connections_.serve(peerAcceptor_));
         spawn(io_, "clients", httpServer_.serve(clientAcceptor_));
@@ -106,7 +108,7 @@
         updatePeers();
     }
 
-    // Connections to other proxies: to those watched, and while a rollout runs to its voters.
+    // Connects to the watched proxies and, while a rollout is running, to its voters.
     void updatePeers() {
         std::set<std::string> addresses;
         for (const auto& name : fleet_.watched()) addresses.insert(fleet_.proxies().at(name));
@@ -118,28 +120,31 @@
         connections_.setPeers(addresses);
     }
 
-    // Neighbours compare what they hold.
+    // Sends the state digest to the watched proxies with each heartbeat (anti-entropy).
     Task<> watchPeers() {
         for (;;) {
             co_await sleep(settings_.heartbeat);
-            const auto packed = PeerConnection::encode(feed_.digest());
+            const auto encoded = PeerConnection::encode(feed_.digest());
             for (const auto& name : fleet_.watched())
                 if (const auto connection = connections_.peer(fleet_.proxies().at(name)))
-                    connection->send(packed);
+                    connection->send(encoded);
         }
     }
 
     // ---- Readiness, timeouts, standstills. ----
 
     bool ready() const { return !stopping_ && router_.ready(); }
-    // After a standstill what is known may be old: requests wait a moment for a control node's word.
-    bool awake() const { return now() - lastHousekeeping_ < kStandstillFrom && now() >= doubtUntil_; }
+    // After a standstill the routing state may be out of date: requests wait briefly for an update from a
+    // control node.
+    bool isStateFresh() const {
+        return now() - lastHousekeeping_ < kStandstillThreshold && now() >= staleUntil_;
+    }
 
     Task<> housekeeping() {
         for (bool wasReady = false;;) {
-            co_await sleep(kHousekeepingEvery);
-            noticeStandstill();
-            if (feed_.isWaitOver()) connections_.sendToControlNodes(feed_.digest());
+            co_await sleep(kHousekeepingInterval);
+            detectStandstill();
+            if (feed_.checkWaitElapsed()) connections_.sendToControlNodes(feed_.digest());
             httpServer_.enforceTimeouts(now());
             upstream_.closeExpired(now());
             if (ready() == wasReady) continue;
@@ -148,10 +153,10 @@
         }
     }
 
-    void noticeStandstill() {
+    void detectStandstill() {
         const Nanos gap = now() - std::exchange(lastHousekeeping_, now());
-        if (gap <= kStandstillFrom) return;
-        doubtUntil_ = now() + kWaitAfterStandstill;
+        if (gap <= kStandstillThreshold) return;
+        staleUntil_ = now() + kWaitAfterStandstill;
         log("standstill_detected", {{"stood_ms", gap / kMillisecond}});
     }
 
@@ -167,15 +172,15 @@
     // ---- Signals. ----
 
     Task<> drainAndStop() {
-        const Nanos end = now() + settings_.shutdownGrace - kExitBeforeGrace;
+        const Nanos end = now() + settings_.shutdownGrace - kExitMargin;
         log("drain_started", {{"open", httpServer_.openConnections()}});
         httpServer_.drain();
-        co_await sleep(std::min(kAcceptFor, settings_.shutdownGrace / 2));
+        co_await sleep(std::min(kDrainAcceptTime, settings_.shutdownGrace / 2));
         ErrorCode ignored;
         clientAcceptor_.close(ignored);
         while (httpServer_.openConnections() > 0 && now() < end) {
             httpServer_.closeIdle();
-            co_await sleep(kDrainPollEvery);
+            co_await sleep(kDrainPollInterval);
         }
         const auto& stats = httpServer_.stats();
         log("proxy_stopped", {{"open", httpServer_.openConnections()},
@@ -191,15 +196,15 @@
             settings_ = config::BootstrapSettings::fromEnvironment();
             connections_.dialSeeds();
             log("settings_reloaded", {});
-        } catch (const std::exception& wrong) {
-            log("settings_rejected", {{"step", "reload"}, {"error", wrong.what()}});
+        } catch (const std::exception& error) {
+            log("settings_rejected", {{"step", "reload"}, {"error", error.what()}});
         }
     }
 
     config::BootstrapSettings settings_;
     asio::io_context io_{1};
     const std::uint32_t seed_;
-    const std::uint64_t life_;  // tells this start from earlier ones
+    const std::uint64_t incarnation_;  // distinguishes this start of the process from earlier ones
     routing::Router router_;
     UpstreamClient upstream_;
     HttpServer httpServer_;
@@ -208,7 +213,7 @@
     PeerConnections connections_;
     RolloutVoting voting_;
     ControlPlaneFeed feed_;
-    Nanos lastHousekeeping_ = now(), doubtUntil_ = 0;
+    Nanos lastHousekeeping_ = now(), staleUntil_ = 0;
     bool stopping_ = false;
 };
 
--- a/src/proxy/proxy.hpp
+++ b/src/proxy/proxy.hpp
@@ -1,12 +1,13 @@
-/// The proxy: the gateway's program on machines that clients reach. It puts links, clients and pods around
-/// the pure rooms; decisions are theirs.
+/// The proxy process: the gateway's data plane on machines that clients connect to. It connects sockets,
+/// clients and hosts to the modules that make the decisions (routing, verdict, subscription), which do no
+/// I/O.
 #pragma once
 
 #include "config/bootstrap_settings.hpp"
 
 namespace lichenlanding::proxy {
 
-/// Serves until SIGTERM has been carried out. Throws on settings or addresses that cannot be used.
-void run(const config::BootstrapSettings& boot);
+/// Runs until a shutdown by SIGTERM has completed. Throws if settings or addresses are invalid.
+void run(const config::BootstrapSettings& settings);
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/readiness_server.cpp
+++ b/src/proxy/readiness_server.cpp
@@ -12,13 +12,13 @@
 using namespace transport;
 namespace http = boost::beast::http;
 
-Task<> probe(tcp::socket socket, std::function<bool()> ready, Nanos within) {
+Task<> serveProbe(tcp::socket socket, std::function<bool()> ready, Nanos timeout) {
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer;
     for (;;) {
         http::request<http::empty_body> request;
         ErrorCode code;
-        stream.expires_after(toDuration(within));
+        stream.expires_after(toDuration(timeout));
         co_await http::async_read(stream, buffer, request, withErrorCode(code));
         if (code) co_return;
         http::response<http::empty_body> response(
@@ -33,17 +33,17 @@
 }  // namespace
 
 Task<> serveReadiness(asio::io_context& io, tcp::acceptor& acceptor, std::function<bool()> ready,
-                      Nanos within) {
+                      Nanos timeout) {
     while (acceptor.is_open()) {
         ErrorCode code;
         auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
-        if (code) {  // for want of descriptors, at once and again: others are to have their turns
+        if (code) {  // out of file descriptors: accept() would fail again at once
             log("accept_failed", {{"step", "readiness"}, {"error", code.message()}});
             co_await sleep(20 * kMillisecond);
             continue;
         }
-        spawn(io, "readiness", probe(std::move(socket), ready, within));
+        spawn(io, "readiness", serveProbe(std::move(socket), ready, timeout));
     }
 }
 
--- a/src/proxy/readiness_server.hpp
+++ b/src/proxy/readiness_server.hpp
@@ -1,12 +1,13 @@
-/// The readiness address: 200 while this proxy is ready, else 503.
+/// The readiness endpoint for health checks: 200 while this proxy is ready, otherwise 503.
 #pragma once
 
 #include "transport/event_loop.hpp"
 
 namespace lichenlanding::proxy {
 
-/// Answers who asks, until the acceptor is closed; both outlive it. Who asks nothing `within` is left.
+/// Serves health checks until the acceptor is closed; `io` and `acceptor` must outlive it. A connection that
+/// sends no complete request within `timeout` is closed.
 transport::Task<> serveReadiness(transport::asio::io_context& io, transport::tcp::acceptor& acceptor,
-                                 std::function<bool()> ready, Nanos within = 10 * transport::kSecond);
+                                 std::function<bool()> ready, Nanos timeout = 10 * transport::kSecond);
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/request_context.hpp
+++ b/src/proxy/request_context.hpp
@@ -1,4 +1,4 @@
-/// One request of a client, from its bytes to its response.
+/// The state of one client request from its receipt to its response.
 #pragma once
 
 #include <boost/beast/http/buffer_body.hpp>
@@ -10,23 +10,25 @@
 
 using RequestParser = http::request_parser<http::buffer_body>;
 
-/// Shared by the connection that reads the request and writes the response, and by the handler in between.
-/// One thread, the proxy's loop.
+/// Shared by the connection, which reads the request and writes the response, and the request's handler. Used
+/// from one thread: the proxy's event loop.
 struct RequestContext {
     Request request;
     Response response;
     bool responseReady = false;      ///< `response` (and `unreadResponse`) may be written
-    bool closesConnection = false;   ///< its connection ends with the response
-    bool omitsResponseBody = false;  ///< HEAD
-    /// For a request body that is too large to hold: its first part is in `request`, the rest comes through
-    /// here.
+    bool closesConnection = false;   ///< the connection is closed after this response
+    bool omitsResponseBody = false;  ///< HEAD: the response has no body
+    /// For a request body that is too large to buffer: the parser that reads the rest; `request` holds the
+    /// first part. Null for others.
     std::shared_ptr<RequestParser> upload;
-    bool uploadStarted = false;  ///< some of the rest has been read: no other attempt is possible
+    bool uploadStarted = false;  ///< part of the rest was read, so that no further attempt is possible
     bool uploadEnded = false;    ///< the relay of the rest has ended
-    std::unique_ptr<UnreadBody> unreadResponse;  ///< the rest of a response that is too large to hold
+    /// The rest of a response that is too large to buffer; null: none.
+    std::unique_ptr<UnreadBody> unreadResponse;
     routing::RoutedRequest routed;
     std::shared_ptr<const config::Configuration> configuration;  ///< keeps `routed.route` alive
-    std::function<void()> onClientLeft;  ///< called where its client leaves before the response; may be empty
+    /// Called if the client disconnects before the response; may be empty.
+    std::function<void()> onClientDisconnected;
 };
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -14,18 +14,18 @@
 
 namespace {
 
-constexpr Nanos kConnectWithin =
-    250 * kMillisecond;  // a host's connection comes up, or the attempt is given up
-constexpr Nanos kCloseWithin =
-    20 * kMillisecond;  // an attempt whose connection was closed here has ended by then
-constexpr Nanos kStartWithin =
-    150 * kMillisecond;  // a request that comes before the proxy is ready waits so long
-constexpr Nanos kStartPollEvery = 10 * kMillisecond;
+// An attempt that has written nothing after this time is aborted.
+constexpr Nanos kConnectTimeout = 250 * kMillisecond;
+// Time for an aborted attempt to end after its connection was closed.
+constexpr Nanos kCloseTimeout = 20 * kMillisecond;
+// How long a request waits for a proxy that is not ready or was at a standstill.
+constexpr Nanos kReadinessWait = 150 * kMillisecond;
+constexpr Nanos kReadinessPollInterval = 10 * kMillisecond;
 constexpr Nanos kRetryAfterUnready = 300 * kMillisecond;
 constexpr Nanos kDefaultClientTimeout = 60 * kSecond;  // for requests without X-Deadline-Ms
 constexpr double kMaxClientTimeoutMs = 6e5;
 
-// Whether the client has closed its side, and all that it sent is read.
+// Whether the client has closed its side and all its bytes were read.
 bool hasPeerClosed(tcp::socket& socket) {
     char byte;
     return ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
@@ -33,8 +33,8 @@
 
 bool isUnsent(const UpstreamRequest& call) { return call.attempt->state() == AttemptState::unsent; }
 
-// How an attempt has ended whose own end cannot be told.
-AttemptEvent endWithoutAnswer(const routing::Attempt& attempt) {
+// The end to report for an attempt whose actual end is unknown.
+AttemptEvent endWithoutResponse(const routing::Attempt& attempt) {
     return attempt.state() == AttemptState::unsent ? AttemptEvent::unreached : AttemptEvent::connectionLost;
 }
 
@@ -54,7 +54,7 @@
         co_return;
     }
     self->prepareRequestHeaders();
-    self->request_->onClientLeft = [weak = std::weak_ptr(self)] {
+    self->request_->onClientDisconnected = [weak = std::weak_ptr(self)] {
         if (const auto handler = weak.lock()) handler->attemptEnded_.notify();
     };
     self->nextHedgeCheck_ = self->request_->routed.deadline;
@@ -69,29 +69,31 @@
 
 // ---- Before the first attempt. ----
 
-// A proxy that has just started, or that stood still, waits a moment for what control nodes are about to tell
-// it.
+// After a start or a standstill, requests wait briefly for updates from control nodes.
 Task<std::optional<LocalReply>> RequestHandler::admit() {
     const auto& router = server_.router;
-    const bool stoodStill = !server_.awake();
-    const Nanos until = now() + kStartWithin;
-    while (!(router.ready() && server_.awake()) && now() < until) co_await sleep(kStartPollEvery);
-    const bool clientLeft = connection_->clientLeft() ||
-                            (stoodStill && !connection_->closed() && hasPeerClosed(connection_->socket));
-    if (clientLeft) co_return LocalReply{LocalReplyDetail::clientGone, kRetryAfterUnready};
+    const bool wasStalled = !server_.isStateFresh();
+    const Nanos until = now() + kReadinessWait;
+    while (!(router.ready() && server_.isStateFresh()) && now() < until)
+        co_await sleep(kReadinessPollInterval);
+    const bool clientDisconnected =
+        connection_->clientDisconnected() ||
+        (wasStalled && !connection_->closed() && hasPeerClosed(connection_->socket));
+    if (clientDisconnected) co_return LocalReply{LocalReplyDetail::clientGone, kRetryAfterUnready};
     co_return route();
 }
 
-// The route and the deadline; a local reply where the request cannot have them.
+// Determines the route and the deadline. Returns a local reply if the request is invalid or has no route.
 std::optional<LocalReply> RequestHandler::route() {
     auto& router = server_.router;
     const auto& request = request_->request;
     if (!router.configuration()) return LocalReply{LocalReplyDetail::noConfiguration, kRetryAfterUnready};
     if (request["X-Attempt-Id"].empty()) return LocalReply{LocalReplyDetail::missingAttemptId};
     Nanos clientTimeout = kDefaultClientTimeout;
-    if (const auto told = view(request["X-Deadline-Ms"]); !told.empty()) {
+    if (const auto deadlineHeader = view(request["X-Deadline-Ms"]); !deadlineHeader.empty()) {
         double millis = 0;
-        if (!parse(told, millis) || !(millis >= 0)) return LocalReply{LocalReplyDetail::invalidDeadline};
+        if (!parse(deadlineHeader, millis) || !(millis >= 0))
+            return LocalReply{LocalReplyDetail::invalidDeadline};
         clientTimeout = static_cast<Nanos>(std::min(millis, kMaxClientTimeoutMs) * 1e6);
     }
     request_->configuration = router.configuration();
@@ -115,17 +117,18 @@
 
 // ---- Attempts: first, retries, hedged requests. ----
 
-// The call whose response is to be passed on; null where there is none and nothing more to try.
+// Returns the call whose response is passed on; null if there is none and no further attempt is possible.
 Task<std::shared_ptr<UpstreamRequest>> RequestHandler::runAttempts() {
     for (;;) {
-        if (attemptWanted_ && !request_->uploadStarted && !connection_->clientLeft()) startNextAttempt();
+        if (attemptWanted_ && !request_->uploadStarted && !connection_->clientDisconnected())
+            startNextAttempt();
         attemptWanted_ = false;
         const bool allEnded =
-            routing::inFlight(request_->routed.attempts) == 0 && endsSeen_ == attempts_.size();
-        if (allEnded) co_return fallback_;  // given up, at once
+            routing::inFlight(request_->routed.attempts) == 0 && endsProcessed_ == attempts_.size();
+        if (allEnded) co_return fallback_;  // the router permits no further attempt
         const bool notified = co_await attemptEnded_.wait(nextWakeUp());
         if (!notified) onTimer(now());
-        if (connection_->clientLeft()) cancelAttempts();
+        if (connection_->clientDisconnected()) cancelAttempts();
         const auto answered = collectEndedAttempts();
         if (answered) co_return answered;
     }
@@ -136,12 +139,12 @@
     const bool hedgeable = !request_->upload;
     auto attempt = server_.router.nextAttempt(routed, now());
     if (!attempt) {
-        // For want of retry budget or of hosts, and maybe not for long.
+        // The retry budget or the available hosts are exhausted, possibly only for a short time.
         if (hedgeable) nextHedgeCheck_ = server_.router.nextHedgeCheckAt(routed, now());
         return;
     }
     auto call = std::make_shared<UpstreamRequest>(std::move(attempt));
-    call->began = now();
+    call->startedAt = now();
     attempts_.push_back({call});
     nextHedgeCheck_ = hedgeable ? server_.router.hedgeAt(routed, now()) : routed.deadline;
     spawn(server_.io, "attempt", runAttempt(shared_from_this(), call));
@@ -149,27 +152,28 @@
 
 Nanos RequestHandler::nextWakeUp() const {
     Nanos until =
-        deadlinePassed_ ? now() + kCloseWithin : std::min(request_->routed.deadline, nextHedgeCheck_);
+        deadlinePassed_ ? now() + kCloseTimeout : std::min(request_->routed.deadline, nextHedgeCheck_);
     for (const auto& [call, _] : attempts_)
-        if (isUnsent(*call) && !call->aborted) until = std::min(until, call->began + kConnectWithin);
+        if (isUnsent(*call) && !call->aborted) until = std::min(until, call->startedAt + kConnectTimeout);
     return until;
 }
 
-// Ends what has no time left, and asks for a hedged request if it is time for one.
+// Aborts attempts that have run out of time, and requests a hedged one when it is due.
 void RequestHandler::onTimer(Nanos now) {
     const auto& routed = request_->routed;
     deadlinePassed_ = now >= routed.deadline;
     for (const auto& [call, _] : attempts_)
-        if (deadlinePassed_ || (isUnsent(*call) && now >= call->began + kConnectWithin)) call->abort();
-    if (deadlinePassed_ && request_->uploadStarted) connection_->close();  // its client may send no more
+        if (deadlinePassed_ || (isUnsent(*call) && now >= call->startedAt + kConnectTimeout)) call->abort();
+    // After the deadline the client may not send the rest of the body either.
+    if (deadlinePassed_ && request_->uploadStarted) connection_->close();
     if (now >= nextHedgeCheck_ && !deadlinePassed_) {
         nextHedgeCheck_ = routed.deadline;
         attemptWanted_ = true;
     }
 }
 
-// The client has left. Ends what is not sent yet, and what may be repeated; what may run only once is let run
-// on: its pod may be at work, and a client that has closed only its own side still gets the response.
+// The client has disconnected. Cancels attempts that are unsent or repeatable. Others continue: the host may
+// be executing the request, and a client that only half-closed its connection still gets the response.
 void RequestHandler::cancelAttempts() {
     const bool repeatable = request_->routed.route->repeatable;
     for (const auto& [call, _] : attempts_)
@@ -177,14 +181,14 @@
     nextHedgeCheck_ = request_->routed.deadline;
 }
 
-// Looks at the attempts that have ended since the last time. An answer that another attempt might better is
-// kept, any other is the one to pass on.
+// Processes the attempts that have ended since the last call. A response that another attempt might improve
+// on becomes the fallback; any other is returned.
 std::shared_ptr<UpstreamRequest> RequestHandler::collectEndedAttempts() {
     const auto& routed = request_->routed;
-    for (auto& [call, endSeen] : attempts_) {
-        if (call->attempt->inFlight() || endSeen) continue;
-        endSeen = true;
-        ++endsSeen_;
+    for (auto& [call, endProcessed] : attempts_) {
+        if (call->attempt->inFlight() || endProcessed) continue;
+        endProcessed = true;
+        ++endsProcessed_;
         if (call->end == AttemptEvent::answered) {
             if (call->response.result_int() < 500 || !routed.route->repeatable) return call;
             fallback_ = call;
@@ -194,14 +198,13 @@
     return nullptr;
 }
 
-// The client has its response. What has not been written is given up; what is with a host may run on, and
-// ends with the request's deadline at the latest.
+// The client has its response. Unsent attempts are aborted; others may run until the request's deadline.
 Task<> RequestHandler::awaitRemainingAttempts() {
     const auto& routed = request_->routed;
     for (const auto& [call, _] : attempts_)
         if (isUnsent(*call)) call->abort();
     while (routing::inFlight(routed.attempts) > 0) {
-        co_await attemptEnded_.wait(std::max(routed.deadline, now() + kCloseWithin));
+        co_await attemptEnded_.wait(std::max(routed.deadline, now() + kCloseTimeout));
         if (now() < routed.deadline) continue;
         for (const auto& [call, _] : attempts_) call->abort();
     }
@@ -215,7 +218,7 @@
     const auto& routed = request->routed;
     const auto& attempt = *call->attempt;
     const auto& host = *attempt.host();
-    // Locals, not temporaries of the awaited call: GCC 12 destroys such ones twice.
+    // Local variables instead of temporaries in the awaited call: GCC 12 destroys such temporaries twice.
     const std::shared_ptr<const Request> sent(request, &request->request);
     BodyWriter writeBody;
     if (request->upload)
@@ -227,7 +230,7 @@
     try {
         co_await server.upstream.call(call, sent, routed.deadline, runsOnce, maxConnections, writeBody);
     } catch (const std::exception& error) {
-        call->end = endWithoutAnswer(attempt);
+        call->end = endWithoutResponse(attempt);
         call->connection.reset();
         call->unread.reset();
         log("attempt_failed",
@@ -237,31 +240,33 @@
     self->attemptEnded_.notify();
 }
 
-// Tells the router what the host has said of its load, and how the attempt has ended.
+// Reports the host's load and the end of the attempt to the router.
 void RequestHandler::reportAttemptEnd(UpstreamRequest& call) {
     auto& router = server_.router;
     auto& attempt = *call.attempt;
     auto& host = *attempt.host();
     const auto& response = call.response;
-    const Nanos at = now();
+    const Nanos endedAt = now();
     if (const auto load = response.find("X-Instance-Load"); load != response.end()) {
         const auto parts = split(view(load->value()), ',');
         int running = 0;
         int waiting = 0;
         if (parts.size() >= 2 && parse(parts[0], running) && parse(parts[1], waiting))
-            router.onLoadReport(host, running, waiting, at);
+            router.onLoadReport(host, running, waiting, endedAt);
     }
     const auto status = static_cast<int>(response.result_int());
-    const Nanos took = at - call.began;
+    const Nanos elapsed = endedAt - call.startedAt;
     try {
-        router.onAttemptEnded(request_->routed, attempt, call.end, status, took, at);
+        router.onAttemptEnded(request_->routed, attempt, call.end, status, elapsed, endedAt);
     } catch (const std::logic_error& error) {
-        // A fault of ours, told by the table. What is not known counts as executed.
+        // A bug in the proxy, found by the attempt's state machine. An attempt of unknown end counts as
+        // executed.
         ++server_.stats.invalidTransitions;
         log("attempt_transition_rejected",
             {{"step", "attempt"}, {"peer", host.endpoint.address}, {"error", error.what()}});
         if (attempt.inFlight())
-            router.onAttemptEnded(request_->routed, attempt, endWithoutAnswer(attempt), status, took, at);
+            router.onAttemptEnded(request_->routed, attempt, endWithoutResponse(attempt), status, elapsed,
+                                  endedAt);
     }
 }
 
--- a/src/proxy/request_handler.hpp
+++ b/src/proxy/request_handler.hpp
@@ -1,4 +1,4 @@
-/// The way of one request through routing and the hosts: its first attempt, retries and hedged requests.
+/// Takes one request through routing to the hosts: first attempt, retries and hedged requests.
 #pragma once
 
 #include <optional>
@@ -7,21 +7,21 @@
 
 namespace lichenlanding::proxy {
 
-/// Asks the router for attempts, runs them and chooses the response; decides nothing that the router decides.
-/// Kept by its own coroutines. One thread, the server's loop.
+/// Requests attempts from the router, runs them and selects the response; the retry and hedging policy is the
+/// router's. Kept alive by its own coroutines. Used from one thread: the server's event loop.
 class RequestHandler : public std::enable_shared_from_this<RequestHandler> {
   public:
     RequestHandler(HttpServerContext& server, std::shared_ptr<ClientConnection> connection,
                    std::shared_ptr<RequestContext> request);
 
-    /// Runs until the response is handed to the connection and every attempt has ended.
+    /// Runs until the response was handed to the connection and every attempt has ended.
     static transport::Task<> handle(std::shared_ptr<RequestHandler> self);
 
   private:
     using UpstreamRequestPtr = std::shared_ptr<UpstreamRequest>;
     struct AttemptRecord {
         UpstreamRequestPtr call;
-        bool endSeen = false;  // the end of the attempt has been looked at
+        bool endProcessed = false;  // collectEndedAttempts() has processed its end
     };
 
     transport::Task<std::optional<routing::LocalReply>> admit();
@@ -46,11 +46,11 @@
     std::shared_ptr<RequestContext> request_;
     transport::AsyncEvent attemptEnded_;
     std::vector<AttemptRecord> attempts_;
-    std::size_t endsSeen_ = 0;     // of `attempts_`
-    bool attemptWanted_ = true;    // another one is to be started, if the router has one
-    bool deadlinePassed_ = false;  // all attempts have been aborted
-    Nanos nextHedgeCheck_ = 0;     // when the router is asked for a hedged request; the deadline: not at all
-    UpstreamRequestPtr fallback_;  // an answer of a host that another attempt might better
+    std::size_t endsProcessed_ = 0;  // number of `attempts_` whose end was processed
+    bool attemptWanted_ = true;      // start another attempt if the router permits one
+    bool deadlinePassed_ = false;    // all attempts have been aborted
+    Nanos nextHedgeCheck_ = 0;  // when to ask the router for a hedged request; the request's deadline: never
+    UpstreamRequestPtr fallback_;  // a host's response that is used if no further attempt yields a better one
 };
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -15,11 +15,11 @@
 }  // namespace
 
 RolloutVoting::RolloutVoting(asio::io_context& io, const config::BootstrapSettings& settings,
-                             std::uint64_t life, routing::Router& router, const FleetMembership& fleet,
+                             std::uint64_t incarnation, routing::Router& router, const FleetMembership& fleet,
                              const PeerConnections& connections, std::function<void()> onEnded)
     : io_(io),
       settings_(settings),
-      life_(life),
+      incarnation_(incarnation),
       router_(router),
       fleet_(fleet),
       connections_(connections),
@@ -34,7 +34,7 @@
     spawn(io_, "outcome_counts", countWhileRunning());
 }
 
-// Totals go out every kCountsEvery, and sooner once failures of a canary have come.
+// Sends totals every kCountsEvery, and earlier when a canary has new failures.
 Task<> RolloutVoting::countWhileRunning() {
     Nanos lastSent = 0;
     std::uint64_t failuresSent = 0;
@@ -60,24 +60,24 @@
 void RolloutVoting::sendCounts(const messages::Rollout& rollout) {
     const auto& totals = router_.totals(rollout.service, rollout.target);
     const auto key = keyOf(rollout);
-    ++sentCounts_;
-    EncodedMessage packed;
+    ++lastSequence_;
+    EncodedMessage encoded;
     for (const auto& voter : fleet_.votersOf(rollout)) {
         if (voter == settings_.name) {
-            pools_[key].take(settings_.name, life_, sentCounts_, totals);
+            pools_[key].take(settings_.name, incarnation_, lastSequence_, totals);
             continue;
         }
         const auto connection = connections_.peer(fleet_.proxies().at(voter));
         if (!connection) continue;
-        if (!packed)
-            packed = PeerConnection::encode(
-                encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
-        connection->send(packed);
+        if (!encoded)
+            encoded = PeerConnection::encode(
+                encode(OutcomeCounts{settings_.name, incarnation_, lastSequence_, key, totals}));
+        connection->send(encoded);
     }
 }
 
 void RolloutVoting::onCounts(OutcomeCounts counts) {
-    pools_[counts.rollout].take(counts.from, counts.life, counts.number, std::move(counts.totals));
+    pools_[counts.rollout].take(counts.from, counts.incarnation, counts.sequence, std::move(counts.totals));
 }
 
 void RolloutVoting::judge(const messages::Rollout& rollout) {
@@ -87,7 +87,7 @@
     auto& next = nextJudgement_[key];
     if (now() < next) return;
     next = now() + verdict::kJudgeEvery;
-    const auto judgement = verdict::judge(pools_[key].sum(), chance_);
+    const auto judgement = verdict::judge(pools_[key].sum(), random_);
     connections_.sendToControlNodes(
         encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, judgement}));
 }
--- a/src/proxy/rollout_voting.hpp
+++ b/src/proxy/rollout_voting.hpp
@@ -1,5 +1,5 @@
-/// A proxy's part in rollouts: it sends its outcomes to the voters and, where it is a voter itself, judges
-/// the sums of all and tells the control nodes. One thread, the proxy's loop.
+/// A proxy's role in rollouts: it sends its outcome counts to the voters and, if it is a voter itself, judges
+/// the pooled counts and sends its vote to the control nodes. Used from one thread: the proxy's event loop.
 #pragma once
 
 #include <map>
@@ -14,14 +14,15 @@
 
 class RolloutVoting {
   public:
-    /// All but `onEnded` outlive this; `onEnded` is called when no rollout is running any more.
+    /// All arguments except `onEnded` must outlive this object. `onEnded` is called when no rollout is
+    /// running any more.
     RolloutVoting(transport::asio::io_context& io, const config::BootstrapSettings& settings,
-                  std::uint64_t life, routing::Router& router, const FleetMembership& fleet,
+                  std::uint64_t incarnation, routing::Router& router, const FleetMembership& fleet,
                   const PeerConnections& connections, std::function<void()> onEnded);
 
-    /// The rollouts have changed: counts and judges as long as one is running.
+    /// Called when the rollouts have changed. Counts and judges as long as one is running.
     void onRollouts();
-    /// Another proxy's outcomes, for this one as a voter.
+    /// Handles the outcome counts of another proxy; this one is a voter.
     void onCounts(OutcomeCounts counts);
 
   private:
@@ -31,15 +32,15 @@
 
     transport::asio::io_context& io_;
     const config::BootstrapSettings& settings_;
-    const std::uint64_t life_;
+    const std::uint64_t incarnation_;
     routing::Router& router_;
     const FleetMembership& fleet_;
     const PeerConnections& connections_;
     std::function<void()> onEnded_;
-    std::uint64_t sentCounts_ = 0;                // the number of the last message of this life
-    std::map<std::string, verdict::Pool> pools_;  // by rollout
-    std::map<std::string, Nanos> nextJudgement_;  // by rollout
-    std::mt19937 chance_{std::random_device{}()};
+    std::uint64_t lastSequence_ = 0;              // of the last counts sent in this incarnation
+    std::map<std::string, verdict::Pool> pools_;  // by rollout key
+    std::map<std::string, Nanos> nextJudgement_;  // by rollout key
+    std::mt19937 random_{std::random_device{}()};
     bool counting_ = false;
 };
 
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -14,23 +14,26 @@
 using namespace transport;
 using routing::ResponseHead, routing::AttemptEvent;
 
-constexpr std::uint64_t kAnswerAtMost = std::uint64_t{1} << 40;  // larger ones pass through in blocks
-constexpr int kSurplusAtMost = 2;  // answers to other requests that are read past
-constexpr std::uint32_t kHeadAtMost = 64 << 10;
-constexpr Nanos kPeerSilence = 3 * kSecond;  // a host that has gone silent ends the connection
+// Effectively unlimited: bodies above kMaxBufferedBody are streamed.
+constexpr std::uint64_t kMaxResponseBytes = std::uint64_t{1} << 40;
+constexpr int kMaxMismatchedResponses = 2;  // skipped while looking for the matching one
+constexpr std::uint32_t kMaxHeaderBytes = 64 << 10;
+// A connection is closed if the host acknowledges no byte for this long.
+constexpr Nanos kPeerTimeout = 3 * kSecond;
 
-// Nothing to read and not closed: the pod has neither ended it nor sent what belongs to no request.
-bool quiet(tcp::socket& socket) {
+// Whether a connection is open and has no input. An idle connection with input carries bytes that belong to
+// no request.
+bool isOpenAndSilent(tcp::socket& socket) {
     char byte;
     const auto read = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return read < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-// What the pod says of how long it keeps an idle connection; 0: nothing.
-Nanos keepAlive(const Response& response) {
-    const auto told = response.find(http::field::keep_alive);
-    if (told == response.end()) return 0;
-    const std::string_view text(told->value().data(), told->value().size());
+// The Keep-Alive timeout that a host has sent; 0: none.
+Nanos keepAliveTimeout(const Response& response) {
+    const auto header = response.find(http::field::keep_alive);
+    if (header == response.end()) return 0;
+    const std::string_view text(header->value().data(), header->value().size());
     const auto at = text.find("timeout=");
     int seconds = 0;
     if (at == std::string_view::npos) return 0;
@@ -39,8 +42,8 @@
     return parse(number, seconds) ? seconds * kSecond : 0;
 }
 
-// Where a body ends is told by a length, by chunks alone, or by having none. Any other coding of the transfer
-// is one that is not undone here.
+// Whether the end of the body is well defined: by a length, by chunked coding, or because there is no body.
+// Other transfer codings are not decoded here.
 bool delimited(const Response& response) {
     const auto status = response.result_int();
     const auto codings = response.equal_range(http::field::transfer_encoding);
@@ -50,14 +53,14 @@
     return response.has_content_length() || status == 204 || status == 304;
 }
 
-ResponseHead headOf(const Response& response, boost::beast::string_view id) {
+ResponseHead responseHeadOf(const Response& response, boost::beast::string_view id) {
     ResponseHead head;
-    const auto theirs = response["X-Attempt-Id"];
+    const auto responseId = response["X-Attempt-Id"];
     head.status = static_cast<int>(response.result_int());
-    // Two ids: the head of one answer in which another's began.
+    // Two ids: a second response started within the head of the first.
     head.id = response.count("X-Attempt-Id") > 1 ? ResponseHead::Id::other
-              : theirs.empty()                   ? ResponseHead::Id::none
-              : theirs == id                     ? ResponseHead::Id::own
+              : responseId.empty()               ? ResponseHead::Id::none
+              : responseId == id                 ? ResponseHead::Id::own
                                                  : ResponseHead::Id::other;
     head.notExecuted = response.count("X-Not-Executed") > 0;
     head.stamped = response.count("X-Response-Seal") > 0;
@@ -66,7 +69,7 @@
     return head;
 }
 
-// Whether what came is no HTTP; a connection that has ended is another matter.
+// Whether the bytes are not valid HTTP. An ended connection does not count.
 bool isUnreadable(const ErrorCode& error) {
     return error.category() == make_error_code(http::error::end_of_stream).category() &&
            error != http::error::end_of_stream && error != http::error::partial_message;
@@ -83,7 +86,7 @@
 
 void UpstreamRequest::cancel() {
     if (!attempt->inFlight() || aborted) return;
-    abortedAs = AttemptEvent::cancelled;
+    abortEvent = AttemptEvent::cancelled;
     end = AttemptEvent::cancelled;
     abort();
 }
@@ -98,10 +101,10 @@
     while (!idle.empty()) {
         auto connection = idle.back();
         const Nanos age = now() - connection->idleSince;
-        // And so are all before it.
+        // All connections before it have been idle for longer.
         if (runsOnce && !routing::safeToReuse(age, connection->idleLimit)) return nullptr;
         idle.pop_back();
-        if (age < connection->idleLimit && quiet(connection->socket)) return connection;
+        if (age < connection->idleLimit && isOpenAndSilent(connection->socket)) return connection;
     }
     return nullptr;
 }
@@ -126,21 +129,21 @@
 
 Task<> UpstreamClient::call(std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request,
                             Nanos deadline, bool runsOnce, int maxConnections, BodyWriter writeBody) {
-    call->began = now();
-    // Unreached: nobody waits for it, and on an idle connection it would be written.
+    call->startedAt = now();
+    // Ends as unreached: nobody waits for it, and with an idle connection it would still be written.
     if (call->aborted) co_return;
     const bool connected = co_await connect(call, runsOnce, maxConnections);
-    if (!connected) co_return;  // unreached
+    if (!connected) co_return;  // ends as unreached
     call->attempt->apply(AttemptEvent::written);
     call->end = AttemptEvent::connectionLost;
     const auto error = co_await writeRequest(call, request, deadline, writeBody);
-    AnswerRead read;
-    if (!error) read = co_await readAnswer(call, request);
-    if (call->aborted && !read.whole) call->end = call->abortedAs;
+    ResponseRead read;
+    if (!error) read = co_await readMatchingResponse(call, request);
+    if (call->aborted && !read.complete) call->end = call->abortEvent;
     release(*call, read);
 }
 
-// An idle connection or a new one. False where there is none to be had.
+// Takes an idle connection or opens a new one. Returns false if neither is possible.
 Task<bool> UpstreamClient::connect(std::shared_ptr<UpstreamRequest> call, bool runsOnce, int maxConnections) {
     const auto& host = call->attempt->host();
     call->connection = takeIdle(*host, runsOnce);
@@ -155,11 +158,11 @@
         call->connection.reset();
         co_return false;
     }
-    configureSocket(connection->socket, kPeerSilence);
+    configureSocket(connection->socket, kPeerTimeout);
     co_return true;
 }
 
-// The head is copied with what this attempt alone says; the body is not.
+// Copies the head in order to add the headers of this attempt; the body is not copied.
 Task<ErrorCode> UpstreamClient::writeRequest(std::shared_ptr<UpstreamRequest> call,
                                              std::shared_ptr<const Request> request, Nanos deadline,
                                              BodyWriter writeBody) {
@@ -179,49 +182,49 @@
     co_return error;
 }
 
-// Answers to other requests are read past, a few of them.
-Task<UpstreamClient::AnswerRead> UpstreamClient::readAnswer(std::shared_ptr<UpstreamRequest> call,
-                                                            std::shared_ptr<const Request> request) {
-    AnswerRead read;
+// Reads the response to this request, skipping a limited number of responses to other requests.
+Task<UpstreamClient::ResponseRead> UpstreamClient::readMatchingResponse(
+    std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request) {
+    ResponseRead read;
     const auto id = (*request)["X-Attempt-Id"];
     const bool headOnly = request->method() == http::verb::head;
-    for (int surplus = 0; surplus <= kSurplusAtMost; ++surplus) {
+    for (int mismatched = 0; mismatched <= kMaxMismatchedResponses; ++mismatched) {
         const auto error = co_await readResponse(call, headOnly);
         if (error) {
             if (isUnreadable(error)) call->end = AttemptEvent::malformed;
             break;
         }
-        const auto judged = routing::judge(headOf(call->response, id));
-        if (!judged && !call->unread) {
-            read.surplus = true;
+        const auto outcome = routing::judge(responseHeadOf(call->response, id));
+        if (!outcome && !call->unread) {
+            read.mismatched = true;
             continue;
         }
-        read.whole = true;
-        call->end = judged.value_or(AttemptEvent::malformed);
+        read.complete = true;
+        call->end = outcome.value_or(AttemptEvent::malformed);
         break;
     }
     co_return read;
 }
 
-// One final response, whole, or its first part with the rest to come.
+// Reads one final response: the whole, or its first part with the rest to follow.
 Task<ErrorCode> UpstreamClient::readResponse(std::shared_ptr<UpstreamRequest> call, bool headOnly) {
     const auto connection = call->connection;
     for (;;) {
         auto parser = std::make_unique<http::response_parser<http::buffer_body>>();
-        parser->header_limit(kHeadAtMost);
-        parser->body_limit(kAnswerAtMost);
+        parser->header_limit(kMaxHeaderBytes);
+        parser->body_limit(kMaxResponseBytes);
         parser->skip(headOnly);
         ErrorCode error;
         co_await http::async_read_header(connection->socket, connection->buffer, *parser,
                                          withErrorCode(error));
         if (error) co_return error;
-        if (parser->get().result_int() / 100 == 1) continue;  // an interim response: no body
+        if (parser->get().result_int() / 100 == 1) continue;  // an interim response has no body
         std::string body;
-        while (!parser->is_done() && body.size() < kHoldAtMost) {
-            const auto held = body.size();
-            body.resize(held + room(*parser));
-            parser->get().body().data = body.data() + held;
-            parser->get().body().size = body.size() - held;
+        while (!parser->is_done() && body.size() < kMaxBufferedBody) {
+            const auto offset = body.size();
+            body.resize(offset + readSize(*parser));
+            parser->get().body().data = body.data() + offset;
+            parser->get().body().size = body.size() - offset;
             co_await http::async_read(connection->socket, connection->buffer, *parser, withErrorCode(error));
             body.resize(body.size() - parser->get().body().size);
             if (error == http::error::need_buffer) error = {};
@@ -236,17 +239,18 @@
     }
 }
 
-// Keeps the connection for another request, closes it, or leaves it to who reads the rest of the head.
-void UpstreamClient::release(UpstreamRequest& call, const AnswerRead& read) {
+// Returns the connection to the pool, closes it, or leaves it open for the reader of the remaining body.
+void UpstreamClient::release(UpstreamRequest& call, const ResponseRead& read) {
     const auto connection = std::move(call.connection);
     call.connection = nullptr;
     if (call.unread && call.end == AttemptEvent::answered) return;
-    const bool reusable =
-        read.whole && !read.surplus && !call.unread && call.end != AttemptEvent::malformed && !call.aborted &&
-        call.response.keep_alive() && connection->buffer.size() == 0 && !connection->host->gone;
+    const bool reusable = read.complete && !read.mismatched && !call.unread &&
+                          call.end != AttemptEvent::malformed && !call.aborted &&
+                          call.response.keep_alive() && connection->buffer.size() == 0 &&
+                          !connection->host->gone;
     call.unread.reset();
     if (reusable) {
-        connection->idleLimit = routing::idleLimit(keepAlive(call.response));
+        connection->idleLimit = routing::idleLimit(keepAliveTimeout(call.response));
         putIdle(connection);
     } else {
         ErrorCode ignored;
--- a/src/proxy/upstream.hpp
+++ b/src/proxy/upstream.hpp
@@ -1,5 +1,6 @@
-/// Connections from a proxy to hosts (pods): a pool of idle ones by host, and one attempt on one of them.
-/// Decides nothing; what an end means is for routing. One thread, the loop of its io_context.
+/// Connections from a proxy to hosts: a pool of idle connections per host, and single attempts on them.
+/// Interpreting how an attempt ended is left to routing. Used from one thread: the event loop of its
+/// io_context.
 #pragma once
 
 #include <boost/beast/http/buffer_body.hpp>
@@ -21,7 +22,7 @@
 using Request = http::request<http::string_body>;
 using Response = http::response<http::string_body>;
 
-/// One connection to a host; counted by the host while it is there.
+/// One connection to a host. While it exists, it is counted in UpstreamHost::connections.
 struct UpstreamConnection {
     UpstreamConnection(asio::io_context& io, std::shared_ptr<routing::UpstreamHost> to)
         : socket(io), host(std::move(to)) {
@@ -33,46 +34,49 @@
     std::shared_ptr<routing::UpstreamHost> host;
     transport::beast::flat_buffer buffer;
     Nanos idleSince = 0;
-    Nanos idleLimit = 0;  ///< it is not used again after so long
+    Nanos idleLimit = 0;  ///< maximum idle time before reuse
 };
 
-/// Bodies up to this are held whole (and can go to a second host); larger ones pass through as they come.
-constexpr std::size_t kHoldAtMost = 256 << 10;
+/// Bodies up to this size are buffered whole, so that a request can be retried at another host; larger ones
+/// are streamed.
+constexpr std::size_t kMaxBufferedBody = 256 << 10;
 
-/// Bytes to offer a parser for what comes next. One more than is left where that is known: with none over,
-/// Beast ends the read before it has seen that the body is whole, and the next read would wait for bytes that
-/// never come.
+/// Number of bytes to offer a parser for the next read. One more than the remaining length, if that is known:
+/// with an exact fit Beast ends the read before it has recognised the end of the body, and the next read
+/// would wait for bytes that never come.
 template <typename Parser>
-std::size_t room(const Parser& parser) {
+std::size_t readSize(const Parser& parser) {
     constexpr std::size_t block = 16 << 10;
     const auto left = parser.content_length_remaining();
     return left && *left <= block ? static_cast<std::size_t>(*left) + 1 : block;
 }
 
-/// The part of a host's answer that has not been read yet.
+/// The part of a host's response that has not been read yet.
 struct UnreadBody {
     std::shared_ptr<UpstreamConnection> connection;
     std::unique_ptr<http::response_parser<http::buffer_body>> parser;
 };
 
-/// Writes what follows the part of a request's body that is held, to the host.
+/// Writes the part of a request body that follows the buffered one to the host.
 using BodyWriter = std::function<transport::Task<transport::ErrorCode>(transport::tcp::socket& host)>;
 
-/// One attempt of a request, on the wire.
+/// One attempt of a request at a host.
 struct UpstreamRequest {
     explicit UpstreamRequest(std::shared_ptr<routing::Attempt> attempt_) : attempt(std::move(attempt_)) {}
     std::shared_ptr<routing::Attempt> attempt;
     std::shared_ptr<UpstreamConnection> connection;
-    routing::AttemptEvent end = routing::AttemptEvent::unreached;  ///< once the call is back
+    /// How the attempt ended; valid once call() has returned.
+    routing::AttemptEvent end = routing::AttemptEvent::unreached;
     Response response;
-    std::unique_ptr<UnreadBody> unread;  ///< of an answer too large to hold
+    std::unique_ptr<UnreadBody> unread;  ///< the rest of a response that is too large to buffer; null: none
     bool aborted = false;
-    routing::AttemptEvent abortedAs = routing::AttemptEvent::timedOut;  ///< how it ends where it is aborted
-    Nanos began = 0;
+    /// The end to report if the attempt is aborted.
+    routing::AttemptEvent abortEvent = routing::AttemptEvent::timedOut;
+    Nanos startedAt = 0;
 
-    /// Its caller has no more time for it: ends it, as timed out (or as unreached where nothing was written).
+    /// Ends the attempt because its time is up: as timed out, or as unreached if nothing was written.
     void abort();
-    /// Nobody waits for its answer any more: ends it, as cancelled.
+    /// Ends the attempt as cancelled, because nobody waits for its response any more.
     void cancel();
 };
 
@@ -80,39 +84,40 @@
   public:
     explicit UpstreamClient(asio::io_context& io) : io_(io) {}
 
-    /// Sends `request` (its connection headers already off) and reads one whole answer. Fills the call, and
-    /// tells its attempt when the first byte is written; the end is for the caller to tell. Throws where the
-    /// host's address cannot be read. `runsOnce`: the request may not run twice, so no connection is used
-    /// that the host may just be closing.
+    /// Sends `request` (its hop-by-hop headers already removed) and reads one complete response. Fills
+    /// `call`, and applies AttemptEvent::written to its attempt before the first byte is written; reporting
+    /// the end is left to the caller. Throws if the host's address is invalid. `runsOnce`: the request must
+    /// not be executed twice, so that no idle connection is reused that the host may be closing at that
+    /// moment.
     transport::Task<> call(std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request,
                            Nanos deadline, bool runsOnce, int maxConnections, BodyWriter writeBody = {});
-    /// Ends idle connections that the host will soon end, and those to hosts that are gone.
+    /// Closes idle connections that have reached their idle limit, and those to hosts that are gone.
     void closeExpired(Nanos now);
 
   private:
     struct HostPool {
         std::shared_ptr<routing::UpstreamHost> host;
-        std::deque<std::shared_ptr<UpstreamConnection>> idle;  // the one used last behind
+        std::deque<std::shared_ptr<UpstreamConnection>> idle;  // most recently used last
     };
-    // How the reading of an answer has ended.
-    struct AnswerRead {
-        bool whole = false;    // a whole answer, or its first part with the rest to come
-        bool surplus = false;  // answers to other requests were read past
+    // How the reading of a response ended.
+    struct ResponseRead {
+        bool complete = false;    // the response, or its first part with the rest to follow, was read
+        bool mismatched = false;  // responses to other requests were skipped
     };
 
     transport::Task<bool> connect(std::shared_ptr<UpstreamRequest> call, bool runsOnce, int maxConnections);
     transport::Task<transport::ErrorCode> writeRequest(std::shared_ptr<UpstreamRequest> call,
                                                        std::shared_ptr<const Request> request, Nanos deadline,
                                                        BodyWriter writeBody);
-    transport::Task<AnswerRead> readAnswer(std::shared_ptr<UpstreamRequest> call,
-                                           std::shared_ptr<const Request> request);
+    transport::Task<ResponseRead> readMatchingResponse(std::shared_ptr<UpstreamRequest> call,
+                                                       std::shared_ptr<const Request> request);
     transport::Task<transport::ErrorCode> readResponse(std::shared_ptr<UpstreamRequest> call, bool headOnly);
-    void release(UpstreamRequest& call, const AnswerRead& read);
+    void release(UpstreamRequest& call, const ResponseRead& read);
     std::shared_ptr<UpstreamConnection> takeIdle(const routing::UpstreamHost& host, bool runsOnce);
     void putIdle(std::shared_ptr<UpstreamConnection> connection);
 
     asio::io_context& io_;
-    std::map<std::string, HostPool> pools_;  // by the host's id
+    std::map<std::string, HostPool> pools_;  // by host id
 };
 
 }  // namespace lichenlanding::proxy
