--- a/tests/proxy/readiness_server.cpp
+++ b/tests/proxy/readiness_server.cpp
@@ -1,4 +1,4 @@
-// The readiness port: probes that say nothing, and a machine that has no descriptor left.
+// The readiness endpoint: probes that send no request, and a process without free file descriptors.
 #include "proxy/readiness_server.hpp"
 
 #include <sys/resource.h>
@@ -21,7 +21,7 @@
   public:
     void tearDown() override { io_.stop(); }
 
-    // Where a connection can't be taken up for want of descriptors, it waits a moment, and goes on later.
+    // If accept() fails because no file descriptor is free, the server pauses and accepts again later.
     void acceptsAgainOnceDescriptorsAreFree() {
         tcp::socket client(io_);
         tcp::socket next(io_);
@@ -35,28 +35,28 @@
         const auto turns = io_.run_for(std::chrono::milliseconds(100));
         CPPUNIT_ASSERT_EQUAL(0, ::setrlimit(RLIMIT_NOFILE, &before));
         CPPUNIT_ASSERT_MESSAGE(std::to_string(turns) + " turns", turns <= 40);
-        std::string got;
+        std::string received;
         asio::write(client, asio::buffer(std::string("GET / HTTP/1.1\r\nConnection: close\r\n\r\n")));
-        asio::async_read(client, asio::dynamic_buffer(got), [](ErrorCode, std::size_t) {});
-        while (got.find("200 OK") == std::string::npos)
+        asio::async_read(client, asio::dynamic_buffer(received), [](ErrorCode, std::size_t) {});
+        while (received.find("200 OK") == std::string::npos)
             CPPUNIT_ASSERT(io_.run_one_for(std::chrono::seconds(5)) > 0);
     }
 
-    // Who asks nothing, or but half a question, is left.
+    // A probe that sends no request, or an incomplete one, is closed.
     void silentProbesAreClosed() {
         spawn(io_, "readiness",
               proxy::serveReadiness(
                   io_, acceptor_, [] { return false; }, 30 * kMillisecond));
-        for (const auto* said : {"", "GET / HT", "GET / HTTP/1.1\r\n\r\n"}) {
+        for (const auto* input : {"", "GET / HT", "GET / HTTP/1.1\r\n\r\n"}) {
             tcp::socket client(io_);
             client.connect(acceptor_.local_endpoint());
-            asio::write(client, asio::buffer(said, std::strlen(said)));
-            std::string got;
+            asio::write(client, asio::buffer(input, std::strlen(input)));
+            std::string received;
             bool ended = false;
-            asio::async_read(client, asio::dynamic_buffer(got),
+            asio::async_read(client, asio::dynamic_buffer(received),
                              [&](ErrorCode, std::size_t) { ended = true; });
-            while (!ended) CPPUNIT_ASSERT_MESSAGE(said, io_.run_one_for(std::chrono::seconds(2)) > 0);
-            CPPUNIT_ASSERT_EQUAL(std::strlen(said) > 8, got.find("503") != std::string::npos);
+            while (!ended) CPPUNIT_ASSERT_MESSAGE(input, io_.run_one_for(std::chrono::seconds(2)) > 0);
+            CPPUNIT_ASSERT_EQUAL(std::strlen(input) > 8, received.find("503") != std::string::npos);
         }
     }
 };
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -1,5 +1,6 @@
-// A proxy's HTTP server on real loopback sockets in one thread: scripted pods, clients that write bytes. What
-// all of them saw becomes a transcript. Nothing waits for time to pass; a stall fails the test.
+// Runs a proxy's HTTP server with scripted pods and raw clients on loopback sockets, all in one thread. What
+// clients and pods received is recorded for a transcript. Tests do not wait for time to pass; a stall fails
+// them.
 #pragma once
 
 #include <boost/asio/read.hpp>
@@ -15,11 +16,10 @@
 using namespace lichenlanding::transport;
 namespace http = boost::beast::http;
 
-// What a pod does with the next request on a connection. `bytes` may hold {id}, put in place of the
-// request's.
+// A pod's reply to the next request on a connection. {id} in `bytes` is replaced by the id of the request.
 struct Reply {
     std::string bytes;
-    enum After { keep, close, reset, hold } after = keep;
+    enum After { keep, close, reset, keepOpen } after = keep;
 };
 
 inline std::string ok(const std::string& body, const std::string& more = "") {
@@ -62,31 +62,32 @@
                (more.empty() ? "" : "," + more) + "]}";
     }
 
-    // A pod that follows `replies`, one a request it gets, over all its connections.
+    // Adds a pod that sends `replies` in order, one per request, over all its connections.
     void pod(const std::string& name, std::deque<Reply> replies) {
         scripts[name] = std::move(replies);
         acceptors[name] = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
         spawn(io, "pod", serve(name));
-        list(name, "127.0.0.1:" + std::to_string(acceptors[name]->local_endpoint().port()));
+        addEndpoint(name, "127.0.0.1:" + std::to_string(acceptors[name]->local_endpoint().port()));
     }
-    void list(const std::string& name, const std::string& address, bool draining = false,
-              const std::string& version = "v1") {
+    void addEndpoint(const std::string& name, const std::string& address, bool draining = false,
+                     const std::string& version = "v1") {
         router->applyEndpointEvent({0, {name, "s", address, "z", version, 2, draining, 0}, false}, now());
     }
 
-    // Sends bytes on a new connection and reads `answers` answers; tells whether it then ends.
-    std::string client(const std::string& bytes, int answers, bool toEnd = false) {
-        std::string seen;
+    // Sends bytes on a new connection and reads `responseCount` responses. With `expectEnd` it also reports
+    // whether the connection then ends.
+    std::string client(const std::string& bytes, int responseCount, bool expectEnd = false) {
+        std::string received;
         bool done = false;
-        spawn(io, "client", talk(bytes, answers, toEnd, seen, done));
+        spawn(io, "client", runClient(bytes, responseCount, expectEnd, received, done));
         until([&] { return done; });
-        return seen;
+        return received;
     }
     template <typename Done>
     void until(Done done) {
         event_loop_fixture::until(io, 100'000, done);
     }
-    void settle() {
+    void pollUntilIdle() {
         while (io.poll() > 0) {
         }
     }
@@ -109,10 +110,10 @@
     std::unique_ptr<tcp::acceptor> clients;
     std::map<std::string, std::unique_ptr<tcp::acceptor>> acceptors;
     std::map<std::string, std::deque<Reply>> scripts;
-    std::vector<std::string> arrivals;  // what pods got, in order
+    std::vector<std::string> arrivals;  // requests received by pods, in order
     std::map<std::string, int> connections;
 
-    std::string podsSaw() const {
+    std::string receivedByPods() const {
         std::string all;
         for (const auto& line : arrivals) all += "  " + line + "\n";
         return all;
@@ -126,10 +127,10 @@
             auto socket = co_await acceptor.async_accept(withErrorCode(code));
             if (code) co_return;
             ++connections[name];
-            spawn(io, "pod connection", hear(name, std::move(socket)));
+            spawn(io, "pod connection", servePodConnection(name, std::move(socket)));
         }
     }
-    Task<> hear(std::string name, tcp::socket socket) {
+    Task<> servePodConnection(std::string name, tcp::socket socket) {
         beast::flat_buffer buffer;
         for (;;) {
             http::request<http::string_body> request;
@@ -163,42 +164,43 @@
                 co_await asio::async_write(socket, asio::buffer(reply.bytes), withErrorCode(code));
             if (reply.after == Reply::reset) socket.set_option(tcp::socket::linger(true, 0));
             if (reply.after == Reply::close || reply.after == Reply::reset) co_return;
-            if (reply.after == Reply::hold) {
+            if (reply.after == Reply::keepOpen) {
                 char byte;
                 co_await socket.async_read_some(asio::buffer(&byte, 1), withErrorCode(code));
                 co_return;
             }
         }
     }
-    Task<> talk(std::string bytes, int answers, bool toEnd, std::string& seen, bool& done) {
+    Task<> runClient(std::string bytes, int responseCount, bool expectEnd, std::string& received,
+                     bool& done) {
         tcp::socket socket(io);
         ErrorCode code;
         co_await socket.async_connect(clients->local_endpoint(), withErrorCode(code));
         co_await asio::async_write(socket, asio::buffer(bytes), withErrorCode(code));
         beast::flat_buffer buffer;
-        for (int answer = 0; answer < answers; ++answer) {
+        for (int number = 0; number < responseCount; ++number) {
             http::response<http::string_body> response;
             co_await http::async_read(socket, buffer, response, withErrorCode(code));
             if (code) {
-                seen += "  ended: " +
-                        std::string(code == http::error::end_of_stream     ? "closed"
-                                    : code == http::error::partial_message ? "cut short"
-                                                                           : code.message()) +
-                        "\n";
+                received += "  ended: " +
+                            std::string(code == http::error::end_of_stream     ? "closed"
+                                        : code == http::error::partial_message ? "cut short"
+                                                                               : code.message()) +
+                            "\n";
                 done = true;
                 co_return;
             }
-            seen += "  " + std::to_string(response.result_int());
+            received += "  " + std::to_string(response.result_int());
             for (const auto& field : response)
-                seen += " [" + std::string(field.name_string()) + ": " + std::string(field.value()) + "]";
+                received += " [" + std::string(field.name_string()) + ": " + std::string(field.value()) + "]";
             auto body = response.body();
             if (!body.empty() && body.back() == '\n') body.pop_back();
-            seen += " " + (body.size() > 60 ? std::to_string(body.size()) + " bytes" : body) + "\n";
+            received += " " + (body.size() > 60 ? std::to_string(body.size()) + " bytes" : body) + "\n";
         }
-        if (toEnd) {
+        if (expectEnd) {
             char byte;
             co_await socket.async_read_some(asio::buffer(&byte, 1), withErrorCode(code));
-            seen += code ? "  then it ends\n" : "  then more comes\n";
+            received += code ? "  then it ends\n" : "  then more comes\n";
         }
         done = true;
     }
--- a/tests/support/http_stand_in.hpp
+++ b/tests/support/http_stand_in.hpp
@@ -1,4 +1,4 @@
-// A stand-in for another party: an evhttp server whose responses a test gives.
+// An HTTP server that stands in for a remote service: an evhttp server whose responses are given by the test.
 #pragma once
 
 #include <algorithm>
@@ -35,7 +35,7 @@
         evbuffer_add(evhttp_request_get_output_buffer(request), body.data(), body.size());
         evhttp_send_reply(request, code, nullptr, nullptr);
     }
-    /// Leaves a request pending, and sees if the client disconnects meanwhile.
+    /// Leaves a request pending and detects if the client disconnects meanwhile.
     void hold(evhttp_request* request) {
         pending.push_back(request);
         auto* stream = evhttp_connection_get_bufferevent(evhttp_request_get_connection(request));
@@ -49,7 +49,7 @@
         const auto requests = std::exchange(pending, {});
         for (auto* request : requests) respond(request, code, body, headers);
     }
-    /// A response that stays open, and chunks of it.
+    /// Starts a response that stays open; sendChunk() sends parts of it.
     void beginStream(evhttp_request* request) { evhttp_send_reply_start(request, 200, nullptr); }
     void sendChunk(evhttp_request* request, const std::string& bytes) {
         lichenlanding::sidecar::LibeventPtr<evbuffer> chunk(evbuffer_new());
@@ -66,7 +66,7 @@
     void closeAll() {
         for (auto* connection : std::vector(connections_)) evhttp_connection_free(connection);
     }
-    /// Of the client.
+    /// The port of the client.
     static std::uint16_t portOf(evhttp_request* request) { return ::portOf(descriptorOf(request), true); }
     static std::string bodyOf(evhttp_request* request) {
         auto* input = evhttp_request_get_input_buffer(request);
@@ -77,7 +77,7 @@
     lichenlanding::sidecar::Address address;
     std::vector<std::string> requestPaths;
     std::vector<evhttp_request*> pending;
-    int closed = 0;  // connections
+    int closed = 0;  // number of closed connections
 
   private:
     static int descriptorOf(evhttp_request* request) {
@@ -98,7 +98,8 @@
         std::erase(connections_, connection);
         std::erase_if(pending, [&](auto* request) {
             auto* of = evhttp_request_get_connection(request);
-            if (!of) evhttp_request_free(request);  // the client has left: the request is ours
+            // Without a connection, because the client has disconnected, the request has to be freed here.
+            if (!of) evhttp_request_free(request);
             return !of || of == connection;
         });
         ++closed;
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string filled(std::string text, const std::string& id) {
+std::string withId(std::string text, const std::string& id) {
     for (auto at = text.find("{id}"); at != std::string::npos; at = text.find("{id}"))
         text.replace(at, 4, id);
     return text;
@@ -36,7 +36,7 @@
 
 std::string ok(const std::string& id, const std::string& more) {
     const auto body = "body of " + id;
-    // The length of what stands for the id once it is filled in: ids here have four letters, as {id} has.
+    // The length counts the placeholder {id}: all ids are four characters long, as it is.
     return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + id + "\r\nX-Response-Seal: seal-" + id +
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
 }
@@ -58,9 +58,9 @@
            "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n" + more + "\r\n" + body;
 }
 
-std::vector<Answer> Client::answers() const {
-    std::vector<Answer> all;
-    std::string_view left(got);
+std::vector<ClientResponse> Client::responses() const {
+    std::vector<ClientResponse> all;
+    std::string_view left(received);
     while (!left.empty()) {
         http::response_parser<http::string_body> parser;
         parser.header_limit(64 << 10);
@@ -72,9 +72,9 @@
             left.remove_prefix(used);
             continue;
         }
-        CPPUNIT_ASSERT_MESSAGE("MIXED: bytes that are no answer: " + std::string(left.substr(0, 80)),
+        CPPUNIT_ASSERT_MESSAGE("bytes received are not a response: " + std::string(left.substr(0, 80)),
                                !code || code == http::error::need_more);
-        Answer one;
+        ClientResponse one;
         if (parser.is_header_done()) {
             const auto& head = parser.get();
             one.status = static_cast<int>(head.result_int());
@@ -100,12 +100,13 @@
     router->setRollouts({}, now());
     router->setEndpointsKnown();
     upstream = std::make_unique<proxy::UpstreamClient>(proxyLoop);
-    httpServer = std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return awake; });
+    httpServer =
+        std::make_unique<proxy::HttpServer>(proxyLoop, *router, *upstream, [this] { return stateIsFresh; });
     clientAcceptor_ = std::make_unique<tcp::acceptor>(transport::listen(proxyLoop, "127.0.0.1:0"));
     spawn(proxyLoop, "clients", httpServer->serve(*clientAcceptor_));
     for (const auto& pod : pods) {
-        acceptors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(worldLoop, "127.0.0.1:0"));
-        spawn(worldLoop, "pod", serve(pod));
+        acceptors_[pod] = std::make_unique<tcp::acceptor>(transport::listen(externalLoop, "127.0.0.1:0"));
+        spawn(externalLoop, "pod", serve(pod));
         listEndpoint(pod);
     }
 }
@@ -114,7 +115,7 @@
     ErrorCode ignored;
     clientAcceptor_->close(ignored);
     for (auto& [_, acceptor] : acceptors_) acceptor->close(ignored);
-    proxyLoop.stop(), worldLoop.stop();
+    proxyLoop.stop(), externalLoop.stop();
 }
 
 void ProxyFixture::listEndpoint(const std::string& pod, bool draining) {
@@ -135,19 +136,19 @@
 }
 
 std::shared_ptr<Client> ProxyFixture::client(const std::string& bytes, const std::vector<std::string>& ids) {
-    auto client = std::make_shared<Client>(worldLoop);
+    auto client = std::make_shared<Client>(externalLoop);
     client->socket.connect(clientAcceptor_->local_endpoint());
     client->socket.set_option(tcp::no_delay(true));
     client->socket.non_blocking(true);
     allClients_.push_back(client);
-    spawn(worldLoop, "client", readAnswers(client));
+    spawn(externalLoop, "client", readResponses(client));
     if (!bytes.empty()) write(client, bytes, ids);
     return client;
 }
 
 void ProxyFixture::write(const std::shared_ptr<Client>& client, const std::string& bytes,
                          const std::vector<std::string>& ids) {
-    client->asked.insert(client->asked.end(), ids.begin(), ids.end());
+    client->requestIds.insert(client->requestIds.end(), ids.begin(), ids.end());
     const auto kept = std::make_shared<std::string>(bytes);
     asio::async_write(client->socket, asio::buffer(*kept), [kept, client](ErrorCode, std::size_t) {});
 }
@@ -158,68 +159,69 @@
     client->socket.close(ignored);
 }
 
-void ProxyFixture::awaitAnswers(const std::shared_ptr<Client>& client, std::size_t answers) {
+void ProxyFixture::awaitResponses(const std::shared_ptr<Client>& client, std::size_t responses) {
     until([&] {
-        const auto all = client->answers();
-        return client->ended || (all.size() >= answers && all[answers - 1].whole);
+        const auto all = client->responses();
+        return client->ended || (all.size() >= responses && all[responses - 1].whole);
     });
 }
 
-Answer ProxyFixture::roundTrip(const std::string& bytes, const std::string& id) {
-    const auto asks = client(bytes, {id});
-    awaitAnswers(asks);
-    awaitQuiet();
-    return asks->answers().at(0);
+ClientResponse ProxyFixture::roundTrip(const std::string& bytes, const std::string& id) {
+    const auto sender = client(bytes, {id});
+    awaitResponses(sender);
+    awaitIdle();
+    return sender->responses().at(0);
 }
 
-void ProxyFixture::awaitQuiet() {
+void ProxyFixture::awaitIdle() {
     until([&] { return inFlight() == 0; });
-    while (proxyLoop.poll() + worldLoop.poll() > 0) {
+    while (proxyLoop.poll() + externalLoop.poll() > 0) {
     }
     checkInvariants();
 }
 
-void ProxyFixture::standStill(Nanos time) {
-    for (const Nanos end = now() + time; now() < end;) worldLoop.run_one_for(std::chrono::milliseconds(1));
+void ProxyFixture::pauseProxy(Nanos time) {
+    for (const Nanos end = now() + time; now() < end;) externalLoop.run_one_for(std::chrono::milliseconds(1));
 }
 
 void ProxyFixture::checkInvariants() const {
-    CPPUNIT_ASSERT_EQUAL_MESSAGE("ends out of order", std::uint64_t{0},
+    CPPUNIT_ASSERT_EQUAL_MESSAGE("invalid transitions of attempts", std::uint64_t{0},
                                  httpServer->stats().invalidTransitions);
-    for (const auto& [id, count] : runs)
-        CPPUNIT_ASSERT_MESSAGE("TWICE: " + id + " was run " + std::to_string(count) + " times",
-                               count <= 1 || repeatable.contains(id));
+    for (const auto& [id, count] : executions)
+        CPPUNIT_ASSERT_MESSAGE(
+            "request " + id + " is not repeatable and was executed " + std::to_string(count) + " times",
+            count <= 1 || repeatable.contains(id));
     for (const auto& client : allClients_) {
-        const auto answers = client->answers();
-        CPPUNIT_ASSERT_MESSAGE("MIXED: an answer where no request waits",
-                               answers.size() <= client->asked.size());
-        for (std::size_t at = 0; at < answers.size(); ++at) {
-            const auto& answer = answers[at];
-            const auto& id = client->asked[at];
-            const auto ran = runs.find(id);
-            CPPUNIT_ASSERT_MESSAGE("MIXED: " + id + " got the answer to " + answer.id,
-                                   answer.id.empty() || answer.id == id);
-            if (answer.status / 100 == 2 && answer.whole)
-                CPPUNIT_ASSERT_MESSAGE("MIXED: " + id + " got " + answer.body.substr(0, 40),
-                                       answer.id == id && answer.body.substr(0, 12) == "body of " + id);
-            for (const int promise : {408, 421, 429, 503})
-                CPPUNIT_ASSERT_MESSAGE("REFUSED: " + id + " was run",
-                                       answer.status != promise || ran == runs.end());
-            if (answer.status == 503) CPPUNIT_ASSERT(!answer.retryAfter.empty());
-            if (!answer.whole)
-                CPPUNIT_ASSERT_MESSAGE("an answer cut short on a connection that goes on: " + id,
+        const auto responses = client->responses();
+        CPPUNIT_ASSERT_MESSAGE("more responses than requests", responses.size() <= client->requestIds.size());
+        for (std::size_t at = 0; at < responses.size(); ++at) {
+            const auto& response = responses[at];
+            const auto& id = client->requestIds[at];
+            const auto execution = executions.find(id);
+            CPPUNIT_ASSERT_MESSAGE("request " + id + " got the response to " + response.id,
+                                   response.id.empty() || response.id == id);
+            if (response.status / 100 == 2 && response.whole)
+                CPPUNIT_ASSERT_MESSAGE(
+                    "request " + id + " got the wrong body: " + response.body.substr(0, 40),
+                    response.id == id && response.body.substr(0, 12) == "body of " + id);
+            for (const int notExecutedStatus : {408, 421, 429, 503})
+                CPPUNIT_ASSERT_MESSAGE("request " + id + " was executed and reported as not executed",
+                                       response.status != notExecutedStatus || execution == executions.end());
+            if (response.status == 503) CPPUNIT_ASSERT(!response.retryAfter.empty());
+            if (!response.whole)
+                CPPUNIT_ASSERT_MESSAGE("truncated response on a connection that stays open: " + id,
                                        client->ended);
         }
     }
 }
 
 void ProxyFixture::release(const std::string& pod, const std::string& id) {
-    auto& bell = held_[pod + id];
-    if (!bell) bell = std::make_shared<AsyncEvent>(worldLoop);
-    bell->notify();
+    auto& releaseEvent = releaseEvents_[pod + id];
+    if (!releaseEvent) releaseEvent = std::make_shared<AsyncEvent>(externalLoop);
+    releaseEvent->notify();
 }
 
-void ProxyFixture::sendUnasked(const std::string& pod, const std::string& bytes) {
+void ProxyFixture::sendUnsolicited(const std::string& pod, const std::string& bytes) {
     for (const auto& weak : sockets_[pod])
         if (const auto socket = weak.lock(); socket && socket->is_open()) {
             ErrorCode ignored;
@@ -227,11 +229,11 @@
         }
 }
 
-Task<> ProxyFixture::readAnswers(std::shared_ptr<Client> client) {
+Task<> ProxyFixture::readResponses(std::shared_ptr<Client> client) {
     char bytes[16384];
     for (ErrorCode code; !code;) {
         const auto count = co_await client->socket.async_read_some(asio::buffer(bytes), withErrorCode(code));
-        client->got.append(bytes, count);
+        client->received.append(bytes, count);
     }
     client->ended = true;
 }
@@ -245,11 +247,11 @@
         socket->set_option(tcp::no_delay(true));
         ++connections[pod];
         sockets_[pod].push_back(socket);
-        spawn(worldLoop, "pod connection", answerRequests(pod, socket));
+        spawn(externalLoop, "pod connection", serveRequests(pod, socket));
     }
 }
 
-Task<> ProxyFixture::answerRequests(std::string pod, std::shared_ptr<tcp::socket> socket) {
+Task<> ProxyFixture::serveRequests(std::string pod, std::shared_ptr<tcp::socket> socket) {
     ++open[pod];
     const auto end = [&](bool reset) {
         ErrorCode ignored;
@@ -261,8 +263,8 @@
     for (;;) {
         ErrorCode code;
         co_await socket->async_wait(tcp::socket::wait_read, withErrorCode(code));
-        if (forgetful.contains(pod)) {
-            // It has forgotten the connection: nothing on it is read, and the peer hears of it only now.
+        if (resettingPods.contains(pod)) {
+            // The pod has lost the connection's state: it reads nothing and resets on the next input.
             if (code || socket->available(code) == 0) co_return end(false);
             co_return end(true);
         }
@@ -272,21 +274,21 @@
         if (code) co_return end(false);
         const std::string id(parser.get()["X-Attempt-Id"]);
         const auto reply = script({pod, id, ++arrivals[id]});
-        runs[id] += reply.runs;
-        if (runs[id] == 0) runs.erase(id);
-        auto& place = held_[pod + id];
-        if (!place) place = std::make_shared<AsyncEvent>(worldLoop);
-        const auto bell = place;
-        if (reply.held) co_await bell->wait(now() + 20 * kSecond);
-        const auto bytes = filled(reply.bytes, id);
+        executions[id] += reply.executes;
+        if (executions[id] == 0) executions.erase(id);
+        auto& entry = releaseEvents_[pod + id];
+        if (!entry) entry = std::make_shared<AsyncEvent>(externalLoop);
+        const auto releaseEvent = entry;
+        if (reply.awaitsRelease) co_await releaseEvent->wait(now() + 20 * kSecond);
+        const auto bytes = withId(reply.bytes, id);
         if (!bytes.empty()) co_await asio::async_write(*socket, asio::buffer(bytes), withErrorCode(code));
-        if (!reply.later.empty()) {
-            co_await bell->wait(now() + 20 * kSecond);
-            co_await asio::async_write(*socket, asio::buffer(reply.later), withErrorCode(code));
+        if (!reply.bytesAfterRelease.empty()) {
+            co_await releaseEvent->wait(now() + 20 * kSecond);
+            co_await asio::async_write(*socket, asio::buffer(reply.bytesAfterRelease), withErrorCode(code));
         }
         if (reply.after == Reply::silent) {
-            char none[1024];
-            while (!code) co_await socket->async_read_some(asio::buffer(none), withErrorCode(code));
+            char discarded[1024];
+            while (!code) co_await socket->async_read_some(asio::buffer(discarded), withErrorCode(code));
         }
         if (code || reply.after != Reply::keep) co_return end(reply.after == Reply::reset);
     }
--- a/tests/support/sockets.hpp
+++ b/tests/support/sockets.hpp
@@ -20,7 +20,7 @@
     return address;
 }
 
-/// The port of a socket's own side, or of the other side.
+/// The local port of a socket, or the remote one.
 inline std::uint16_t portOf(int descriptor, bool remote = false) {
     sockaddr_in address{};
     socklen_t size = sizeof address;
@@ -29,7 +29,7 @@
     return ntohs(address.sin_port);
 }
 
-/// A socket bound to a free port. With a backlog it listens, and accepts nothing by itself.
+/// Returns a socket bound to a free port. With a backlog it listens; the caller accepts connections.
 inline int boundSocket(int type, int backlog = -1) {
     const int descriptor = socket(AF_INET, type, 0);
     const auto address = loopback(0);
@@ -45,7 +45,8 @@
     return port;
 }
 
-/// Listens and never responds; with a backlog of 0 its queue is filled, so that no connection is established.
+/// Listens and never responds. With a backlog of 0 its accept queue is filled, so that no connection can be
+/// established.
 class UnresponsiveListener {
   public:
     explicit UnresponsiveListener(int backlog = 0) : listener_(boundSocket(SOCK_STREAM, backlog)) {
@@ -61,7 +62,8 @@
         for (int filler : fillers_) close(filler);
         close(listener_);
     }
-    /// Accepts a connection, once there is one with bytes on it, and resets it with those unread.
+    /// Accepts a connection once one with input is pending, and resets it without reading. Returns false
+    /// before.
     bool acceptAndReset() {
         if (accepted_ < 0) accepted_ = accept(listener_, nullptr, nullptr);
         char first;
@@ -79,7 +81,7 @@
     std::vector<int> fillers_;
 };
 
-/// A client whose bytes a test writes itself.
+/// A client that sends raw bytes.
 class RawClient {
   public:
     explicit RawClient(const lichenlanding::sidecar::Address& address)
@@ -91,7 +93,7 @@
     void write(const std::string& bytes) {
         REQUIRE(send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0);
     }
-    /// All that has come so far.
+    /// Everything received so far.
     const std::string& read() {
         char bytes[4096];
         ssize_t length = 0;
