--- a/src/proxy/http_headers.cpp
+++ b/src/proxy/http_headers.cpp
@@ -6,8 +6,9 @@
 namespace {
 
 bool isEndToEnd(boost::beast::string_view name) {
-    for (const auto* kept : {"Host", "Content-Length", "Content-Encoding", "X-Attempt-Id", "X-Response-Seal"})
-        if (boost::beast::iequals(name, kept)) return true;
+    for (const auto* endToEndHeader :
+         {"Host", "Content-Length", "Content-Encoding", "X-Attempt-Id", "X-Response-Seal"})
+        if (boost::beast::iequals(name, endToEndHeader)) return true;
     return false;
 }
 
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -172,7 +172,7 @@
     }
 }
 
-// The client has disconnected. Cancels attempts that are unsent or repeatable. Others continue: the host may
+// The client has disconnected. Cancels attempts that are unsent or idempotent. Others continue: the host may
 // be executing the request, and a client that only half-closed its connection still gets the response.
 void RequestHandler::cancelAttempts() {
     const bool repeatable = request_->routed.route->repeatable;
@@ -225,10 +225,10 @@
         writeBody = [self](tcp::socket& to) {
             return relayRequestBody(self->connection_, self->request_, to);
         };
-    const bool runsOnce = !routed.route->repeatable;
+    const bool nonIdempotent = !routed.route->repeatable;
     const int maxConnections = server.router.maxConnections(host);
     try {
-        co_await server.upstream.call(call, sent, routed.deadline, runsOnce, maxConnections, writeBody);
+        co_await server.upstream.call(call, sent, routed.deadline, nonIdempotent, maxConnections, writeBody);
     } catch (const std::exception& error) {
         call->end = endWithoutResponse(attempt);
         call->connection.reset();
--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -94,7 +94,7 @@
 // ---- The pool of idle connections. ----
 
 std::shared_ptr<UpstreamConnection> UpstreamClient::takeIdle(const routing::UpstreamHost& host,
-                                                             bool runsOnce) {
+                                                             bool nonIdempotent) {
     const auto at = pools_.find(host.endpoint.id);
     if (at == pools_.end()) return nullptr;
     auto& idle = at->second.idle;
@@ -102,7 +102,7 @@
         auto connection = idle.back();
         const Nanos age = now() - connection->idleSince;
         // All connections before it have been idle for longer.
-        if (runsOnce && !routing::safeToReuse(age, connection->idleLimit)) return nullptr;
+        if (nonIdempotent && !routing::safeToReuse(age, connection->idleLimit)) return nullptr;
         idle.pop_back();
         if (age < connection->idleLimit && isOpenAndSilent(connection->socket)) return connection;
     }
@@ -128,11 +128,11 @@
 // ---- One attempt. ----
 
 Task<> UpstreamClient::call(std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request,
-                            Nanos deadline, bool runsOnce, int maxConnections, BodyWriter writeBody) {
+                            Nanos deadline, bool nonIdempotent, int maxConnections, BodyWriter writeBody) {
     call->startedAt = now();
     // Ends as unreached: nobody waits for it, and with an idle connection it would still be written.
     if (call->aborted) co_return;
-    const bool connected = co_await connect(call, runsOnce, maxConnections);
+    const bool connected = co_await connect(call, nonIdempotent, maxConnections);
     if (!connected) co_return;  // ends as unreached
     call->attempt->apply(AttemptEvent::written);
     call->end = AttemptEvent::connectionLost;
@@ -144,9 +144,10 @@
 }
 
 // Takes an idle connection or opens a new one. Returns false if neither is possible.
-Task<bool> UpstreamClient::connect(std::shared_ptr<UpstreamRequest> call, bool runsOnce, int maxConnections) {
+Task<bool> UpstreamClient::connect(std::shared_ptr<UpstreamRequest> call, bool nonIdempotent,
+                                   int maxConnections) {
     const auto& host = call->attempt->host();
-    call->connection = takeIdle(*host, runsOnce);
+    call->connection = takeIdle(*host, nonIdempotent);
     if (call->connection) co_return true;
     if (host->connections >= maxConnections) co_return false;
     const auto connection = std::make_shared<UpstreamConnection>(io_, host);
--- a/src/proxy/upstream.hpp
+++ b/src/proxy/upstream.hpp
@@ -86,11 +86,11 @@
 
     /// Sends `request` (its hop-by-hop headers already removed) and reads one complete response. Fills
     /// `call`, and applies AttemptEvent::written to its attempt before the first byte is written; reporting
-    /// the end is left to the caller. Throws if the host's address is invalid. `runsOnce`: the request must
-    /// not be executed twice, so that no idle connection is reused that the host may be closing at that
+    /// the end is left to the caller. Throws if the host's address is invalid. `nonIdempotent`: the request
+    /// must not be executed twice, so that no idle connection is reused that the host may be closing at that
     /// moment.
     transport::Task<> call(std::shared_ptr<UpstreamRequest> call, std::shared_ptr<const Request> request,
-                           Nanos deadline, bool runsOnce, int maxConnections, BodyWriter writeBody = {});
+                           Nanos deadline, bool nonIdempotent, int maxConnections, BodyWriter writeBody = {});
     /// Closes idle connections that have reached their idle limit, and those to hosts that are gone.
     void closeExpired(Nanos now);
 
@@ -105,7 +105,8 @@
         bool mismatched = false;  // responses to other requests were skipped
     };
 
-    transport::Task<bool> connect(std::shared_ptr<UpstreamRequest> call, bool runsOnce, int maxConnections);
+    transport::Task<bool> connect(std::shared_ptr<UpstreamRequest> call, bool nonIdempotent,
+                                  int maxConnections);
     transport::Task<transport::ErrorCode> writeRequest(std::shared_ptr<UpstreamRequest> call,
                                                        std::shared_ptr<const Request> request, Nanos deadline,
                                                        BodyWriter writeBody);
@@ -113,7 +114,7 @@
                                                        std::shared_ptr<const Request> request);
     transport::Task<transport::ErrorCode> readResponse(std::shared_ptr<UpstreamRequest> call, bool headOnly);
     void release(UpstreamRequest& call, const ResponseRead& read);
-    std::shared_ptr<UpstreamConnection> takeIdle(const routing::UpstreamHost& host, bool runsOnce);
+    std::shared_ptr<UpstreamConnection> takeIdle(const routing::UpstreamHost& host, bool nonIdempotent);
     void putIdle(std::shared_ptr<UpstreamConnection> connection);
 
     asio::io_context& io_;
--- a/tests/proxy/attempts.cpp
+++ b/tests/proxy/attempts.cpp
@@ -1,5 +1,5 @@
 // Requests through a complete HTTP server to pods that drop connections, fall silent, or respond late, twice
-// or to another request, at every byte of a response. Guards against executing a non-repeatable request
+// or to another request, at every byte of a response. Guards against executing a non-idempotent request
 // twice, delivering a response to the wrong client, and reporting an executed request as not executed.
 // ProxyFixture::checkInvariants() checks this after every exchange.
 #include "support/scripted_pods.hpp"
@@ -57,7 +57,7 @@
         });
         for (; cut <= whole.size(); ++cut) {
             const auto id = idOf(static_cast<int>(cut));
-            if (!write) fixture.repeatable.insert(id);
+            if (!write) fixture.idempotent.insert(id);
             const auto client = fixture.client(write ? post(id) : get(id), {id});
             fixture.awaitResponses(client);
             fixture.awaitIdle();
@@ -66,9 +66,10 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(where, cut == whole.size() || !write ? 200 : 502, response.status);
             // A read may be hedged before its complete response arrives: the hedging delay follows the quick
             // responses.
-            const int most = write ? 1 : 2;
-            const int least = write || cut == whole.size() ? 1 : 2;
-            CPPUNIT_ASSERT_MESSAGE(where, fixture.executions[id] >= least && fixture.executions[id] <= most);
+            const int maxExecutions = write ? 1 : 2;
+            const int minExecutions = write || cut == whole.size() ? 1 : 2;
+            CPPUNIT_ASSERT_MESSAGE(
+                where, fixture.executions[id] >= minExecutions && fixture.executions[id] <= maxExecutions);
             ProxyFixture::disconnect(client, false);
         }
     }
@@ -94,7 +95,7 @@
                 std::vector<std::shared_ptr<Client>> clients;
                 for (auto cut = from; cut < std::min(from + 40, whole.size()); ++cut) {
                     const auto id = idOf(static_cast<int>(cut));
-                    if (!write) fixture.repeatable.insert(id);
+                    if (!write) fixture.idempotent.insert(id);
                     clients.push_back(fixture.client(write ? post(id, 60) : get(id, 60), {id}));
                 }
                 for (const auto& client : clients) fixture.awaitResponses(client);
@@ -114,13 +115,13 @@
         const auto whole = ok();
         const auto head = whole.find("\r\n\r\n") + 4;
         const auto length = whole.find("Content-Length: ") + 16;  // a wrong length can't be detected
-        for (const char wrong : {'\x01', ' ', '\n', '9'}) {
+        for (const char replacement : {'\x01', ' ', '\n', '9'}) {
             std::size_t at = 0;
             ProxyFixture fixture([&](const Arrival&) {
                 auto bytes = whole;
                 for (auto brace = bytes.find("{id}"); brace != std::string::npos; brace = bytes.find("{id}"))
                     bytes.replace(brace, 4, idOf(static_cast<int>(at)));
-                bytes[at] = wrong;
+                bytes[at] = replacement;
                 return Reply{bytes, Reply::close};
             });
             for (; at < head; ++at) {
@@ -157,8 +158,8 @@
             CPPUNIT_ASSERT_EQUAL(1, fixture.executions[id]);
             // Truncated within the reason phrase, which the next response's status line then continues: the
             // result is a valid response to this request.
-            const bool holds = cut == 0 || cut == surplus.size() || (cut >= 13 && cut <= 15);
-            CPPUNIT_ASSERT_EQUAL_MESSAGE("cut at " + std::to_string(cut), holds ? 200 : 502, status);
+            const bool valid = cut == 0 || cut == surplus.size() || (cut >= 13 && cut <= 15);
+            CPPUNIT_ASSERT_EQUAL_MESSAGE("cut at " + std::to_string(cut), valid ? 200 : 502, status);
         }
         for (std::size_t cut = 1; cut <= surplus.size(); cut += 7) {
             ProxyFixture fixture(always({ok()}), {"A"});
@@ -175,9 +176,9 @@
         for (const auto* ids : {"X-Attempt-Id: else\r\n", "X-Attempt-Id: {id}\r\nX-Attempt-Id: else\r\n"})
             for (const int status : {200, 404, 429, 500, 503})
                 for (const std::size_t size : {0U, 5U, 300'000U})
-                    for (const auto* word : {"", "X-Not-Executed: 1\r\n"}) {
+                    for (const auto* notExecutedHeader : {"", "X-Not-Executed: 1\r\n"}) {
                         const auto bytes = "HTTP/1.1 " + std::to_string(status) + " X\r\n" + ids +
-                                           "X-Response-Seal: s\r\n" + word +
+                                           "X-Response-Seal: s\r\n" + notExecutedHeader +
                                            "Content-Length: " + std::to_string(size) + "\r\n\r\n" +
                                            std::string(size, 'b');
                         ProxyFixture fixture(always({bytes, Reply::close}));
@@ -221,14 +222,14 @@
     void idleConnectionsResetByThePod() {
         for (const bool write : {true, false}) {
             ProxyFixture fixture(always({ok()}), {"A"});
-            fixture.repeatable.insert("next");
+            fixture.idempotent.insert("next");
             fixture.roundTrip(post("frst"), "frst");
             fixture.resettingPods.insert("A");
             CPPUNIT_ASSERT_EQUAL(502, fixture.roundTrip(write ? post("next") : get("next"), "next").status);
             CPPUNIT_ASSERT_EQUAL(0, fixture.arrivals["next"]);
         }
         ProxyFixture fixture(always({ok()}));
-        fixture.repeatable.insert("next");
+        fixture.idempotent.insert("next");
         fixture.resettingPods.insert("A");
         fixture.router->hosts().at("B")->relativeLatency = 9;  // makes A the first choice
         CPPUNIT_ASSERT_EQUAL(200, fixture.roundTrip(get("next"), "next").status);
@@ -256,9 +257,9 @@
         for (const bool reset : {true, false})
             for (int at = 0; at < 10; ++at) {
                 const auto id = "h" + idOf(number++).substr(1);
-                const auto gone = fixture.client(post(id), {id});
+                const auto disconnected = fixture.client(post(id), {id});
                 fixture.until([&] { return fixture.arrivals[id] == 1; });
-                ProxyFixture::disconnect(gone, reset);
+                ProxyFixture::disconnect(disconnected, reset);
                 const auto next = "n" + id.substr(1);
                 const auto client = fixture.client(post(next), {next});
                 fixture.release("A", id), fixture.release("B", id);
@@ -286,7 +287,7 @@
                 },
                 {"A", "B", "C", "D"});
             const std::vector<std::string> ids{"one1", "two2", "thr3", "four"};
-            fixture.repeatable.insert(ids.begin(), ids.end());
+            fixture.idempotent.insert(ids.begin(), ids.end());
             std::string all;
             for (const auto& id : ids) all += get(id);
             const auto client = fixture.client(all, ids);
@@ -295,10 +296,10 @@
                 for (const auto& id : ids) arrived += fixture.arrivals[id];
                 return arrived == 4;
             });
-            auto left = ids;
+            auto remaining = ids;
             for (unsigned from = order, size = 4; size > 0; from /= size--) {
-                const auto id = left[from % size];
-                left.erase(left.begin() + from % size);
+                const auto id = remaining[from % size];
+                remaining.erase(remaining.begin() + from % size);
                 for (const auto* pod : {"A", "B", "C", "D"}) fixture.release(pod, id);
                 while (fixture.proxyLoop.poll() + fixture.externalLoop.poll() > 0) {
                 }
@@ -320,7 +321,7 @@
                     reply = late ? Reply{ok(), Reply::keep, true, true} : Reply{"", Reply::silent};
                 return reply;
             });
-            fixture.repeatable = {"slow"};
+            fixture.idempotent = {"slow"};
             const auto client = fixture.client(get("slow", 80, "", "/quick/1"), {"slow"});
             fixture.awaitResponses(client);
             CPPUNIT_ASSERT_EQUAL(200, client->responses().at(0).status);
@@ -345,7 +346,7 @@
                 return Reply{ok()};
             },
             {"A", "B"}, 0);
-        fixture.repeatable = {"slow"};
+        fixture.idempotent = {"slow"};
         const auto client = fixture.client(get("slow", 1500, "", "/quick/1"), {"slow"});
         fixture.until([&] { return fixture.arrivals["slow"] == 1; });
         const Nanos waitUntil = now() + 40 * kMillisecond;  // the hedged request was due after 12 ms
@@ -373,15 +374,15 @@
             std::make_shared<proxy::UpstreamRequest>(fixture.router->nextAttempt(routed, now()));
         const auto request = std::make_shared<proxy::Request>(proxy::http::verb::post, "/write/1", 11);
         request->set("X-Attempt-Id", "left");
-        bool back = false;
-        const auto send = [](ProxyFixture& in, std::shared_ptr<proxy::UpstreamRequest> sent,
-                             std::shared_ptr<proxy::Request> its, bool& done) -> Task<> {
-            co_await in.upstream->call(sent, its, now() + kSecond, true, 2);
+        bool returned = false;
+        const auto send = [](ProxyFixture& in, std::shared_ptr<proxy::UpstreamRequest> sentCall,
+                             std::shared_ptr<proxy::Request> requestToSend, bool& done) -> Task<> {
+            co_await in.upstream->call(sentCall, requestToSend, now() + kSecond, true, 2);
             done = true;
         };
         call->abort();
-        spawn(fixture.proxyLoop, "send", send(fixture, call, request, back));
-        fixture.until([&] { return back; });
+        spawn(fixture.proxyLoop, "send", send(fixture, call, request, returned));
+        fixture.until([&] { return returned; });
         CPPUNIT_ASSERT_EQUAL(0, fixture.arrivals["left"]);
         CPPUNIT_ASSERT(call->attempt->state() == routing::AttemptState::unsent);
         fixture.router->onAttemptEnded(routed, *call->attempt, call->end, 0, 0, now());
@@ -414,11 +415,12 @@
         ProxyFixture fixture([](const Arrival& arrival) {
             return Reply{ok(), Reply::keep, true, arrival.id == "frst"};
         });
-        fixture.repeatable.insert("frst");
+        fixture.idempotent.insert("frst");
         const auto body = std::string("whole");
-        const auto asking = post("next", 4000, body, "Expect: 100-continue\r\n");
+        const auto expectingRequest = post("next", 4000, body, "Expect: 100-continue\r\n");
         const auto client =
-            fixture.client(get("frst") + asking.substr(0, asking.size() - body.size()), {"frst", "next"});
+            fixture.client(get("frst") + expectingRequest.substr(0, expectingRequest.size() - body.size()),
+                           {"frst", "next"});
         fixture.until([&] { return fixture.arrivals["frst"] == 1; });
         CPPUNIT_ASSERT(client->received.empty());
         fixture.release("A", "frst"), fixture.release("B", "frst");
@@ -463,12 +465,12 @@
             CPPUNIT_ASSERT_EQUAL(0, fixture.executions["once"]);
         }
         // More than the socket buffers hold, so that the reset arrives during the proxy's write.
-        const auto longHead = post("once", 4000, std::string(8'000'000, 'b'));
+        const auto largeUpload = post("once", 4000, std::string(8'000'000, 'b'));
         for (const auto* pods : {"A", "AB"}) {
             ProxyFixture fixture(
                 always({ok()}), pods[1] ? std::vector<std::string>{"A", "B"} : std::vector<std::string>{"A"});
             fixture.resettingPods = {"A", "B"};
-            CPPUNIT_ASSERT_EQUAL(502, fixture.roundTrip(longHead, "once").status);
+            CPPUNIT_ASSERT_EQUAL(502, fixture.roundTrip(largeUpload, "once").status);
             CPPUNIT_ASSERT_EQUAL(0, fixture.arrivals["once"]);
         }
     }
@@ -568,10 +570,11 @@
                         std::string(300'000, 'b'),
                     Reply::silent}));
         const auto client = fixture.client(post("once", 20000), {"once"});
-        const auto gone = fixture.client(post("gone", 20000), {"gone"});
+        const auto disconnected = fixture.client(post("gone", 20000), {"gone"});
         const auto began = now();
-        fixture.until([&] { return client->received.size() > 200'000 && gone->received.size() > 200'000; });
-        ProxyFixture::disconnect(gone, false);
+        fixture.until(
+            [&] { return client->received.size() > 200'000 && disconnected->received.size() > 200'000; });
+        ProxyFixture::disconnect(disconnected, false);
         fixture.httpServer->enforceTimeouts(began + 19'900 * kMillisecond);
         while (fixture.proxyLoop.poll() + fixture.externalLoop.poll() > 0) {
         }
@@ -591,7 +594,7 @@
             if (arrival.id == "mute") return Reply{"", Reply::silent};
             return Reply{ok(), Reply::keep, true, true};
         });
-        fixture.repeatable = {"read"};
+        fixture.idempotent = {"read"};
         const std::vector<std::string> ids{"late", "cut1", "turn", "mute", "read"};
         std::map<std::string, std::shared_ptr<Client>> clients;
         for (const auto& id : ids)
@@ -638,8 +641,8 @@
             },
             {"A", "B", "C", "D"});
         const auto one = fixture.client(post("one1"), {"one1"});
-        const auto ahead = fixture.client(get("two2") + get("thr3"), {"two2", "thr3"});
-        fixture.repeatable = {"two2", "thr3", "behd"};
+        const auto pipelined = fixture.client(get("two2") + get("thr3"), {"two2", "thr3"});
+        fixture.idempotent = {"two2", "thr3", "behd"};
         fixture.until([&] {
             return fixture.arrivals["one1"] + fixture.arrivals["two2"] + fixture.arrivals["thr3"] == 3;
         });
@@ -656,11 +659,11 @@
         fixture.pauseProxy(2 * kMillisecond);
         for (const auto* id : {"two2", "six6", "four", "thr3", "five", "one1"})
             for (const auto* pod : {"A", "B", "C", "D"}) fixture.release(pod, id);
-        fixture.until([&] { return one->ended && ahead->ended; });
+        fixture.until([&] { return one->ended && pipelined->ended; });
         fixture.awaitIdle();
         CPPUNIT_ASSERT_EQUAL(std::size_t{4}, one->responses().size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, ahead->responses().size());
-        for (const auto& client : {one, ahead}) {
+        CPPUNIT_ASSERT_EQUAL(std::size_t{2}, pipelined->responses().size());
+        for (const auto& client : {one, pipelined}) {
             const auto responses = client->responses();
             for (const auto& response : responses) {
                 CPPUNIT_ASSERT_EQUAL(200, response.status);
@@ -669,12 +672,12 @@
         }
         CPPUNIT_ASSERT_EQUAL(0, fixture.arrivals["sevn"]);
         for (const auto* pod : {"A", "B", "C", "D"}) fixture.listEndpoint(pod, true);
-        const auto resting = fixture.client(post("last"), {"last"});
-        fixture.until([&] { return resting->ended; });
+        const auto lateClient = fixture.client(post("last"), {"last"});
+        fixture.until([&] { return lateClient->ended; });
         fixture.awaitIdle();
-        const auto refused = resting->responses().at(0);
-        CPPUNIT_ASSERT_EQUAL(503, refused.status);
-        CPPUNIT_ASSERT(refused.close && !refused.retryAfter.empty());
+        const auto rejection = lateClient->responses().at(0);
+        CPPUNIT_ASSERT_EQUAL(503, rejection.status);
+        CPPUNIT_ASSERT(rejection.close && !rejection.retryAfter.empty());
         fixture.httpServer->enforceTimeouts(
             now() + kSecond);  // the clients don't close: the linger timeout has passed
         fixture.until([&] { return fixture.httpServer->openConnections() == 0; });
@@ -683,13 +686,13 @@
     // A client sends more requests while the last response of a draining connection is in transit. They must
     // not be executed: the client treats them as not received and resends them elsewhere.
     void requestsAfterTheLastResponseAreNotExecuted() {
-        const std::string half(300'000, 'b');
+        const std::string halfBody(300'000, 'b');
         ProxyFixture fixture([&](const Arrival&) {
             Reply reply{
                 "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Response-Seal: s\r\nContent-Length: "
                 "600012\r\n\r\nbody of {id}" +
-                half};
-            reply.bytesAfterRelease = half;
+                halfBody};
+            reply.bytesAfterRelease = halfBody;
             return reply;
         });
         const auto client = fixture.client(post("long"), {"long"});
--- a/tests/proxy/client_disconnect.cpp
+++ b/tests/proxy/client_disconnect.cpp
@@ -1,7 +1,7 @@
-// Clients that disconnect before their response, in every state of a connection: attempts at pods that are
-// repeatable are cancelled, others run to completion, and no further attempt is sent. Guards against work for
-// nobody and connections that stay open at pods. The pods are silent, so that only a cancellation closes
-// their connections; the proxy's deadlines are longer than the fixture's stall limit, which fails the test.
+// Clients that disconnect before their response, in every state of a connection: idempotent attempts at pods
+// are cancelled, others run to completion, and no further attempt is sent. Guards against work for nobody and
+// connections that stay open at pods. The pods are silent, so that only a cancellation closes their
+// connections; the proxy's deadlines are longer than the fixture's stall limit, which fails the test.
 #include "support/scripted_pods.hpp"
 
 using namespace scripted;
@@ -36,7 +36,7 @@
 
 class ClientDisconnectTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(ClientDisconnectTest);
-    CPPUNIT_TEST(repeatableRequestIsCancelledAtThePod);
+    CPPUNIT_TEST(idempotentRequestIsCancelledAtThePod);
     CPPUNIT_TEST(disconnectAfterTheLastRequest);
     CPPUNIT_TEST(disconnectWhileDraining);
     CPPUNIT_TEST(disconnectWithAFullPipeline);
@@ -45,7 +45,7 @@
     CPPUNIT_TEST(noRetryAfterDisconnect);
     CPPUNIT_TEST(noHedgedRequestAfterDisconnect);
     CPPUNIT_TEST(hedgedRequestIsCancelledAtBothPods);
-    CPPUNIT_TEST(unrepeatableRequestIsNotCancelled);
+    CPPUNIT_TEST(nonIdempotentRequestIsNotCancelled);
     CPPUNIT_TEST(seriesOfDisconnectingClients);
     CPPUNIT_TEST_SUITE_END();
 
@@ -63,10 +63,10 @@
     }
 
   public:
-    void repeatableRequestIsCancelledAtThePod() {
+    void idempotentRequestIsCancelledAtThePod() {
         for (const bool reset : {true, false}) {
             ProxyFixture fixture(silentPods());
-            fixture.repeatable.insert("read");
+            fixture.idempotent.insert("read");
             disconnectAndAwaitCancellation(fixture, read("read"), 1, reset);
         }
     }
@@ -74,7 +74,7 @@
     void disconnectAfterTheLastRequest() {
         for (const bool reset : {true, false}) {
             ProxyFixture fixture(silentPods());
-            fixture.repeatable.insert("last");
+            fixture.idempotent.insert("last");
             disconnectAndAwaitCancellation(fixture, read("last", "Connection: close\r\n"), 1, reset);
         }
     }
@@ -82,7 +82,7 @@
     void disconnectWhileDraining() {
         for (const bool reset : {true, false}) {
             ProxyFixture fixture(silentPods());
-            fixture.repeatable.insert("late");
+            fixture.idempotent.insert("late");
             fixture.httpServer->drain();
             fixture.httpServer->closeIdle();
             disconnectAndAwaitCancellation(fixture, read("late"), 1, reset);
@@ -97,7 +97,7 @@
             std::string bytes;
             for (int number = 0; number < kReadAhead + 8; ++number) {
                 const auto id = "p" + std::to_string(100 + number);
-                fixture.repeatable.insert(id);
+                fixture.idempotent.insert(id);
                 bytes += read(id);
             }
             disconnectAndAwaitCancellation(fixture, bytes, kReadAhead, reset);
@@ -107,7 +107,7 @@
     void disconnectAfterAnUpload() {
         for (const bool reset : {true, false}) {
             ProxyFixture fixture(silentPods());
-            fixture.repeatable.insert("long");
+            fixture.idempotent.insert("long");
             disconnectAndAwaitCancellation(fixture, upload("long", 600'000), 1, reset);
         }
     }
@@ -124,7 +124,7 @@
                         part,
                     Reply::silent};
             });
-            fixture.repeatable.insert("some");
+            fixture.idempotent.insert("some");
             const auto client = fixture.client(read("some"));
             fixture.until([&] { return client->received.size() > kRelayed; });
             ProxyFixture::disconnect(client, reset);
@@ -153,7 +153,7 @@
     // afterwards.
     void noHedgedRequestAfterDisconnect() {
         ProxyFixture fixture(silentPods(), {"A", "B"}, 0);
-        fixture.repeatable.insert("slow");
+        fixture.idempotent.insert("slow");
         const auto client = fixture.client(get("slow", kDeadlineMillis, "", "/quick/1"));
         fixture.until([&] { return fixture.arrivals["slow"] == 1; });
         ProxyFixture::disconnect(client, false);
@@ -161,7 +161,7 @@
         fixture.script = [](const Arrival&) { return Reply{ok()}; };
         for (int number = 0; number < 60; ++number) {
             const auto id = "b" + std::to_string(100 + number);
-            fixture.repeatable.insert(id);
+            fixture.idempotent.insert(id);
             const auto other = fixture.client(read(id), {id});
             fixture.awaitResponses(other);
             CPPUNIT_ASSERT_EQUAL(200, other->responses().at(0).status);
@@ -174,7 +174,7 @@
     void hedgedRequestIsCancelledAtBothPods() {
         for (const bool reset : {true, false}) {
             ProxyFixture fixture(silentPods());
-            fixture.repeatable.insert("both");
+            fixture.idempotent.insert("both");
             const auto client = fixture.client(get("both", kDeadlineMillis, "", "/quick/1"));
             fixture.until([&] { return fixture.arrivals["both"] == 2; });
             ProxyFixture::disconnect(client, reset);
@@ -184,7 +184,7 @@
     }
 
     // The pod may be executing it, and closing the connection would leave unknown whether it was executed.
-    void unrepeatableRequestIsNotCancelled() {
+    void nonIdempotentRequestIsNotCancelled() {
         for (const bool reset : {true, false}) {
             ProxyFixture fixture([](const Arrival&) { return Reply{ok(), Reply::keep, true, true}; });
             const auto client = fixture.client(post("once", kDeadlineMillis));
@@ -199,7 +199,7 @@
         }
     }
 
-    // Clients of repeatable and other requests that disconnect one after another and overlapping, while
+    // Clients of idempotent and other requests that disconnect one after another and overlapping, while
     // others are served. No state is left over.
     void seriesOfDisconnectingClients() {
         ProxyFixture fixture([](const Arrival& arrival) {
@@ -209,7 +209,7 @@
         for (int number = 0; number < 40; ++number) {
             const auto silent = "s" + std::to_string(100 + number);
             const auto served = "v" + std::to_string(100 + number);
-            fixture.repeatable.insert(silent);
+            fixture.idempotent.insert(silent);
             disconnecting.push_back(fixture.client(read(silent)));
             fixture.until([&] { return fixture.arrivals[silent] == 1; });
             if (number % 3 == 2)
--- a/tests/proxy/http_server.cpp
+++ b/tests/proxy/http_server.cpp
@@ -126,9 +126,9 @@
                 {"HTTP/1.1 103 Early\r\nLink: x\r\n\r\n" + ok("late")});
         {
             HttpServerFixture fixture;
-            tcp::acceptor gone(listen(fixture.io, "127.0.0.1:0"));
-            const auto port = gone.local_endpoint().port();
-            gone.close();
+            tcp::acceptor closedAcceptor(listen(fixture.io, "127.0.0.1:0"));
+            const auto port = closedAcceptor.local_endpoint().port();
+            closedAcceptor.close();
             fixture.addEndpoint("A", "127.0.0.1:" + std::to_string(port));
             all += describeExchange("a write, connection refused", fixture, fixture.client(write, 1));
         }
@@ -212,13 +212,13 @@
         HttpServerFixture fixture;
         fixture.pod("A", {{ok("x")}});
         {
-            tcp::socket half(fixture.io);
-            half.connect(fixture.clients->local_endpoint());
+            tcp::socket partialClient(fixture.io);
+            partialClient.connect(fixture.clients->local_endpoint());
             const auto bytes = HttpServerFixture::post("1", "whole")
                                    .substr(0, HttpServerFixture::post("1", "whole").size() - 2);
-            asio::write(half, asio::buffer(bytes));
+            asio::write(partialClient, asio::buffer(bytes));
             fixture.until([&] { return fixture.httpServer->openConnections() == 1; });
-            half.close();
+            partialClient.close();
             fixture.until([&] { return fixture.httpServer->openConnections() == 0; });
         }
         CPPUNIT_ASSERT_EQUAL(std::string(), fixture.receivedByPods());
@@ -235,12 +235,13 @@
         HttpServerFixture fixture;
         const std::string big(3 << 20, 'b');
         fixture.pod("A", {{ok(big)}, {ok(big)}, {ok(big)}, {ok(big)}, {ok("small")}});
-        tcp::socket unread(fixture.io);
-        unread.open(tcp::v4());
-        unread.set_option(asio::socket_base::receive_buffer_size(4096));
-        unread.connect(fixture.clients->local_endpoint());
-        asio::write(unread, asio::buffer(HttpServerFixture::get("1") + HttpServerFixture::get("2") +
-                                         HttpServerFixture::get("3") + HttpServerFixture::get("4")));
+        tcp::socket nonReadingClient(fixture.io);
+        nonReadingClient.open(tcp::v4());
+        nonReadingClient.set_option(asio::socket_base::receive_buffer_size(4096));
+        nonReadingClient.connect(fixture.clients->local_endpoint());
+        asio::write(nonReadingClient,
+                    asio::buffer(HttpServerFixture::get("1") + HttpServerFixture::get("2") +
+                                 HttpServerFixture::get("3") + HttpServerFixture::get("4")));
         fixture.until(
             [&] { return fixture.arrivals.size() == 4 && fixture.httpServer->stats().served == 4; });
         fixture.pollUntilIdle();
--- a/tests/support/scripted_pods.cpp
+++ b/tests/support/scripted_pods.cpp
@@ -60,33 +60,33 @@
 
 std::vector<ClientResponse> Client::responses() const {
     std::vector<ClientResponse> all;
-    std::string_view left(received);
-    while (!left.empty()) {
+    std::string_view remaining(received);
+    while (!remaining.empty()) {
         http::response_parser<http::string_body> parser;
         parser.header_limit(64 << 10);
         parser.body_limit(std::uint64_t{1} << 30);
         parser.eager(true);
         ErrorCode code;
-        const auto used = parser.put(asio::buffer(left.data(), left.size()), code);
+        const auto consumed = parser.put(asio::buffer(remaining.data(), remaining.size()), code);
         if (parser.is_header_done() && parser.get().result_int() == 100) {
-            left.remove_prefix(used);
+            remaining.remove_prefix(consumed);
             continue;
         }
-        CPPUNIT_ASSERT_MESSAGE("bytes received are not a response: " + std::string(left.substr(0, 80)),
+        CPPUNIT_ASSERT_MESSAGE("bytes received are not a response: " + std::string(remaining.substr(0, 80)),
                                !code || code == http::error::need_more);
-        ClientResponse one;
+        ClientResponse parsed;
         if (parser.is_header_done()) {
             const auto& head = parser.get();
-            one.status = static_cast<int>(head.result_int());
-            one.id = std::string(head["X-Attempt-Id"]);
-            one.retryAfter = std::string(head["Retry-After"]);
-            one.close = !head.keep_alive();
-            one.body = head.body();
+            parsed.status = static_cast<int>(head.result_int());
+            parsed.id = std::string(head["X-Attempt-Id"]);
+            parsed.retryAfter = std::string(head["Retry-After"]);
+            parsed.close = !head.keep_alive();
+            parsed.body = head.body();
         }
-        one.whole = parser.is_done();
-        all.push_back(one);
-        if (!one.whole) break;
-        left.remove_prefix(used);
+        parsed.whole = parser.is_done();
+        all.push_back(parsed);
+        if (!parsed.whole) break;
+        remaining.remove_prefix(consumed);
     }
     return all;
 }
@@ -149,8 +149,8 @@
 void ProxyFixture::write(const std::shared_ptr<Client>& client, const std::string& bytes,
                          const std::vector<std::string>& ids) {
     client->requestIds.insert(client->requestIds.end(), ids.begin(), ids.end());
-    const auto kept = std::make_shared<std::string>(bytes);
-    asio::async_write(client->socket, asio::buffer(*kept), [kept, client](ErrorCode, std::size_t) {});
+    const auto payload = std::make_shared<std::string>(bytes);
+    asio::async_write(client->socket, asio::buffer(*payload), [payload, client](ErrorCode, std::size_t) {});
 }
 
 void ProxyFixture::disconnect(const std::shared_ptr<Client>& client, bool reset) {
@@ -189,8 +189,8 @@
                                  httpServer->stats().invalidTransitions);
     for (const auto& [id, count] : executions)
         CPPUNIT_ASSERT_MESSAGE(
-            "request " + id + " is not repeatable and was executed " + std::to_string(count) + " times",
-            count <= 1 || repeatable.contains(id));
+            "request " + id + " is not idempotent and was executed " + std::to_string(count) + " times",
+            count <= 1 || idempotent.contains(id));
     for (const auto& client : allClients_) {
         const auto responses = client->responses();
         CPPUNIT_ASSERT_MESSAGE("more responses than requests", responses.size() <= client->requestIds.size());
--- a/tests/support/scripted_pods.hpp
+++ b/tests/support/scripted_pods.hpp
@@ -102,7 +102,7 @@
     std::map<std::string, int> connections, open;     // by pod: total, and currently open
     // Pods that reset a connection when a request arrives, without reading it.
     std::set<std::string> resettingPods;
-    std::set<std::string> repeatable;  // ids that may be executed more than once
+    std::set<std::string> idempotent;  // ids that may be executed more than once
 
   private:
     Task<> serve(std::string pod);
