--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -125,8 +125,8 @@
         const auto at = votes->second.find(voter);
         if (at == votes->second.end() || now() - at->second.receivedAt > verdict::kVoteLife) continue;
         const auto& vote = at->second.vote;
-        tally.counts.on += vote.verdict == Verdict::on && vote.stage == rollout.stage;
-        tally.counts.back += vote.verdict == Verdict::back;
+        tally.counts.advance += vote.verdict == Verdict::advance && vote.stage == rollout.stage;
+        tally.counts.rollBack += vote.verdict == Verdict::rollBack;
         tally.messages.push_back(vote.message);
     }
     return tally;
--- a/src/policy/voter_verdict.hpp
+++ b/src/policy/voter_verdict.hpp
@@ -14,7 +14,7 @@
 
     void judge() {
         trial.judgedAt = now;
-        if (trial.verdict == Verdict::back) return;  // final for this build
+        if (trial.verdict == Verdict::rollBack) return;  // final for this build
         const auto before = std::exchange(trial.verdict, computeVerdict());
         if (trial.verdict != before) sendVerdict();
         castVote();
@@ -92,9 +92,9 @@
         }
         const auto [x, y] = sameMix(builds);
         const bool enough = std::min(x.total(), y.total()) >= kMinOutcomes, compared = concurrent(x, y);
-        if (back || worse(x, y, compared)) return Verdict::back;
+        if (back || worse(x, y, compared)) return Verdict::rollBack;
         if (enough && compared && surelyBelow(x.bins, y.bins, kBackThreshold, kConfidence))
-            return Verdict::back;
+            return Verdict::rollBack;
         const auto surelyAbove = [&](double threshold) {
             if (!enough) return false;
             return rankTest(x.bins, y.bins, threshold, kRankTestDraws, random).lowerChance > kConfidence;
@@ -108,7 +108,7 @@
             const bool ahead = !released && compared && surelyAbove(kAheadThreshold);
             trial.slownessExcused = ahead || now - trial.slowSpellStart >= kLongSpell;
             if (!trial.slownessExcused && now - trial.slowSince < kSlowSpell) return Verdict::none;
-            if (!trial.slownessExcused && rollout.stage > 0) return Verdict::back;
+            if (!trial.slownessExcused && rollout.stage > 0) return Verdict::rollBack;
             trial.slownessExcused = true;
         } else {
             trial.slowSince = -1;
@@ -119,7 +119,7 @@
             return young ? Verdict::hold : Verdict::none;
         }
         const bool timeout = trial.firstCountedAt >= 0 && now - trial.firstCountedAt >= kUndecidedTimeout;
-        return surelyAbove(kOnThreshold) || timeout ? Verdict::on : Verdict::none;
+        return surelyAbove(kOnThreshold) || timeout ? Verdict::advance : Verdict::none;
     }
 };  // NOLINTEND(readability-isolate-declaration)
 
--- a/src/policy/votes.hpp
+++ b/src/policy/votes.hpp
@@ -34,8 +34,8 @@
         std::array<int, 4> count{};
         for (int voter : trial.voters) ++count[static_cast<std::size_t>(trial.verdicts[voter].verdict)];
         const auto needed = static_cast<int>(trial.voters.size()) / 2 + 1;
-        if (count[3] >= needed) return Verdict::back;
-        if (!timed() && count[1] >= needed) return Verdict::on;
+        if (count[3] >= needed) return Verdict::rollBack;
+        if (!timed() && count[1] >= needed) return Verdict::advance;
         if (timed() && count[2] >= needed) return Verdict::hold;
         return Verdict::none;
     }
@@ -61,22 +61,23 @@
         // Exception: without a required attestation a build stays in its stage. Harm: late metadata delay it.
         const auto* build = settings.attestationRequired ? buildFor(rollout.build) : nullptr;
         if (build && !attested(*build)) {
-            if (build->attestation == Attestation::withdrawn) verdict = Verdict::back;
-            if (verdict != Verdict::back) verdict = timed() ? Verdict::hold : Verdict::none;
+            if (build->attestation == Attestation::withdrawn) verdict = Verdict::rollBack;
+            if (verdict != Verdict::rollBack) verdict = timed() ? Verdict::hold : Verdict::none;
         }
-        const bool late = rollout.state == RolloutState::released && verdict == Verdict::back;
+        const bool late = rollout.state == RolloutState::released && verdict == Verdict::rollBack;
         if (rollout.state != RolloutState::testing && !late) verdict = Verdict::none;
         // Exception: no 'on' in the last stage before its pods are warm and counted: faults that need all
         // traffic would be released unseen. In a large fleet the queue of votes starts that much earlier.
         const bool settled = rollout.stage < lastStage || now - rollout.since >= settleTime - queueTime;
-        return verdict == Verdict::on && !settled ? Verdict::none : verdict;
+        return verdict == Verdict::advance && !settled ? Verdict::none : verdict;
     }
 
     void castVote() {
         if (rollout.build != trial.build || rollout.build < 0) return;  // no stage to vote for yet
         const Ballot ballot{verdictToCast(), rollout.build, rollout.stage};
         const auto& last = ownVote.cast;
-        const bool none = ballot.verdict == Verdict::none, anyStage = none || ballot.verdict == Verdict::back;
+        const bool none = ballot.verdict == Verdict::none,
+                   anyStage = none || ballot.verdict == Verdict::rollBack;
         const bool sameBuild = last.build == ballot.build, sameStage = last.stage == ballot.stage;
         const bool same = last.verdict == ballot.verdict && (none || sameBuild) && (anyStage || sameStage);
         if (same && (none || now < ownVote.castAt + renewAfter)) return;
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -10,7 +10,7 @@
 using Nanos = std::int64_t;  ///< a time or a span, in whole nanoseconds
 
 /// A vote on the build on trial: none, go on to the next stage, hold the stage, roll back.
-enum class Verdict { none, on, hold, back };
+enum class Verdict { none, advance, hold, rollBack };
 
 struct Pod;
 struct Settings;
--- a/src/verdict/rollout.cpp
+++ b/src/verdict/rollout.cpp
@@ -92,9 +92,9 @@
     judged.canaryFailures = all[0].bad;
     if (judged.canaryOutcomes > 0 && judged.stableOutcomes > 0)
         judged.bounds = rankTest(binsOf(all[0]), binsOf(all[1]), kOnBar, kDraws, chance);
-    if (back || worse(all[0], all[1], chance)) judged.verdict = Verdict::back;
+    if (back || worse(all[0], all[1], chance)) judged.verdict = Verdict::rollBack;
     else if (judged.canaryOutcomes >= kLeastOutcomes && judged.stableOutcomes >= kLeastOutcomes)
-        judged.verdict = judged.bounds.lowerChance > kSure && !doubt ? Verdict::on : Verdict::hold;
+        judged.verdict = judged.bounds.lowerChance > kSure && !doubt ? Verdict::advance : Verdict::hold;
     return judged;
 }
 
--- a/src/verdict/stages.cpp
+++ b/src/verdict/stages.cpp
@@ -42,8 +42,8 @@
 std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed, std::int64_t inStage,
                              std::int64_t term) {
     const auto majority = votes.voters / 2 + 1;
-    if (votes.voters > 0 && votes.back >= majority) return Move{false, true, "voters"};
-    const bool on = votes.voters > 0 && votes.on >= majority;
+    if (votes.voters > 0 && votes.rollBack >= majority) return Move{false, true, "voters"};
+    const bool on = votes.voters > 0 && votes.advance >= majority;
     if (stage == canary && on && static_cast<double>(elapsed) >= kWatchPart * static_cast<double>(term))
         return Move{false, false, "voters"};
     if (stage == fullTrafficTrial && on && inStage >= kTrialAndJudgement)
--- a/src/verdict/stages.hpp
+++ b/src/verdict/stages.hpp
@@ -27,9 +27,9 @@
 };
 
 struct VoteCounts {
-    std::size_t voters = 0;  ///< that there are, not those that have voted
-    std::size_t on = 0;      ///< said of the order's present stage
-    std::size_t back = 0;    ///< said of any stage
+    std::size_t voters = 0;    ///< that there are, not those that have voted
+    std::size_t advance = 0;   ///< said of the order's present stage
+    std::size_t rollBack = 0;  ///< said of any stage
 };
 
 struct Move {
--- a/tests/control_plane/link_messages.cpp
+++ b/tests/control_plane/link_messages.cpp
@@ -60,7 +60,7 @@
             R"({"t":"vote","from":"p1","service":"s","target":"v2","stage":1,"verdict":1,"fresh":40})");
         const auto vote = decodeVote(sent);
         CPPUNIT_ASSERT(vote.voter == "p1" && vote.service == "s" && vote.target == "v2");
-        CPPUNIT_ASSERT(vote.verdict == Verdict::on && vote.stage == 1 && vote.message == sent);
+        CPPUNIT_ASSERT(vote.verdict == Verdict::advance && vote.stage == 1 && vote.message == sent);
     }
 
     void contactAndClockAreStamped() {
--- a/tests/policy/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -85,11 +85,11 @@
 TEST_CASE("a failing path group that hides in the ranks of all is voted back") {
     TrialFixture trial;
     trial.policy->onPeerMessage(1, counts(9, 1, {pair(400, 0, 1000, 1), pair(30, 20, 200, 0)}));
-    CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::back));
+    CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::rollBack));
     trial.note("and it stands");
     trial.advanceTo(1000 * kMs);
     trial.policy->onPeerMessage(1, counts(9, 2, {pair(4000, 0, 10000, 1), pair(3000, 20, 9000, 0)}));
-    CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::back));
+    CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::rollBack));
 }
 
 TEST_CASE("flagged responses are voted back, also after the release") {
@@ -121,7 +121,7 @@
     CHECK(trial.verdict == 0);
     trial.policy->onPeerMessage(1, counts(11, 2, {pair(29, 0, 35, 0)}));
     trial.advanceTo(1400 * kMs);
-    CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::on));
+    CHECK(trial.verdict == static_cast<std::uint32_t>(Verdict::advance));
 }
 
 TEST_CASE("a restarted voter has the senders' sums again with their next messages") {
--- a/tests/sidecar/messages.cpp
+++ b/tests/sidecar/messages.cpp
@@ -94,7 +94,7 @@
         {"42", "70000"},        {"\"type\":\"ROLLOUT\",", ""},
         {"ROLLOUT", "DISPUTE"}};
     for (const auto& [from, to] : wrong) CHECK(!parsePlatformLine(with(kLine, from, to)));
-    CHECK(formatVote(Verdict::back, 42, 1) == R"({"image":42,"opinion":"ROLLBACK","ring":1})");
+    CHECK(formatVote(Verdict::rollBack, 42, 1) == R"({"image":42,"opinion":"ROLLBACK","ring":1})");
 }
 
 TEST_CASE("the configuration: nested settings are read as the wire's pairs, and a missing field is named") {
--- a/tests/sidecar/platform_client.cpp
+++ b/tests/sidecar/platform_client.cpp
@@ -32,14 +32,14 @@
                           << '\n';
         });
     const std::string state = R"({"image":42,"ring":1,"progress":"testing","ceiling":0.28,"lag_ms":310})";
-    const std::tuple<int, std::string, Verdict> votes[] = {{200, state, Verdict::on},
-                                                           {200, "{}", Verdict::on},
-                                                           {429, R"({"error":"BUSY"})", Verdict::back},
-                                                           {409, R"({"error":"STALE"})", Verdict::back},
+    const std::tuple<int, std::string, Verdict> votes[] = {{200, state, Verdict::advance},
+                                                           {200, "{}", Verdict::advance},
+                                                           {429, R"({"error":"BUSY"})", Verdict::rollBack},
+                                                           {409, R"({"error":"STALE"})", Verdict::rollBack},
                                                            {500, R"({"error":"FAILED"})", Verdict::hold},
                                                            {400, R"({"error":"SYNTAX"})", Verdict::none},
-                                                           {0, "", Verdict::on},
-                                                           {-1, "", Verdict::on}};
+                                                           {0, "", Verdict::advance},
+                                                           {-1, "", Verdict::advance}};
     for (const auto& [with, body, verdict] : votes) {
         code = with;
         answer = body;
