--- a/src/control_plane/link_messages.hpp
+++ b/src/control_plane/link_messages.hpp
@@ -43,8 +43,8 @@
 
 /// How old a running rollout is, as one control plane process knows it.
 struct RolloutAge {
-    std::string rollout;  ///< its key in RolloutController
-    verdict::Age age;     ///< milliseconds
+    std::string rollout;    ///< its key in RolloutController
+    verdict::OrderAge age;  ///< milliseconds
 };
 
 /// What control plane processes report to each other every 500 ms, and at once when reachability changes.
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -28,7 +28,8 @@
     return one.service == other.service && one.target == other.target && one.term == other.term;
 }
 
-messages::Rollout afterMove(messages::Rollout rollout, const verdict::Move& move, std::int64_t age) {
+messages::Rollout afterMove(messages::Rollout rollout, const verdict::StageTransition& move,
+                            std::int64_t age) {
     if (move.completed) rollout.state = kCompletedState;
     else if (move.rolledBack) rollout.state = kRolledBackState;
     else ++rollout.stage;
@@ -55,11 +56,11 @@
 }
 
 /// The ages known here, where they are above those that the register has.
-std::string applyAges(const std::string& value, const verdict::Ages& ages, Nanos now) {
+std::string applyAges(const std::string& value, const verdict::OrderAges& ages, Nanos now) {
     auto rollouts = messages::decodeRollouts(value);
     for (auto& one : rollouts) {
         if (!one.running()) continue;
-        const auto age = ages.at(requestKey(one), now);
+        const auto age = ages.ageOf(requestKey(one), now);
         one.age = std::max(one.age, age.order);
         if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
     }
@@ -73,19 +74,19 @@
     for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value)) {
         if (!rollout.running()) continue;
         running_.insert(requestKey(rollout));
-        ages_.learn(requestKey(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
+        ages_.merge(requestKey(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
     }
-    ages_.keep(running_);
+    ages_.retainOnly(running_);
 }
 
 void RolloutController::onPeerAges(const std::vector<RolloutAge>& ages) {
     for (const auto& [rollout, age] : ages)
-        if (running_.contains(rollout)) ages_.learn(rollout, age, now());
+        if (running_.contains(rollout)) ages_.merge(rollout, age, now());
 }
 
 std::vector<RolloutAge> RolloutController::ages() const {
     std::vector<RolloutAge> ages;
-    for (const auto& rollout : running_) ages.push_back({rollout, ages_.at(rollout, now())});
+    for (const auto& rollout : running_) ages.push_back({rollout, ages_.ageOf(rollout, now())});
     return ages;
 }
 
@@ -98,7 +99,7 @@
     std::vector<Json> messages;
     for (const auto& [_, byVoter] : votes_)
         for (const auto& [voter, received] : byVoter)
-            if (now() - received.receivedAt < verdict::kVoteLife) messages.push_back(received.vote.message);
+            if (now() - received.receivedAt < verdict::kVoteTtl) messages.push_back(received.vote.message);
     return messages;
 }
 
@@ -123,7 +124,7 @@
     if (votes == votes_.end()) return tally;
     for (const auto& voter : voters) {
         const auto at = votes->second.find(voter);
-        if (at == votes->second.end() || now() - at->second.receivedAt > verdict::kVoteLife) continue;
+        if (at == votes->second.end() || now() - at->second.receivedAt > verdict::kVoteTtl) continue;
         const auto& vote = at->second.vote;
         tally.counts.advance += vote.verdict == Verdict::advance && vote.stage == rollout.stage;
         tally.counts.rollBack += vote.verdict == Verdict::rollBack;
@@ -134,12 +135,12 @@
 
 Task<> RolloutController::advance(messages::Rollout rollout) {
     const auto votes = tally(rollout);
-    const auto age = ages_.at(requestKey(rollout), now());
+    const auto age = ages_.ageOf(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
-    const auto move = verdict::nextMove(rollout.stage, votes.counts, age.order, inStage, rollout.term);
+    const auto move = verdict::nextTransition(rollout.stage, votes.counts, age.order, inStage, rollout.term);
     if (!move) co_return;
     const auto after = afterMove(rollout, *move, age.order);
-    const char* why = move->why;
+    const char* why = move->reason;
     log("rollout_advanced", {{"service", after.service},
                              {"target", after.target},
                              {"state", after.state},
--- a/src/control_plane/rollout_controller.hpp
+++ b/src/control_plane/rollout_controller.hpp
@@ -52,7 +52,7 @@
     std::function<bool()> holdsLease_;
     std::function<std::vector<std::string>()> proxyNames_;
     std::map<std::string, std::map<std::string, ReceivedVote>> votes_;  // by voteKey() and voter
-    verdict::Ages ages_;
+    verdict::OrderAges ages_;
     std::set<std::string> running_;  // rollouts, as `ages_` names them
     Nanos agesWrittenAt_ = 0;
 };
--- a/src/messages/codec.cpp
+++ b/src/messages/codec.cpp
@@ -77,7 +77,7 @@
     for (const auto& [route, sides] : totals)
         for (const auto& side : sides) {
             Json counts = side.bins;
-            counts.push_back(side.bad);
+            counts.push_back(side.failures);
             json[route].push_back(std::move(counts));
         }
     return json;
@@ -91,7 +91,7 @@
             const auto& numbers = sides.at(side);
             for (std::size_t bin = 0; bin < counts.bins.size(); ++bin)
                 numbers.at(bin).get_to(counts.bins[bin]);
-            numbers.at(counts.bins.size()).get_to(counts.bad);
+            numbers.at(counts.bins.size()).get_to(counts.failures);
         }
     return totals;
 }
--- a/src/proxy/peer_messages.hpp
+++ b/src/proxy/peer_messages.hpp
@@ -68,7 +68,7 @@
 struct Vote {
     std::string from, service, target;
     int stage = 0;
-    verdict::Judgement judgement;
+    verdict::CanaryEvaluation judgement;
 };
 Json encode(const Vote& vote);
 
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -34,13 +34,14 @@
     spawn(io_, "outcome_counts", countWhileRunning());
 }
 
-// Totals go out every kCountsEvery, and sooner once failures of a canary have come.
+// Totals go out every kCountsInterval, and sooner once failures of a canary have come.
 Task<> RolloutVoting::countWhileRunning() {
     Nanos lastSent = 0;
     std::uint64_t failuresSent = 0;
     for (bool running = true; running;) {
-        co_await sleep(verdict::kUrgentEvery);
-        const bool due = now() - lastSent >= verdict::kCountsEvery || router_.canaryFailures() > failuresSent;
+        co_await sleep(verdict::kUrgentCountsInterval);
+        const bool due =
+            now() - lastSent >= verdict::kCountsInterval || router_.canaryFailures() > failuresSent;
         running = false;
         for (const auto& rollout : router_.rollouts()) {
             if (!rollout.running()) continue;
@@ -64,7 +65,7 @@
     EncodedMessage packed;
     for (const auto& voter : fleet_.votersOf(rollout)) {
         if (voter == settings_.name) {
-            pools_[key].take(settings_.name, life_, sentCounts_, totals);
+            pools_[key].update(settings_.name, life_, sentCounts_, totals);
             continue;
         }
         const auto connection = connections_.peer(fleet_.proxies().at(voter));
@@ -77,7 +78,7 @@
 }
 
 void RolloutVoting::onCounts(OutcomeCounts counts) {
-    pools_[counts.rollout].take(counts.from, counts.life, counts.number, std::move(counts.totals));
+    pools_[counts.rollout].update(counts.from, counts.life, counts.number, std::move(counts.totals));
 }
 
 void RolloutVoting::judge(const messages::Rollout& rollout) {
@@ -86,8 +87,8 @@
     const auto key = keyOf(rollout);
     auto& next = nextJudgement_[key];
     if (now() < next) return;
-    next = now() + verdict::kJudgeEvery;
-    const auto judgement = verdict::judge(pools_[key].sum(), chance_);
+    next = now() + verdict::kEvaluationInterval;
+    const auto judgement = verdict::evaluateCanary(pools_[key].sum(), chance_);
     connections_.sendToControlNodes(
         encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, judgement}));
 }
--- a/src/proxy/rollout_voting.hpp
+++ b/src/proxy/rollout_voting.hpp
@@ -36,9 +36,9 @@
     const FleetMembership& fleet_;
     const PeerConnections& connections_;
     std::function<void()> onEnded_;
-    std::uint64_t sentCounts_ = 0;                // the number of the last message of this life
-    std::map<std::string, verdict::Pool> pools_;  // by rollout
-    std::map<std::string, Nanos> nextJudgement_;  // by rollout
+    std::uint64_t sentCounts_ = 0;                            // the number of the last message of this life
+    std::map<std::string, verdict::TotalsAggregator> pools_;  // by rollout
+    std::map<std::string, Nanos> nextJudgement_;              // by rollout
     std::mt19937 chance_{std::random_device{}()};
     bool counting_ = false;
 };
--- a/src/verdict/rollout.cpp
+++ b/src/verdict/rollout.cpp
@@ -29,19 +29,19 @@
 
 void add(Counts& into, const Counts& more) {
     for (int bin = 0; bin < kRolloutBins; ++bin) into.bins[bin] += more.bins[bin];
-    into.bad += more.bad;
+    into.failures += more.failures;
 }
 
 // Exception to ranks: failures of a part of the requests move few ranks, so the same test is made on ranks
 // coarsened to two as well.
 bool worse(const Counts& canary, const Counts& stable, std::mt19937& chance, double certain = kCertainly) {
-    const double n = canary.all();
-    const double m = stable.all();
+    const double n = canary.total();
+    const double m = stable.total();
     const auto more = [&](double x, double y, double margin, double least) {
         return n >= least && m >= kLeastOutcomes && x >= 3 &&
                rankTest(inTwo(x, n), inTwo(y, m), 0.5 - margin / 2, kDraws, chance).upperChance < 1 - certain;
     };
-    return more(canary.bad, stable.bad, kFailMargin, kLeastFailing) ||
+    return more(canary.failures, stable.failures, kFailMargin, kLeastFailing) ||
            more(late(canary), late(stable), kLateMargin, kLeastFailing) ||
            (n >= kLeastOutcomes && m >= kLeastOutcomes &&
             rankTest(binsOf(canary), binsOf(stable), kBackBar, kDraws, chance).upperChance < 1 - kSure);
@@ -58,18 +58,19 @@
 
 void Counts::count(Nanos took, Nanos target, bool failed) {
     ++bins[static_cast<std::size_t>(failed ? kLastBin : histogramBin(took, target))];
-    if (failed) ++bad;
+    if (failed) ++failures;
 }
 
-std::uint32_t Counts::all() const { return std::accumulate(bins.begin(), bins.end(), 0U); }
+std::uint32_t Counts::total() const { return std::accumulate(bins.begin(), bins.end(), 0U); }
 
-void Pool::take(const std::string& sender, std::uint64_t life, std::uint64_t number, Totals totals) {
+void TotalsAggregator::update(const std::string& sender, std::uint64_t life, std::uint64_t number,
+                              Totals totals) {
     auto& from = senders_[{sender, life}];
     if (number <= from.number) return;
     from = {number, std::move(totals)};
 }
 
-Totals Pool::sum() const {
+Totals TotalsAggregator::sum() const {
     Totals all;
     for (const auto& [_, sender] : senders_)
         for (const auto& [route, sides] : sender.totals)
@@ -77,8 +78,8 @@
     return all;
 }
 
-Judgement judge(const Totals& sums, std::mt19937& chance) {
-    Judgement judged;
+CanaryEvaluation evaluateCanary(const Totals& sums, std::mt19937& chance) {
+    CanaryEvaluation judged;
     std::array<Counts, 2> all;
     bool back = false;
     bool doubt = false;
@@ -87,9 +88,9 @@
         back = back || worse(sides[0], sides[1], chance);
         doubt = doubt || worse(sides[0], sides[1], chance, kPerhaps);
     }
-    judged.canaryOutcomes = all[0].all();
-    judged.stableOutcomes = all[1].all();
-    judged.canaryFailures = all[0].bad;
+    judged.canaryOutcomes = all[0].total();
+    judged.stableOutcomes = all[1].total();
+    judged.canaryFailures = all[0].failures;
     if (judged.canaryOutcomes > 0 && judged.stableOutcomes > 0)
         judged.bounds = rankTest(binsOf(all[0]), binsOf(all[1]), kOnBar, kDraws, chance);
     if (back || worse(all[0], all[1], chance)) judged.verdict = Verdict::rollBack;
--- a/src/verdict/rollout.hpp
+++ b/src/verdict/rollout.hpp
@@ -21,10 +21,10 @@
 
 struct Counts {
     std::array<std::uint32_t, kRolloutBins> bins{};
-    std::uint32_t bad = 0;  ///< of those in the last bin: errors and time-outs
+    std::uint32_t failures = 0;  ///< of those in the last bin: errors and time-outs
 
     void count(Nanos took, Nanos target, bool failed);
-    std::uint32_t all() const;
+    std::uint32_t total() const;
 };
 
 /// Of one rollout: by route, the new side and the earlier one.
@@ -32,11 +32,11 @@
 
 /// What a voter holds of one rollout. Totals of a sender replace its earlier ones, so a message that comes
 /// twice, late or not at all counts nothing twice.
-class Pool {
+class TotalsAggregator {
   public:
     /// `life` is drawn at each start of the sender; a sender of a new life keeps what its earlier one
     /// counted.
-    void take(const std::string& sender, std::uint64_t life, std::uint64_t number, Totals totals);
+    void update(const std::string& sender, std::uint64_t life, std::uint64_t number, Totals totals);
     Totals sum() const;
 
   private:
@@ -47,13 +47,13 @@
     std::map<std::pair<std::string, std::uint64_t>, Sender> senders_;
 };
 
-struct Judgement {
+struct CanaryEvaluation {
     Verdict verdict = Verdict::none;
     RankBounds bounds;  ///< of all routes together
     std::uint32_t canaryOutcomes = 0, stableOutcomes = 0, canaryFailures = 0;
 };
 
 /// 'on' from the lower bound, 'back' from the upper one, 'hold' while neither; none below the least outcomes.
-Judgement judge(const Totals& sums, std::mt19937& chance);
+CanaryEvaluation evaluateCanary(const Totals& sums, std::mt19937& chance);
 
 }  // namespace lichenlanding::verdict
--- a/src/verdict/stages.cpp
+++ b/src/verdict/stages.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void Ages::learn(const std::string& order, const Age& told, Nanos now) {
+void OrderAges::merge(const std::string& order, const OrderAge& told, Nanos now) {
     const auto since = [now](std::int64_t age) {
         return now - std::clamp<std::int64_t>(age, 0, kOldest) * kMillisecond;
     };
@@ -29,27 +29,28 @@
     else if (told.stage == began.at) began.stage = std::min(began.stage, since(told.inStage));
 }
 
-Age Ages::at(const std::string& order, Nanos now) const {
+OrderAge OrderAges::ageOf(const std::string& order, Nanos now) const {
     const auto at = began_.find(order);
     if (at == began_.end()) return {};
     return {(now - at->second.order) / kMillisecond, at->second.at, (now - at->second.stage) / kMillisecond};
 }
 
-void Ages::keep(const std::set<std::string>& running) {
+void OrderAges::retainOnly(const std::set<std::string>& running) {
     std::erase_if(began_, [&](const auto& one) { return !running.contains(one.first); });
 }
 
-std::optional<Move> nextMove(int stage, const VoteCounts& votes, std::int64_t elapsed, std::int64_t inStage,
-                             std::int64_t term) {
+std::optional<StageTransition> nextTransition(int stage, const VoteCounts& votes, std::int64_t elapsed,
+                                              std::int64_t inStage, std::int64_t term) {
     const auto majority = votes.voters / 2 + 1;
-    if (votes.voters > 0 && votes.rollBack >= majority) return Move{false, true, "voters"};
+    if (votes.voters > 0 && votes.rollBack >= majority) return StageTransition{false, true, "voters"};
     const bool on = votes.voters > 0 && votes.advance >= majority;
     if (stage == canary && on && static_cast<double>(elapsed) >= kWatchPart * static_cast<double>(term))
-        return Move{false, false, "voters"};
+        return StageTransition{false, false, "voters"};
     if (stage == fullTrafficTrial && on && inStage >= kTrialAndJudgement)
-        return Move{false, false, "voters, after the trial of all traffic"};
-    if (stage == allTraffic && on && inStage >= kMoved) return Move{true, false, "voters, with all traffic"};
-    if (elapsed >= term - kUndecided) return Move{false, true, "undecided at its term"};
+        return StageTransition{false, false, "voters, after the trial of all traffic"};
+    if (stage == allTraffic && on && inStage >= kMoved)
+        return StageTransition{true, false, "voters, with all traffic"};
+    if (elapsed >= term - kUndecided) return StageTransition{false, true, "undecided at its term"};
     return std::nullopt;
 }
 
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -265,27 +265,27 @@
     // A rollout's age is a span: counted on by steady clocks, handed on between control nodes, written down
     // each second.
     void agesAreCountedOnBySteadyClocks() {
-        using verdict::Age;
-        verdict::Ages first;
-        verdict::Ages another;
-        first.learn("s\nv2", {0, 0, 0}, 50 * kSecond);
-        CPPUNIT_ASSERT(first.at("s\nv2", 53 * kSecond) == (Age{3000, 0, 3000}));
+        using verdict::OrderAge;
+        verdict::OrderAges first;
+        verdict::OrderAges another;
+        first.merge("s\nv2", {0, 0, 0}, 50 * kSecond);
+        CPPUNIT_ASSERT(first.ageOf("s\nv2", 53 * kSecond) == (OrderAge{3000, 0, 3000}));
         // The other control node's steady clock has nothing to do with this one's.
-        another.learn("s\nv2", {0, 0, 0}, 7'000'000 * kSecond);
-        another.learn("s\nv2", first.at("s\nv2", 53 * kSecond), 7'000'001 * kSecond);
-        CPPUNIT_ASSERT(another.at("s\nv2", 7'000'003 * kSecond) == (Age{5000, 0, 5000}));
-        another.learn("s\nv2", {1000, 0, 1000},
+        another.merge("s\nv2", {0, 0, 0}, 7'000'000 * kSecond);
+        another.merge("s\nv2", first.ageOf("s\nv2", 53 * kSecond), 7'000'001 * kSecond);
+        CPPUNIT_ASSERT(another.ageOf("s\nv2", 7'000'003 * kSecond) == (OrderAge{5000, 0, 5000}));
+        another.merge("s\nv2", {1000, 0, 1000},
                       7'000'004 * kSecond);  // what the register had: less, so no news
-        CPPUNIT_ASSERT(another.at("s\nv2", 7'000'004 * kSecond) == (Age{6000, 0, 6000}));
-        another.learn("s\nv2", {6100, 1, 0}, 7'000'004 * kSecond);     // the next stage begins
-        another.learn("s\nv2", {6100, 0, 6100}, 7'000'005 * kSecond);  // a late word of the stage before
-        CPPUNIT_ASSERT(another.at("s\nv2", 7'000'005 * kSecond) == (Age{7100, 1, 1000}));
-        another.keep({});
-        CPPUNIT_ASSERT(another.at("s\nv2", 7'000'009 * kSecond) == Age{});
-        another.learn("s\nv2", {std::numeric_limits<std::int64_t>::max(), 9, -5},
+        CPPUNIT_ASSERT(another.ageOf("s\nv2", 7'000'004 * kSecond) == (OrderAge{6000, 0, 6000}));
+        another.merge("s\nv2", {6100, 1, 0}, 7'000'004 * kSecond);     // the next stage begins
+        another.merge("s\nv2", {6100, 0, 6100}, 7'000'005 * kSecond);  // a late word of the stage before
+        CPPUNIT_ASSERT(another.ageOf("s\nv2", 7'000'005 * kSecond) == (OrderAge{7100, 1, 1000}));
+        another.retainOnly({});
+        CPPUNIT_ASSERT(another.ageOf("s\nv2", 7'000'009 * kSecond) == OrderAge{});
+        another.merge("s\nv2", {std::numeric_limits<std::int64_t>::max(), 9, -5},
                       kSecond);  // absurd, and bounded
-        CPPUNIT_ASSERT(another.at("s\nv2", kSecond).order == 7 * 24 * 3600 * std::int64_t{1000});
-        CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, another.at("s\nv2", kSecond).inStage);
+        CPPUNIT_ASSERT(another.ageOf("s\nv2", kSecond).order == 7 * 24 * 3600 * std::int64_t{1000});
+        CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, another.ageOf("s\nv2", kSecond).inStage);
     }
 
     // The register may hold rollouts of an earlier version, with times of a wall clock: they count from their
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -190,8 +190,8 @@
         CPPUNIT_ASSERT(fresh >= 40);
         CPPUNIT_ASSERT(fresh <= 50);
         const auto counted = fixture.router->totals("s", "v2").at(kRepeatable);
-        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(fresh), counted[0].all());
-        CPPUNIT_ASSERT_EQUAL(1000U, counted[0].all() + counted[1].all());
+        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(fresh), counted[0].total());
+        CPPUNIT_ASSERT_EQUAL(1000U, counted[0].total() + counted[1].total());
         fresh = 0;
         for (int at = 0; at < 2000; ++at) {
             fixture.now += 10 * kMillisecond;
@@ -482,8 +482,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fixture.router->canaryFailures());
         const auto& totals = fixture.router->totals("s", "v2");
         const auto& counts = totals.at(kRepeatable)[0];
-        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(sent["n"]), counts.all());
-        CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, counts.bad);
+        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(sent["n"]), counts.total());
+        CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, counts.failures);
     }
 
     // EXPOSURE: asking for a second send that there is none to be had of does not count as traffic, of which
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -35,20 +35,20 @@
 
   public:
     void totalsCountOnce() {
-        verdict::Pool pool;
-        const auto all = [&] { return pool.sum()["r"][0].all(); };
-        pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});
-        pool.take("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});  // twice
+        verdict::TotalsAggregator pool;
+        const auto all = [&] { return pool.sum()["r"][0].total(); };
+        pool.update("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});
+        pool.update("a", 1, 1, {{"r", {counts(5, 100 * kMillisecond), {}}}});  // twice
         CPPUNIT_ASSERT_EQUAL(5U, all());
-        pool.take("a", 1, 3, {{"r", {counts(9, 100 * kMillisecond), {}}}});
-        pool.take("a", 1, 2, {{"r", {counts(7, 100 * kMillisecond), {}}}});  // late
+        pool.update("a", 1, 3, {{"r", {counts(9, 100 * kMillisecond), {}}}});
+        pool.update("a", 1, 2, {{"r", {counts(7, 100 * kMillisecond), {}}}});  // late
         CPPUNIT_ASSERT_EQUAL(9U, all());
-        pool.take("a", 2, 1,
-                  {{"r", {counts(2, 100 * kMillisecond), {}}}});  // its next life counts beside the first
-        pool.take("b", 1, 1, {{"r", {counts(4, 100 * kMillisecond), {}}}});
+        pool.update("a", 2, 1,
+                    {{"r", {counts(2, 100 * kMillisecond), {}}}});  // its next life counts beside the first
+        pool.update("b", 1, 1, {{"r", {counts(4, 100 * kMillisecond), {}}}});
         CPPUNIT_ASSERT_EQUAL(15U, all());
         const auto back = messages::decodeTotals(messages::encode(pool.sum()));
-        CPPUNIT_ASSERT_EQUAL(15U, back.at("r")[0].all());
+        CPPUNIT_ASSERT_EQUAL(15U, back.at("r")[0].total());
     }
 
     void judgesByOutcomes() {
@@ -56,7 +56,7 @@
         std::mt19937 chance(3);
         const auto judge = [&](const std::string& what, Counts fresh, Counts earlier, Totals more = {}) {
             more["r"] = {fresh, earlier};
-            const auto judged = verdict::judge(more, chance);
+            const auto judged = verdict::evaluateCanary(more, chance);
             const char* names[] = {"none", "on", "hold", "back"};
             seen += what + ": " + names[static_cast<int>(judged.verdict)] + ", " +
                     std::to_string(judged.canaryOutcomes) + " against " +
@@ -85,20 +85,21 @@
             for (const auto& [on, back] :
                  std::vector<std::pair<std::size_t, std::size_t>>{{0, 0}, {1, 1}, {2, 0}, {3, 0}, {1, 2}})
                 for (const std::int64_t elapsed : {5000, 8800, 15299, 15300}) {
-                    const auto move =
-                        verdict::nextMove(stage, {3, on, back}, elapsed, 1400 + 1100 * (stage == 2), 16000);
+                    const auto move = verdict::nextTransition(stage, {3, on, back}, elapsed,
+                                                              1400 + 1100 * (stage == 2), 16000);
                     if (!move) continue;
                     seen += "stage " + std::to_string(stage) + ", on " + std::to_string(on) + ", back " +
                             std::to_string(back) + ", after " + std::to_string(elapsed) + " ms: " +
                             (move->completed    ? "completed"
                              : move->rolledBack ? "rolled back"
                                                 : "next stage") +
-                            ", " + move->why + "\n";
+                            ", " + move->reason + "\n";
                 }
-        CPPUNIT_ASSERT(!verdict::nextMove(0, {0, 0, 0}, 9000, 0, 16000));  // no voters: nobody said 'on'
-        CPPUNIT_ASSERT(!verdict::nextMove(1, {3, 3, 0}, 9000, 1399,
-                                          16000));  // the trial of all traffic is not judged yet
-        CPPUNIT_ASSERT(!verdict::nextMove(2, {3, 0, 0}, 9000, 2499, 16000));
+        CPPUNIT_ASSERT(
+            !verdict::nextTransition(0, {0, 0, 0}, 9000, 0, 16000));  // no voters: nobody said 'on'
+        CPPUNIT_ASSERT(!verdict::nextTransition(1, {3, 3, 0}, 9000, 1399,
+                                                16000));  // the trial of all traffic is not judged yet
+        CPPUNIT_ASSERT(!verdict::nextTransition(2, {3, 0, 0}, 9000, 2499, 16000));
         approve("verdict-stages", seen);
     }
 
