--- a/src/limits/fleet.cpp
+++ b/src/limits/fleet.cpp
@@ -23,25 +23,26 @@
 
 }  // namespace
 
-Bucket::Bucket(double perSecond, double burst) : perSecond_(perSecond), burst_(burst), tokens_(burst) {
+TokenBucket::TokenBucket(double perSecond, double burst)
+    : perSecond_(perSecond), burst_(burst), tokens_(burst) {
     if (!(perSecond >= 0) || !(burst >= 1))
         throw std::invalid_argument("bucket: rate below 0 or burst below 1");
 }
 
-void Bucket::fill(Nanos now) {
+void TokenBucket::fill(Nanos now) {
     if (at_ >= 0 && now > at_)
         tokens_ = std::min(burst_, tokens_ + perSecond_ * static_cast<double>(now - at_) / kNanosPerSecond);
     at_ = std::max(at_, now);
 }
 
-bool Bucket::take(Nanos now) {
+bool TokenBucket::take(Nanos now) {
     fill(now);
     if (tokens_ < 1) return false;
     tokens_ -= 1;
     return true;
 }
 
-void Bucket::rate(double perSecond) {
+void TokenBucket::setRate(double perSecond) {
     if (!(perSecond >= 0)) throw std::invalid_argument("bucket: rate below 0");
     perSecond_ = perSecond;
 }
@@ -55,10 +56,10 @@
     if (sidecars < 1) throw std::invalid_argument("subset: no sidecar");
     const auto wanted =
         static_cast<std::size_t>(std::ceil(kSidecarsPerPod * static_cast<double>(pods) / sidecars));
-    return std::min(pods, std::max(wanted, kLeastSubset));
+    return std::min(pods, std::max(wanted, kMinSubsetSize));
 }
 
-Nanos turn(std::uint64_t about, std::uint32_t sidecar, int sidecars, double perSecond) {
+Nanos queueDelay(std::uint64_t about, std::uint32_t sidecar, int sidecars, double perSecond) {
     if (sidecars < 1 || !(perSecond > 0)) throw std::invalid_argument("turn: no sidecar, or no rate");
     const auto key = [about](std::uint32_t which) { return std::pair(mix(mix(about) ^ which), which); };
     const auto mine = key(sidecar);
@@ -67,28 +68,28 @@
     return static_cast<Nanos>(std::max(before + 1 - perSecond, 0.0) / perSecond * kNanosPerSecond);
 }
 
-Reopening::Reopening(Nanos longestWait, std::uint32_t seed)
+ReconnectBackoff::ReconnectBackoff(Nanos longestWait, std::uint32_t seed)
     : longestWait_(longestWait), wait_(kFirstWait), chance_(seed) {}
 
-Reopening::Reopening(Nanos longestWait, std::uint32_t seed, const Settings& told)
-    : Reopening(longestWait, seed) {
+ReconnectBackoff::ReconnectBackoff(Nanos longestWait, std::uint32_t seed, const Settings& told)
+    : ReconnectBackoff(longestWait, seed) {
     if (told.balancers <= told.votesPerSecond) return;
     round_ = static_cast<Nanos>(told.balancers / told.votesPerSecond * kNanosPerSecond);
     spread_ = within_ = std::min(round_, told.drainGrace / 2);
 }
 
-Nanos Reopening::part(Nanos span) { return static_cast<Nanos>(chance_() % 1000) * span / 1000; }
+Nanos ReconnectBackoff::part(Nanos span) { return static_cast<Nanos>(chance_() % 1000) * span / 1000; }
 
-Nanos Reopening::soon() { return part(within_); }
+Nanos ReconnectBackoff::initialDelay() { return part(within_); }
 
-Nanos Reopening::next(Nanos retryAfter) {
+Nanos ReconnectBackoff::nextDelay(Nanos retryAfter) {
     const auto waits = retryAfter + wait_ / 2 + part(wait_) + part(spread_);
     wait_ = std::min(2 * wait_, longestWait_);
     spread_ = std::clamp(2 * spread_, round_, kRoundsAtMost * round_);
     return waits;
 }
 
-void Reopening::stood() { wait_ = kFirstWait, spread_ = within_; }
+void ReconnectBackoff::reset() { wait_ = kFirstWait, spread_ = within_; }
 
 std::vector<Pod*> subset(const std::vector<Pod*>& pods, std::uint32_t sidecar, std::size_t size) {
     auto chosen = lowest(pods, size, [sidecar](const Pod* pod) {  // of highest weight
--- a/src/limits/fleet.hpp
+++ b/src/limits/fleet.hpp
@@ -32,17 +32,17 @@
 constexpr double kProbesPerPod = 1.0;   // a second, by all sidecars of a tier together
 constexpr double kSidecarsPerPod = 24;  // whose subsets hold a pod, about
 // Pods a sidecar prefers at least, so that a few lost ones leave choice.
-constexpr std::size_t kLeastSubset = 6;
+constexpr std::size_t kMinSubsetSize = 6;
 
 // Tokens that come at a steady rate up to a burst. The first take finds the bucket full.
-class Bucket {
+class TokenBucket {
   public:
     // perSecond >= 0, burst >= 1.
-    Bucket(double perSecond, double burst);
+    TokenBucket(double perSecond, double burst);
 
     // One token, if one is there at `now` (monotonic nanoseconds; a time before the last one counts as it).
     bool take(Nanos now);
-    void rate(double perSecond);  // from now on; what is in the bucket stays
+    void setRate(double perSecond);  // from now on; what is in the bucket stays
 
   private:
     void fill(Nanos now);
@@ -61,7 +61,7 @@
 // that no second brings the platform more than the `perSecond` calls it takes from all: the first second's
 // calls go at once, the others in the order of a hash, at that rate. 0 in a tier that is no larger than the
 // rate.
-Nanos turn(std::uint64_t about, std::uint32_t sidecar, int sidecars, double perSecond);
+Nanos queueDelay(std::uint64_t about, std::uint32_t sidecar, int sidecars, double perSecond);
 
 // When a watch that ended is opened again. Openings are calls that all sidecars make in one instant, since
 // whatever cuts one off cuts off many; a party that is asked for more than it takes lets each wait and then
@@ -70,17 +70,17 @@
 // further time over twice as long, up to eight times. The first ones, at a start and after a loss, wait no
 // longer than `within`: a sidecar that has not asked is held to what it would have been told. A tier no
 // larger than the rate is not spread.
-class Reopening {
+class ReconnectBackoff {
   public:
     // A watch of one sidecar that goes by itself: 50 ms before the second opening, then twice as long each
     // time up to longestWait.
-    Reopening(Nanos longestWait, std::uint32_t seed);
+    ReconnectBackoff(Nanos longestWait, std::uint32_t seed);
     // The watch on the list, spread over the fleet: `within` is half of the time that drains leave.
-    Reopening(Nanos longestWait, std::uint32_t seed, const Settings& told);
+    ReconnectBackoff(Nanos longestWait, std::uint32_t seed, const Settings& told);
 
-    Nanos soon();                      // of an opening that nobody has refused
-    Nanos next(Nanos retryAfter = 0);  // from an end, or a refusal that advises to wait so long
-    void stood();                      // the watch has brought something: the next loss is a first one
+    Nanos initialDelay();                   // of an opening that nobody has refused
+    Nanos nextDelay(Nanos retryAfter = 0);  // from an end, or a refusal that advises to wait so long
+    void reset();                           // the watch has brought something: the next loss is a first one
 
   private:
     Nanos part(Nanos span);  // by chance
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -143,7 +143,7 @@
     std::vector<Pod*> probedPods;     // with fresh load reports, where only probes bring them
     std::vector<Pod*> pods;           // listed and not removed, by id
     std::vector<Pod*> preferredPods;  // this sidecar's subset (limits/fleet.hpp)
-    limits::Bucket probeBudget{0, 2};
+    limits::TokenBucket probeBudget{0, 2};
     std::unordered_map<std::string, int> buildOfKey;               // monotonic keys: the build that answered
     PodStats overallStats;                                         // recent own outcomes of all pods
     double typicalCost = 0, deliveredCost = 0, deliveredRate = 0;  // delivered: this second; per warm pod
--- a/src/policy/routing.hpp
+++ b/src/policy/routing.hpp
@@ -208,7 +208,7 @@
         std::sort(pods.begin(), pods.end(), [](auto* one, auto* other) { return one->id < other->id; });
         const auto subsetSize = limits::subsetSize(pods.size(), sidecars);
         preferredPods = limits::subset(pods, static_cast<std::uint32_t>(self), subsetSize);
-        probeBudget.rate(limits::probeRate(pods.size(), sidecars));
+        probeBudget.setRate(limits::probeRate(pods.size(), sidecars));
         trialBuilds.clear();
         for (auto* pod : pods)
             if (onTrial(*pod->build) &&
--- a/src/policy/votes.hpp
+++ b/src/policy/votes.hpp
@@ -92,7 +92,7 @@
             const auto stage = static_cast<unsigned>(ballot.stage);
             const auto topic = static_cast<std::uint64_t>(ballot.build) << 32 | stage;
             const auto index = static_cast<std::uint32_t>(self);
-            ownVote.queueTurn = now + limits::turn(topic, index, sidecars, settings.votesPerSecond);
+            ownVote.queueTurn = now + limits::queueDelay(topic, index, sidecars, settings.votesPerSecond);
             ownVote.rejections = 0;
         }
         if (now < std::max(ownVote.notBefore, ownVote.queueTurn)) return;
--- a/src/sidecar/discovery_client.cpp
+++ b/src/sidecar/discovery_client.cpp
@@ -6,14 +6,15 @@
 namespace lichenlanding::sidecar {
 
 DiscoveryClient::DiscoveryClient(EventLoop& loop, const Address& address, Nanos connectTimeout,
-                                 limits::Reopening reopening, const std::vector<std::string>& zones,
-                                 UpstreamPool& upstreams, EndpointHandler onEndpoints)
+                                 limits::ReconnectBackoff reconnectBackoff,
+                                 const std::vector<std::string>& zones, UpstreamPool& upstreams,
+                                 EndpointHandler onEndpoints)
     : loop_(loop),
       zones_(zones),
       upstreams_(upstreams),
       onEndpoints_(std::move(onEndpoints)),
       watch_(
-          loop, address, LogEvent::discovery, connectTimeout, kIdleTimeout, reopening,
+          loop, address, LogEvent::discovery, connectTimeout, kIdleTimeout, reconnectBackoff,
           [this] { return watchPath(); }, [this](std::string_view json) { return onLine(json); }) {}
 
 void DiscoveryClient::start(const std::optional<EndpointList>& known) {
--- a/src/sidecar/discovery_client.hpp
+++ b/src/sidecar/discovery_client.hpp
@@ -16,7 +16,7 @@
 
     /// `zones`: names, by the index that updates carry. Must outlive this, as must `upstreams`.
     DiscoveryClient(EventLoop& loop, const Address& address, Nanos connectTimeout,
-                    limits::Reopening reopening, const std::vector<std::string>& zones,
+                    limits::ReconnectBackoff reconnectBackoff, const std::vector<std::string>& zones,
                     UpstreamPool& upstreams, EndpointHandler onEndpoints);
 
     void start(const std::optional<EndpointList>& known);
--- a/src/sidecar/platform_client.cpp
+++ b/src/sidecar/platform_client.cpp
@@ -11,8 +11,8 @@
 }  // namespace
 
 PlatformClient::PlatformClient(EventLoop& loop, const Address& address, Nanos connectTimeout,
-                               Nanos voteTimeout, limits::Reopening reopening, UpdateHandler onUpdate,
-                               DisputeHandler onDispute)
+                               Nanos voteTimeout, limits::ReconnectBackoff reconnectBackoff,
+                               UpdateHandler onUpdate, DisputeHandler onDispute)
     : loop_(loop),
       address_(address),
       connectTimeout_(connectTimeout),
@@ -20,7 +20,7 @@
       onUpdate_(std::move(onUpdate)),
       onDispute_(std::move(onDispute)),
       watch_(
-          loop, address, LogEvent::platform, connectTimeout, kIdleTimeout, reopening,
+          loop, address, LogEvent::platform, connectTimeout, kIdleTimeout, reconnectBackoff,
           [] { return paths::kRolloutWatch; }, [this](std::string_view json) { return onLine(json); }) {}
 
 // Each vote has a connection of its own: votes are rare, and the other side may have dropped an idle one.
--- a/src/sidecar/platform_client.hpp
+++ b/src/sidecar/platform_client.hpp
@@ -17,7 +17,8 @@
     using DisputeHandler = std::function<void(const Dispute&)>;
 
     PlatformClient(EventLoop& loop, const Address& address, Nanos connectTimeout, Nanos voteTimeout,
-                   limits::Reopening reopening, UpdateHandler onUpdate, DisputeHandler onDispute);
+                   limits::ReconnectBackoff reconnectBackoff, UpdateHandler onUpdate,
+                   DisputeHandler onDispute);
 
     void start() { watch_.start(true); }
     /// Votes in flight end at the old address.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -46,16 +46,17 @@
       upstreams_(loop_, config_.settings.connectTimeout, config_.settings.idleTimeout,
                  upstreamConnections(config_.sockets)),
       policy_(config_.settings, config_.seed, *this),
-      discovery_(loop_, config_.discovery, config_.settings.connectTimeout,
-                 limits::Reopening(DiscoveryClient::kIdleTimeout, discoverySeed(config_), config_.settings),
-                 config_.settings.zones, upstreams_,
-                 [this](bool complete, const std::vector<EndpointUpdate>& updates) {
-                     onEndpoints(complete, updates);
-                 }),
+      discovery_(
+          loop_, config_.discovery, config_.settings.connectTimeout,
+          limits::ReconnectBackoff(DiscoveryClient::kIdleTimeout, discoverySeed(config_), config_.settings),
+          config_.settings.zones, upstreams_,
+          [this](bool complete, const std::vector<EndpointUpdate>& updates) {
+              onEndpoints(complete, updates);
+          }),
       platform_(
           loop_, config_.platform, config_.settings.connectTimeout, config_.settings.voteTimeout,
           // Not spread over the fleet: votes wait for it.
-          limits::Reopening(PlatformClient::kIdleTimeout, platformSeed(config_)),
+          limits::ReconnectBackoff(PlatformClient::kIdleTimeout, platformSeed(config_)),
           [this](const RolloutUpdate& update, bool answer, Outcome answered) {
               onRolloutUpdate(update, answer, answered);
           },
--- a/src/sidecar/watch_stream.cpp
+++ b/src/sidecar/watch_stream.cpp
@@ -12,25 +12,25 @@
 }  // namespace
 
 WatchStream::WatchStream(EventLoop& loop, Address address, LogEvent event, Nanos connectTimeout,
-                         Nanos idleTimeout, limits::Reopening reopening, PathProvider path,
+                         Nanos idleTimeout, limits::ReconnectBackoff reconnectBackoff, PathProvider path,
                          LineHandler onLine)
     : loop_(loop),
       address_(std::move(address)),
       event_(event),
       connectTimeout_(connectTimeout),
       idleTimeout_(idleTimeout),
-      reopening_(reopening),
+      reconnectBackoff_(reconnectBackoff),
       path_(std::move(path)),
       onLine_(std::move(onLine)),
       idleTimer_(loop,
                  [this] {
                      close("idle time-out");
-                     reopenTimer_.start(reopening_.soon());  // the time-out was backoff enough
+                     reopenTimer_.start(reconnectBackoff_.initialDelay());  // the time-out was backoff enough
                  }),
       reopenTimer_(loop, [this] { open(); }) {}
 
 void WatchStream::start(bool atOnce) {
-    if (const auto wait = atOnce ? 0 : reopening_.soon(); wait > 0) reopenTimer_.start(wait);
+    if (const auto wait = atOnce ? 0 : reconnectBackoff_.initialDelay(); wait > 0) reopenTimer_.start(wait);
     else open();
 }
 
@@ -50,7 +50,7 @@
 void WatchStream::setAddress(const Address& address) {
     close("address changed");
     address_ = address;
-    reopening_.stood();
+    reconnectBackoff_.reset();
     reopenTimer_.stop();
     open();
 }
@@ -79,7 +79,7 @@
             return close("malformed line");
         }
     }
-    reopening_.stood();
+    reconnectBackoff_.reset();
     if (!std::exchange(established_, true)) log(event_, "watch on " + address_.text() + " established");
 }
 
@@ -91,7 +91,7 @@
         connection_->discard();
         loop_.releaseLater(std::exchange(connection_, nullptr));
     }
-    reopenTimer_.start(reopening_.next(retryAfter));
+    reopenTimer_.start(reconnectBackoff_.nextDelay(retryAfter));
 }
 
 }  // namespace lichenlanding::sidecar
--- a/src/sidecar/watch_stream.hpp
+++ b/src/sidecar/watch_stream.hpp
@@ -13,12 +13,12 @@
     /// Handles one line that is not empty; false if it is malformed: the stream is reopened.
     using LineHandler = std::function<bool(std::string_view)>;
 
-    /// `idleTimeout`: without a byte, after which it is reopened. `reopening` spaces the openings. Gains and
-    /// losses are logged as `event`.
+    /// `idleTimeout`: without a byte, after which it is reopened. `reconnectBackoff` spaces the openings.
+    /// Gains and losses are logged as `event`.
     WatchStream(EventLoop& loop, Address address, LogEvent event, Nanos connectTimeout, Nanos idleTimeout,
-                limits::Reopening reopening, PathProvider path, LineHandler onLine);
+                limits::ReconnectBackoff reconnectBackoff, PathProvider path, LineHandler onLine);
 
-    /// At once, else when `reopening` says.
+    /// At once, else when `reconnectBackoff` says.
     void start(bool atOnce);
     /// Reopens it there at once.
     void setAddress(const Address& address);
@@ -33,7 +33,7 @@
     Address address_;
     LogEvent event_;
     Nanos connectTimeout_, idleTimeout_;
-    limits::Reopening reopening_;
+    limits::ReconnectBackoff reconnectBackoff_;
     PathProvider path_;
     LineHandler onLine_;
     Timer idleTimer_, reopenTimer_;
--- a/tests/limits/fleet.cpp
+++ b/tests/limits/fleet.cpp
@@ -8,14 +8,14 @@
 using namespace lichenlanding::limits;
 
 TEST_CASE("a bucket: full at first, refilled at its rate, never above its burst; the fleet's shares") {
-    Bucket bucket(2.0, 3);
+    TokenBucket bucket(2.0, 3);
     for (int token = 0; token < 3; ++token) CHECK(bucket.take(0));
     CHECK(!bucket.take(400 * kMs));  // 0.8 of a token
     CHECK(bucket.take(500 * kMs));
     CHECK(!bucket.take(100 * kMs));  // a time gone by adds nothing
-    bucket.rate(0);
+    bucket.setRate(0);
     CHECK(!bucket.take(60000 * kMs));
-    CHECK_THROWS_AS(Bucket(1, 0.5), std::invalid_argument);
+    CHECK_THROWS_AS(TokenBucket(1, 0.5), std::invalid_argument);
     CHECK(probeRate(150, 300) == doctest::Approx(0.5));
     CHECK(subsetSize(150, 300) == 12);
     CHECK(subsetSize(20, 3) == 20);     // a small tier meets all its pods
@@ -94,9 +94,9 @@
         lichenlanding::Nanos latest = 0;
         int atOnce = 0;
         for (int sidecar = 0; sidecar < sidecars; ++sidecar) {
-            Reopening reopening(6000 * kMs, static_cast<std::uint32_t>(sidecar), custom);
-            latest = std::max({latest, reopening.soon(), reopening.next()});
-            atOnce += reopening.next() < 1000 * kMs;
+            ReconnectBackoff reopening(6000 * kMs, static_cast<std::uint32_t>(sidecar), custom);
+            latest = std::max({latest, reopening.initialDelay(), reopening.nextDelay()});
+            atOnce += reopening.nextDelay() < 1000 * kMs;
         }
         CHECK(latest <= (sidecars < 16 ? 75 * kMs : 1075 * kMs));
         CHECK(atOnce <= 2 * 16);  // by chance; a small tier as it always did
--- a/tests/sidecar/discovery_client.cpp
+++ b/tests/sidecar/discovery_client.cpp
@@ -10,15 +10,16 @@
     HttpStandIn registry(fixture.loop, [&](auto& standIn, auto* request) { standIn.hold(request); });
     UpstreamPool pool(fixture.loop, 5000 * kMs, 15000 * kMs, 10);
     const std::vector<std::string> zones = {"a", "b"};
-    DiscoveryClient discovery(
-        fixture.loop, registry.address, 5000 * kMs, limits::Reopening(DiscoveryClient::kIdleTimeout, 1),
-        zones, pool, [&](bool whole, std::vector<EndpointUpdate> lines) {
-            fixture.trace << (whole ? "whole:" : "changes:");
-            for (const auto& line : lines)
-                fixture.trace << ' ' << static_cast<UpstreamHost*>(line.pod)->name << " zone " << line.zone
-                              << " build " << line.build << " state " << static_cast<int>(line.availability);
-            fixture.trace << '\n';
-        });
+    DiscoveryClient discovery(fixture.loop, registry.address, 5000 * kMs,
+                              limits::ReconnectBackoff(DiscoveryClient::kIdleTimeout, 1), zones, pool,
+                              [&](bool whole, std::vector<EndpointUpdate> lines) {
+                                  fixture.trace << (whole ? "whole:" : "changes:");
+                                  for (const auto& line : lines)
+                                      fixture.trace << ' ' << static_cast<UpstreamHost*>(line.pod)->name
+                                                    << " zone " << line.zone << " build " << line.build
+                                                    << " state " << static_cast<int>(line.availability);
+                                  fixture.trace << '\n';
+                              });
     const auto entry = [](const char* id, const char* zone, const char* phase) {
         return std::string(R"({"id":")") + id + R"(","host_port":"127.0.0.1:9","locality":")" + zone +
                R"(","cell":3,"phase":")" + phase + R"(","up_since_ms":0,"image_id":41,"odd":[1]})";
--- a/tests/sidecar/platform_client.cpp
+++ b/tests/sidecar/platform_client.cpp
@@ -18,7 +18,7 @@
     int received = 0;
     PlatformClient client(
         fixture.loop, platform.address, 5000 * kMs, 1500 * kMs,
-        limits::Reopening(PlatformClient::kIdleTimeout, 1),
+        limits::ReconnectBackoff(PlatformClient::kIdleTimeout, 1),
         [&](const RolloutUpdate& update, bool isAnswer, Outcome outcome) {
             ++received;
             fixture.trace << (isAnswer ? "answer " : "news ") << outcomeName(outcome) << " build "
--- a/tests/sidecar/upstream_pool.cpp
+++ b/tests/sidecar/upstream_pool.cpp
@@ -75,7 +75,7 @@
     const std::vector<std::string> zones = {"a"};
     std::map<int, Build> builds;
     DiscoveryClient discovery(fixture.loop, registry.address, 5000 * kMs,
-                              limits::Reopening(DiscoveryClient::kIdleTimeout, 1), zones, pool,
+                              limits::ReconnectBackoff(DiscoveryClient::kIdleTimeout, 1), zones, pool,
                               [&](bool, std::vector<EndpointUpdate> lines) {
                                   for (auto& line : lines) {  // as the decisions do
                                       line.pod->startedAt = line.startedAt;
