--- a/src/limits/fleet.cpp
+++ b/src/limits/fleet.cpp
@@ -73,8 +73,8 @@
 
 ReconnectBackoff::ReconnectBackoff(Nanos longestWait, std::uint32_t seed, const Settings& told)
     : ReconnectBackoff(longestWait, seed) {
-    if (told.balancers <= told.votesPerSecond) return;
-    round_ = static_cast<Nanos>(told.balancers / told.votesPerSecond * kNanosPerSecond);
+    if (told.sidecarCount <= told.votesPerSecond) return;
+    round_ = static_cast<Nanos>(told.sidecarCount / told.votesPerSecond * kNanosPerSecond);
     spread_ = within_ = std::min(round_, told.drainGrace / 2);
 }
 
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -163,7 +163,7 @@
         random.seed(mix);
         epoch = static_cast<std::uint32_t>(random()) | 1U;
         self = settings.index;
-        sidecars = std::max(settings.balancers, 1);
+        sidecars = std::max(settings.sidecarCount, 1);
         for (int peer = 0; peer < sidecars; ++peer) allPeers.push_back(peer);
         maxAttempts = std::min(settings.maxAttempts, 1 + kMaxRetries);
         lastStage = static_cast<int>(settings.caps.size()) - 1;
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -51,7 +51,7 @@
 
 /// The settings of a sidecar; readSettings() names the keys they are read from.
 struct Settings {
-    int index = 0, balancers = 1, zone = 0;  ///< this sidecar's index among `balancers`; its zone's in zones
+    int index = 0, sidecarCount = 1, zone = 0;  ///< own index among `sidecarCount`; own zone in zones
     std::vector<std::string> zones;
     std::vector<PathGroup> groups;
     bool peerMessages = false, cancellationAllowed = false, probesAllowed = false, hedgingAllowed = false;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -18,7 +18,7 @@
 
     std::string text(const std::string& key) const {
         const auto found = values_.find(key);
-        if (found == values_.end()) throw MissingSetting("missing setting " + key);
+        if (found == values_.end()) throw SettingError("missing setting " + key);
         return found->second;
     }
     std::string text(const std::string& key, const char* otherwise) const {
@@ -27,7 +27,7 @@
     double number(const std::string& key) const {
         double value = 0;
         if (!parse(std::string_view(text(key)), value) || !std::isfinite(value))
-            throw MissingSetting("unreadable setting " + key);
+            throw SettingError("unreadable setting " + key);
         return value;
     }
     double number(const std::string& key, double otherwise) const {
@@ -91,7 +91,7 @@
 
 void readIdentity(const ValueReader& values, Settings& settings) {
     settings.index = values.integer("index");
-    settings.balancers = values.integer("balancers");
+    settings.sidecarCount = values.integer("balancers");
     settings.zones = values.list("zones");
     for (std::size_t zone = 0; zone < settings.zones.size(); ++zone)
         if (settings.zones[zone] == values.text("zone", "")) settings.zone = static_cast<int>(zone);
@@ -123,7 +123,7 @@
     settings.voteMode = voteModeOf(values.text("extra.voteMode"));
     for (const auto& cap : values.list("extra.caps")) {
         double value = 0;
-        if (!parse(std::string_view(cap), value)) throw MissingSetting("unreadable setting extra.caps");
+        if (!parse(std::string_view(cap), value)) throw SettingError("unreadable setting extra.caps");
         settings.caps.push_back(value);
     }
     settings.freeAttempts = values.number("extra.free");
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -12,7 +12,7 @@
 namespace lichenlanding {
 
 /// A setting that the policy needs and that is missing or cannot be parsed; what() names the key.
-struct MissingSetting : std::runtime_error {
+struct SettingError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -20,7 +20,7 @@
 /// its items under ".0", ".1" and so on.
 using NamedValues = std::map<std::string, std::string, std::less<>>;
 
-/// Throws MissingSetting. Values with unknown paths are skipped.
+/// Throws SettingError. Values with unknown paths are skipped.
 Settings readSettings(const NamedValues& values);
 
 }  // namespace lichenlanding
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -25,7 +25,7 @@
 }
 
 void require(bool present, const char* name) {
-    if (!present) throw MissingSetting(std::string("missing setting ") + name);
+    if (!present) throw SettingError(std::string("missing setting ") + name);
 }
 
 void overrideFrom(const char* variable, std::string& field) {
--- a/src/sidecar/config.hpp
+++ b/src/sidecar/config.hpp
@@ -19,7 +19,7 @@
 };
 
 /// All of these throw with one line that names the field which is missing or cannot be read:
-/// std::invalid_argument or MissingSetting.
+/// std::invalid_argument or SettingError.
 Config readConfig(const std::string& path);
 Config configOf(const RawConfig& raw);
 /// From the file $RELAY_CONFIG, where $RELAY_NAME, $RELAY_LISTEN and $RELAY_DISCOVERY override its values.
--- a/tests/limits/fleet.cpp
+++ b/tests/limits/fleet.cpp
@@ -49,7 +49,7 @@
 // and met 27 to 36 pods in 10 s; hits drawn from all pods make every sidecar a caller of every pod.
 TEST_CASE("a sidecar of a large fleet probes within its share and sends to its subset, else to others") {
     auto custom = testSettings();
-    custom.balancers = 300;
+    custom.sidecarCount = 300;
     custom.index = 17;
     custom.probesAllowed = custom.reportsOnProbes = true;
     PolicyFixture scene(custom);
@@ -89,7 +89,7 @@
 TEST_CASE("openings: soon at a start and after a loss, within the rate once they are refused") {
     for (int sidecars : {3, 100, 300}) {
         auto custom = testSettings();
-        custom.balancers = sidecars;
+        custom.sidecarCount = sidecars;
         custom.votesPerSecond = 16;
         lichenlanding::Nanos latest = 0;
         int atOnce = 0;
--- a/tests/policy/fleet.cpp
+++ b/tests/policy/fleet.cpp
@@ -6,7 +6,7 @@
 struct Fleet {
     Fleet() {
         auto custom = testSettings();
-        custom.balancers = 100;
+        custom.sidecarCount = 100;
         custom.votesPerSecond = 16;
         custom.onVotesNeeded = 50;
         for (custom.index = 0; custom.index < 100; ++custom.index)
--- a/tests/policy/routing.cpp
+++ b/tests/policy/routing.cpp
@@ -81,7 +81,7 @@
 
 TEST_CASE("voters send all peers which pods are slower than the rest, from pooled outcomes") {
     auto custom = testSettings();
-    custom.balancers = 3;  // all of them voters
+    custom.sidecarCount = 3;  // all of them voters
     PolicyFixture scene(custom);
     for (std::uint32_t id = 1; id <= 4; ++id) scene.listPod(id, 5);
     Message seen{
--- a/tests/policy/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -137,7 +137,7 @@
 
 TEST_CASE("other sidecars cast what most voters say, and renew it") {
     auto custom = testSettings();
-    custom.balancers = 8;
+    custom.sidecarCount = 8;
     std::string tapes;
     int echoed = 0;
     for (int index = 0; index < 8; ++index) {
@@ -293,7 +293,7 @@
         auto custom = testSettings();
         custom.attestationRequired = true;
         custom.voteMode = control;
-        custom.balancers = 1;
+        custom.sidecarCount = 1;
         custom.caps = {0.2, 0.6, 1};
         PolicyFixture scene(custom);
         scene.note(control == VoteMode::timed ? "the clock goes on" : "votes");
--- a/tests/support/policy_fixture.hpp
+++ b/tests/support/policy_fixture.hpp
@@ -12,7 +12,7 @@
 inline Settings testSettings() {
     Settings settings;
     settings.index = 0;
-    settings.balancers = 3;
+    settings.sidecarCount = 3;
     settings.zones = {"a", "b"};
     settings.groups = {
         {"read", 1000 * kMs, 2500 * kMs, 1, Effect::idempotent, DedupScope::all, 0, false, 0},
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -23,7 +23,7 @@
         config.seed = 7;
         config.sockets = descriptors;
         config.settings = testSettings();
-        config.settings.balancers = 1;
+        config.settings.sidecarCount = 1;
         config.settings.connectTimeout = 5000 * kMs;
         config.settings.idleTimeout = 15000 * kMs;
         config.settings.clockGranularity = 5 * kMs;
