--- a/src/limits/fleet.hpp
+++ b/src/limits/fleet.hpp
@@ -1,21 +1,20 @@
-// What one sidecar may spend by itself, so that the sidecars of a tier together stay within what the pods
-// take.
+// Limits of a single sidecar, so that all sidecars of a fleet together stay within what pods and platform can
+// serve.
 //
-// A sidecar of a fleet sees few hits: what it learns alone comes late, and what it does alone is paid
-// hundreds of times over. Two bounds follow (docs/design/fleet.md):
+// A sidecar of a large fleet handles few requests: it learns little and late by itself, and whatever it sends
+// is multiplied by hundreds of sidecars. The limits are (docs/design/fleet.md):
 //
-//   - probes: a pod is probed about `probesPerPod` times a second by all sidecars together, so one sidecar
-//     may send `probesPerPod * pods / sidecars` a second, through a bucket that smooths bursts;
-//   - pods met: each sidecar prefers a small subset of the pods, drawn by rendezvous hashing of its index and
-//     the pod's id, large enough that every pod is in the subsets of about
-//     `sidecarsPerPod` sidecars. A pod stays in a sidecar's subset while it is listed; only pods that come or
-//     go move the others;
-//   - votes: the platform takes `perSecond` calls from all sidecars together. Each sidecar has a place in a
-//     queue drawn anew for every stage, and waits for its turn;
-//   - openings of the watch on the list: spread over a round of the fleet.
+//   - Probes: all sidecars together probe a pod about kProbesPerPod times a second. So one sidecar may send
+//     kProbesPerPod * pods / sidecars probes a second, limited by a token bucket.
+//   - Subsetting: each sidecar prefers a small subset of the pods, chosen by rendezvous hashing of its own
+//     index and the pod's id, so that every pod is in the subsets of about kSidecarsPerPod sidecars. A pod
+//     stays in a sidecar's subset while it is listed, except for changes when pods join or leave.
+//   - Votes: the platform accepts a limited rate of calls from all sidecars together. Each sidecar has a
+//     place in a queue, which is shuffled anew for every stage, and waits for its turn.
+//   - Watches of the endpoint list: reconnects are spread over the fleet.
 //
-// Pure: no clock, no I/O; times come in as arguments (monotonic nanoseconds), ids as numbers that every
-// sidecar sees alike. Throws std::invalid_argument for figures out of range, nothing else.
+// Pure: no clock, no I/O. Times are arguments (nanoseconds of a monotonic clock), ids are numbers that are
+// the same at every sidecar. Throws std::invalid_argument for arguments out of range, nothing else.
 #pragma once
 
 #include <algorithm>
@@ -29,68 +28,68 @@
 
 namespace lichenlanding::limits {
 
-constexpr double kProbesPerPod = 1.0;   // a second, by all sidecars of a tier together
-constexpr double kSidecarsPerPod = 24;  // whose subsets hold a pod, about
-// Pods a sidecar prefers at least, so that a few lost ones leave choice.
+constexpr double kProbesPerPod = 1.0;   // per second, by all sidecars together
+constexpr double kSidecarsPerPod = 24;  // average number of sidecars with a pod in their subset
+// Minimum, so that there is a choice left when a few pods are lost.
 constexpr std::size_t kMinSubsetSize = 6;
 
-// Tokens that come at a steady rate up to a burst. The first take finds the bucket full.
+// Token bucket, full at first.
 class TokenBucket {
   public:
-    // perSecond >= 0, burst >= 1.
+    // Requires perSecond >= 0 and burst >= 1.
     TokenBucket(double perSecond, double burst);
 
-    // One token, if one is there at `now` (monotonic nanoseconds; a time before the last one counts as it).
+    // Takes a token if one is available at `now` (monotonic nanoseconds; an earlier time than before counts
+    // as the latest one).
     bool take(Nanos now);
-    void setRate(double perSecond);  // from now on; what is in the bucket stays
+    void setRate(double perSecond);  // keeps the tokens in the bucket
 
   private:
     void fill(Nanos now);
 
     double perSecond_, burst_, tokens_;
-    Nanos at_ = -1;
+    Nanos filledAt_ = -1;
 };
 
-// Probes a second for one of `sidecars` sidecars before `pods` pods. 0 where there are no pods.
+// Probes a second that one of `sidecars` sidecars may send to `pods` pods. 0 without pods.
 double probeRate(std::size_t pods, int sidecars);
 
-// How many pods one of `sidecars` sidecars prefers among `pods`: all of them in a small tier.
+// How many of `pods` pods one of `sidecars` sidecars prefers: all of them in a small fleet.
 std::size_t subsetSize(std::size_t pods, int sidecars);
 
-// How long one of `sidecars` sidecars waits with its call about `about` (a number that all know alike), so
-// that no second brings the platform more than the `perSecond` calls it takes from all: the first second's
-// calls go at once, the others in the order of a hash, at that rate. 0 in a tier that is no larger than the
-// rate.
-Nanos queueDelay(std::uint64_t about, std::uint32_t sidecar, int sidecars, double perSecond);
-
-// When a watch that ended is opened again. Openings are calls that all sidecars make in one instant, since
-// whatever cuts one off cuts off many; a party that is asked for more than it takes lets each wait and then
-// turns it away, having worked for it all the same, and the next round finds it as busy. So openings that
-// were refused come back over the time in which `perSecond` calls a second would take the whole fleet, each
-// further time over twice as long, up to eight times. The first ones, at a start and after a loss, wait no
-// longer than `within`: a sidecar that has not asked is held to what it would have been told. A tier no
-// larger than the rate is not spread.
+// How long a sidecar delays its call on `topic` (a number that is the same at all sidecars), so that the
+// platform gets at most `perSecond` calls a second from all: the first second's calls are sent at once, the
+// others in the order of a hash at that rate. 0 in a fleet that is no larger than the rate.
+Nanos queueDelay(std::uint64_t topic, std::uint32_t sidecar, int sidecars, double perSecond);
+
+// Backoff before a watch (a streaming request) is reopened. A failure that ends one watch usually ends those
+// of many sidecars, which then all reconnect at the same time. An overloaded server keeps each request
+// waiting and rejects it in the end, with the work done in vain, and is as busy in the next round. So
+// rejected requests are retried over the time in which the whole fleet can reconnect at
+// Settings::votesPerSecond calls a second, and over twice as long each further time, up to eight times. The
+// first request after a start or a loss is delayed by at most half of Settings::drainGrace, because a sidecar
+// without the list misses pods that drain. A fleet that is no larger than the rate is not spread.
 class ReconnectBackoff {
   public:
-    // A watch of one sidecar that goes by itself: 50 ms before the second opening, then twice as long each
-    // time up to longestWait.
-    ReconnectBackoff(Nanos longestWait, std::uint32_t seed);
-    // The watch on the list, spread over the fleet: `within` is half of the time that drains leave.
-    ReconnectBackoff(Nanos longestWait, std::uint32_t seed, const Settings& told);
+    // Exponential backoff without regard to the fleet: 50 ms before the first retry, then twice as long each
+    // time up to maxWait.
+    ReconnectBackoff(Nanos maxWait, std::uint32_t seed);
+    // The same, with retries spread over the fleet.
+    ReconnectBackoff(Nanos maxWait, std::uint32_t seed, const Settings& settings);
 
-    Nanos initialDelay();                   // of an opening that nobody has refused
-    Nanos nextDelay(Nanos retryAfter = 0);  // from an end, or a refusal that advises to wait so long
-    void reset();                           // the watch has brought something: the next loss is a first one
+    Nanos initialDelay();                   // delay of a request that was not rejected before
+    Nanos nextDelay(Nanos retryAfter = 0);  // after a failure; `retryAfter`: from the rejection
+    void reset();                           // the watch has received data: the backoff starts over
 
   private:
-    Nanos part(Nanos span);  // by chance
+    Nanos randomPart(Nanos span);  // between 0 and `span`
 
-    Nanos longestWait_, wait_, round_ = 0, within_ = 0, spread_ = 0;
-    std::mt19937 chance_;
+    Nanos maxWait_, wait_, fleetRound_ = 0, firstSpread_ = 0, spread_ = 0;
+    std::mt19937 random_;
 };
 
-// Rendezvous hashing: the `count` items of lowest key (all if there are no more), lowest first. Keys are told
-// apart to the last, so the choice does not depend on the order of `items`.
+// Rendezvous hashing: the `count` items of lowest key (all if there are fewer), lowest first. Keys must be
+// unique, so that the choice does not depend on the order of `items`.
 template <typename Item, typename Key>
 std::vector<Item> lowest(const std::vector<Item>& items, std::size_t count, Key key) {
     std::vector<std::pair<decltype(key(items.front())), Item>> ranked;
@@ -105,7 +104,7 @@
     return chosen;
 }
 
-// The `size` pods that `sidecar` prefers, by id; the choice depends on the pods' ids alone.
+// The `size` pods that `sidecar` prefers, sorted by id. The choice depends on the pods' ids only.
 std::vector<Pod*> subset(const std::vector<Pod*>& pods, std::uint32_t sidecar, std::size_t size);
 
 }  // namespace lichenlanding::limits
