--- a/src/adapter/instance.cpp
+++ b/src/adapter/instance.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 constexpr std::int64_t kMaxPodId = 0xffffffffLL;
-constexpr std::int64_t kMaxIndex = 1 << 20;  // of attempts, peers and stages
+constexpr std::int64_t kMaxIndex = 1 << 20;  // largest index of an attempt, peer or stage
 constexpr std::int64_t kMaxBuild = 65535;
 constexpr std::int64_t kMaxCount = 1LL << 40;
-// Bits of a request's marks.
+// Bits of a request's "marks" field.
 constexpr std::int64_t kCostKnown = 1, kRetry = 2;
 
 }  // namespace
@@ -36,55 +36,55 @@
     if (name == "RETURNED") return handleFlagged(line);
     if (name == "HEAD_RECEIVED") return handleResponseHeaders(line);
     if (name == "SAMPLED") return handleSample(line);
-    if (name == "ECHO") return handleProbed(line);
+    if (name == "ECHO") return handleProbeAnswer(line);
     if (name != "WAKE") throw ParseError("cannot read " + std::string(name) + ": field message name");
-    line.word("tag");
+    line.string("tag");
     policy_.onTimer();
 }
 
 void Instance::handleNewRequest(LineReader& line) {
     auto request = std::make_unique<Request>();
-    request->id = line.word("tid");
-    request->key = line.wordOr("", "affinity");
+    request->id = line.string("tid");
+    request->key = line.stringOr("", "affinity");
     const auto marks = line.integer("marks", 0, kMaxCount);
     request->isRetry = (marks & kRetry) != 0;
     request->group = &readGroup(line, "profile");
     request->deadline = line.time("clientDeadlineMs");
-    line.word("realm");
+    line.string("realm");
     const auto cost = line.timeOr(0, "workMs");
     if (marks & kCostKnown) request->cost = cost;
     auto& slot = requests_[request->id];
     slot = std::move(request);
-    auto* taken = slot.get();
-    policy_.onRequest(*taken);
-    releaseIfOver(taken);
+    auto* accepted = slot.get();
+    policy_.onRequest(*accepted);
+    releaseIfDone(accepted);
 }
 
 void Instance::handleOutcome(LineReader& line) {
-    auto* request = findRequest(line.word("tid"));
+    auto* request = findRequest(line.string("tid"));
     const auto outcome = readOutcome(line, "rc");
     const auto latency = line.time("costTimeMs");
     auto* attempt = findAttempt(request, line.integer("shot", 0, kMaxIndex));
     auto& target = readPod(line);
     const bool clientDone = line.boolean("closed");
-    if (const auto inFlight = line.loadFigure("feedback", "inflight"); inFlight >= 0)
+    if (const auto inFlight = line.loadValue("feedback", "inflight"); inFlight >= 0)
         policy_.onLoadReport(target, inFlight);
     if (!attempt || !attempt->inFlight) return;
     policy_.onOutcome(*attempt, outcome, latency, clientDone);
-    releaseIfOver(request);
+    releaseIfDone(request);
 }
 
 void Instance::handleResponseHeaders(LineReader& line) {
-    auto* request = findRequest(line.word("tid"));
+    auto* request = findRequest(line.string("tid"));
     if (auto* attempt = findAttempt(request, line.integer("shot", 0, kMaxIndex)))
         policy_.onResponseHeaders(*attempt);
 }
 
 void Instance::handleDisconnect(LineReader& line) {
-    auto* request = findRequest(line.word("tid"));
+    auto* request = findRequest(line.string("tid"));
     if (!request) return;
     policy_.onClientDisconnect(*request);
-    releaseIfOver(request);
+    releaseIfDone(request);
 }
 
 void Instance::handleFlagged(LineReader& line) {
@@ -93,15 +93,15 @@
     policy_.onFlaggedResponse(source, age, readGroup(line, "profile"));
 }
 
-void Instance::handleProbed(LineReader& line) {
+void Instance::handleProbeAnswer(LineReader& line) {
     readOutcome(line, "rc");
     auto& probed = readPod(line);
     line.time("costTimeMs");
-    if (const auto inFlight = line.loadFigure("feedback", "inflight"); inFlight >= 0)
+    if (const auto inFlight = line.loadValue("feedback", "inflight"); inFlight >= 0)
         policy_.onLoadReport(probed, inFlight);
 }
 
-// The policy does not use samples; the line is checked all the same.
+// The policy does not use samples; the line is only validated.
 void Instance::handleSample(LineReader& line) {
     line.integer("edition", 0, kMaxBuild);
     readGroup(line, "profile");
@@ -110,7 +110,7 @@
 }
 
 void Instance::handleEndpoints(LineReader& line, const std::vector<EndpointRow>* ledgers) {
-    const auto scope = line.word("scope");
+    const auto scope = line.string("scope");
     if (scope == "error") return policy_.onEndpointsUnavailable();
     if (scope != "diff" && scope != "snapshot" && scope != "disk") line.fail("scope");
     line.integerOr(0, "seqNo", 0, 1LL << 62);
@@ -124,16 +124,16 @@
     policy_.onEndpoints(scope != "diff", updates);
 }
 
-// An answer that is not `completed` tells nothing of the build, and its fields may be absent.
+// An answer other than `completed` carries no rollout state; its fields may be absent.
 void Instance::handleRolloutUpdate(LineReader& line) {
     const auto build = static_cast<int>(line.integerOr(-1, "edition", -1, kMaxBuild));
     const auto stage = static_cast<int>(line.integerOr(-1, "ring", -1, kMaxIndex));
     const auto state = std::max<std::int64_t>(line.integerOr(-1, "standing", -1, 3), 0);
     const bool answer = line.integer("reason", 0, 1) == 1;
-    const auto answered = readOutcome(line, "rc");
+    const auto answerOutcome = readOutcome(line, "rc");
     const auto cap = line.numberOr(0, "cap");
     const auto age = line.timeOr(0, "ageMs");
-    policy_.onRolloutUpdate(build, stage, static_cast<RolloutState>(state), answer, answered, cap, age);
+    policy_.onRolloutUpdate(build, stage, static_cast<RolloutState>(state), answer, answerOutcome, cap, age);
 }
 
 void Instance::handlePeerMessage(LineReader& line) {
@@ -165,13 +165,13 @@
 }
 
 const PathGroup& Instance::readGroup(LineReader& line, const char* field) {
-    const auto name = line.word(field);
+    const auto name = line.string(field);
     for (const auto& group : settings_.groups)
         if (group.name == name) return group;
     line.fail(field);
 }
 
-void Instance::releaseIfOver(Request* request) {
+void Instance::releaseIfDone(Request* request) {
     if (!request->ended) return;
     for (const auto& attempt : request->attempts)
         if (attempt.inFlight) return;
--- a/src/adapter/instance.hpp
+++ b/src/adapter/instance.hpp
@@ -1,4 +1,4 @@
-// One sidecar's policy behind the simulator's wire.
+// One sidecar's policy behind the simulator's line protocol.
 #pragma once
 
 #include <memory>
@@ -10,8 +10,8 @@
 
 namespace lichenlanding::adapter {
 
-/// Turns lines into events of a PolicyEngine, and its effects into lines. Owns the requests and pods that the
-/// lines name by id.
+/// Translates lines to events of a PolicyEngine, and its effects to lines. Owns the requests and pods, which
+/// lines refer to by id.
 class Instance final : private PolicyHost {
   public:
     /// Replies are appended to `output`, which must outlive the instance.
@@ -38,14 +38,14 @@
     Pod& pod(std::uint32_t id);
     Pod& readPod(LineReader& line);
     const PathGroup& readGroup(LineReader& line, const char* field);
-    void releaseIfOver(Request* request);
+    void releaseIfDone(Request* request);
 
     void handleNewRequest(LineReader& line);
     void handleOutcome(LineReader& line);
     void handleResponseHeaders(LineReader& line);
     void handleDisconnect(LineReader& line);
     void handleFlagged(LineReader& line);
-    void handleProbed(LineReader& line);
+    void handleProbeAnswer(LineReader& line);
     void handleSample(LineReader& line);
     void handleEndpoints(LineReader& line, const std::vector<EndpointRow>* ledgers);
     void handleRolloutUpdate(LineReader& line);
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -1,5 +1,5 @@
-// The adapter: batches of events on standard input, one reply of effects each on standard output. It hosts
-// any number of instances, which share nothing.
+// The simulator's adapter: reads batches of events from standard input and writes a reply with the effects of
+// each batch to standard output. It hosts any number of instances, which share no state.
 #include <array>
 #include <cstdio>
 #include <iostream>
@@ -16,7 +16,7 @@
 
 class Adapter {
   public:
-    /// Reads one batch and writes its reply; false at the end of the input. Throws ParseError.
+    /// Reads one batch and writes its reply. Returns false at the end of the input. Throws ParseError.
     bool handleBatch() {
         const auto first = readFirstLine();
         if (!first) return false;
@@ -67,11 +67,11 @@
     void startInstance(std::int64_t number, LineReader& line, Nanos now) {
         const auto seed = line.seed("nonce64");
         instances_.erase(number);
-        const auto settings = readSettings(readNamedValues(line.rest()));
+        const auto settings = readSettings(readNamedValues(line.remainingFields()));
         instances_[number] = std::make_unique<Instance>(number, settings, seed, now, output_);
     }
 
-    // An exception other than a line that cannot be parsed ends its instance alone.
+    // Except for ParseError, an exception ends only the instance that threw it.
     void handleEvent(LineReader& line, Nanos now) {
         if (line.messageName() == "LEDGER") return handleLedger(line);
         const auto number = line.integer("who", 0, 1LL << 32);
--- a/src/adapter/wire.cpp
+++ b/src/adapter/wire.cpp
@@ -8,11 +8,11 @@
 namespace lichenlanding::adapter {
 namespace {
 
-constexpr double kMaxMillis = 1e12;  // of a time on the wire
+constexpr double kMaxMillis = 1e12;  // largest accepted time
 constexpr std::string_view kAbsent = "-";
 
 Availability readAvailability(LineReader& line) {
-    const auto state = line.word("availability");
+    const auto state = line.string("availability");
     if (state == "U") return Availability::up;
     if (state == "L") return Availability::draining;
     if (state == "D") return Availability::removed;
@@ -30,20 +30,20 @@
     throw ParseError("cannot read " + std::string(messageName_) + ": field " + field);
 }
 
-std::string_view LineReader::word(const char* field) {
+std::string_view LineReader::string(const char* field) {
     if (next_ >= fields_.size()) fail(field);
     return fields_[next_++];
 }
 
-std::int64_t LineReader::integer(const char* field, std::int64_t least, std::int64_t most) {
+std::int64_t LineReader::integer(const char* field, std::int64_t min, std::int64_t max) {
     std::int64_t value = 0;
-    if (!parse(word(field), value) || value < least || value > most) fail(field);
+    if (!parse(string(field), value) || value < min || value > max) fail(field);
     return value;
 }
 
 double LineReader::number(const char* field) {
     double value = 0;
-    if (!parse(word(field), value) || !std::isfinite(value)) fail(field);
+    if (!parse(string(field), value) || !std::isfinite(value)) fail(field);
     return value;
 }
 
@@ -54,7 +54,7 @@
 }
 
 std::uint64_t LineReader::seed(const char* field) {
-    const auto text = word(field);
+    const auto text = string(field);
     std::uint64_t value = 0;
     std::int64_t negative = 0;
     if (parse(text, value)) return value;
@@ -65,7 +65,7 @@
 bool LineReader::boolean(const char* field) { return integer(field, 0, 1) == 1; }
 
 std::string LineReader::bytes(const char* field) {
-    const auto text = word(field);
+    const auto text = string(field);
     std::string bytes;
     if (text == kAbsent) return bytes;
     if (text.size() % 2) fail(field);
@@ -79,8 +79,8 @@
     return bytes;
 }
 
-double LineReader::loadFigure(const char* field, std::string_view name) {
-    const auto text = word(field);
+double LineReader::loadValue(const char* field, std::string_view name) {
+    const auto text = string(field);
     if (text == kAbsent || text.empty()) return -1;
     for (auto pair : split(text, ',')) {
         const auto colon = pair.find(':');
@@ -93,10 +93,11 @@
     return -1;
 }
 
-std::vector<std::string_view> LineReader::rest() {
-    std::vector<std::string_view> rest(fields_.begin() + static_cast<std::ptrdiff_t>(next_), fields_.end());
+std::vector<std::string_view> LineReader::remainingFields() {
+    std::vector<std::string_view> remaining(fields_.begin() + static_cast<std::ptrdiff_t>(next_),
+                                            fields_.end());
     next_ = fields_.size();
-    return rest;
+    return remaining;
 }
 
 bool LineReader::skipAbsent() {
@@ -105,45 +106,43 @@
     return true;
 }
 
-std::int64_t LineReader::integerOr(std::int64_t otherwise, const char* field, std::int64_t least,
-                                   std::int64_t most) {
-    return skipAbsent() ? otherwise : integer(field, least, most);
+std::int64_t LineReader::integerOr(std::int64_t fallback, const char* field, std::int64_t min,
+                                   std::int64_t max) {
+    return skipAbsent() ? fallback : integer(field, min, max);
 }
 
-double LineReader::numberOr(double otherwise, const char* field) {
-    return skipAbsent() ? otherwise : number(field);
+double LineReader::numberOr(double fallback, const char* field) {
+    return skipAbsent() ? fallback : number(field);
 }
 
-Nanos LineReader::timeOr(Nanos otherwise, const char* field) {
-    return skipAbsent() ? otherwise : time(field);
-}
+Nanos LineReader::timeOr(Nanos fallback, const char* field) { return skipAbsent() ? fallback : time(field); }
 
-std::string_view LineReader::wordOr(std::string_view otherwise, const char* field) {
-    return skipAbsent() ? otherwise : word(field);
+std::string_view LineReader::stringOr(std::string_view fallback, const char* field) {
+    return skipAbsent() ? fallback : string(field);
 }
 
 EndpointRow readEndpointRow(LineReader& line) {
     EndpointRow row;
     row.build = static_cast<int>(line.number("ver"));
     row.pod = static_cast<std::uint32_t>(line.integer("pod", 0, 0xffffffffLL));
-    row.zone = line.word("regionPart");
-    line.word("machine");
+    row.zone = line.string("regionPart");
+    line.string("machine");
     row.cell = static_cast<int>(line.integerOr(row.cell, "cluster", -1, 1 << 30));
     row.availability = readAvailability(line);
     line.numberOr(0, "nominal");
-    // 0 stands for a start that is not known, as an absent field does.
+    // 0 means that the start time is unknown, like an absent field.
     if (const auto startedAt = line.timeOr(0, "launchedMs"); startedAt != 0) row.startedAt = startedAt;
     return row;
 }
 
 Outcome readOutcome(LineReader& line, const char* field) {
-    static const std::map<std::string_view, Outcome> kWords = {
+    static const std::map<std::string_view, Outcome> kOutcomes = {
         {"completed", Outcome::succeeded},      {"errored", Outcome::failed},
         {"saturated", Outcome::rejected},       {"overdue", Outcome::timedOut},
         {"refused_conn", Outcome::unreachable}, {"severed", Outcome::connectionLost},
         {"recalled", Outcome::cancelled},       {"superseded", Outcome::superseded}};
-    const auto found = kWords.find(line.word(field));
-    if (found == kWords.end()) line.fail(field);
+    const auto found = kOutcomes.find(line.string(field));
+    if (found == kOutcomes.end()) line.fail(field);
     return found->second;
 }
 
--- a/src/adapter/wire.hpp
+++ b/src/adapter/wire.hpp
@@ -1,4 +1,4 @@
-// Lines of the simulator's wire: fields separated by tabs, read in order, and the formats of replies.
+// The simulator's line protocol: lines of tab-separated fields, read in order, and the formats of replies.
 #pragma once
 
 #include <limits>
@@ -16,33 +16,33 @@
     using std::runtime_error::runtime_error;
 };
 
-/// A cursor over the fields of one line. Every reader takes the next field and throws ParseError, naming
-/// `field`, if there is none or it is not in the format or range.
+/// Reads the fields of one line in order. Every call reads the next field. It throws ParseError, which names
+/// `field`, if there is none or if its format or range is invalid.
 class LineReader {
   public:
     /// `text` must outlive the reader.
     explicit LineReader(std::string_view text);
 
     std::string_view messageName() const { return messageName_; }
-    std::string_view word(const char* field);
-    std::int64_t integer(const char* field, std::int64_t least, std::int64_t most);
+    std::string_view string(const char* field);
+    std::int64_t integer(const char* field, std::int64_t min, std::int64_t max);
     double number(const char* field);
-    /// Milliseconds on the wire.
+    /// A time that is sent in milliseconds.
     Nanos time(const char* field);
     std::uint64_t seed(const char* field);
     bool boolean(const char* field);  ///< 0 or 1
-    /// The figure `name` of a load report ("name:1,other:2"); below 0 if the report has none.
-    double loadFigure(const char* field, std::string_view name);
-    /// Hexadecimal digits, or "-" for none.
+    /// The value `name` of a load report ("name:1,other:2"); negative if the report does not contain it.
+    double loadValue(const char* field, std::string_view name);
+    /// Bytes in hexadecimal digits; "-" for no bytes.
     std::string bytes(const char* field);
-    /// All fields that are left.
-    std::vector<std::string_view> rest();
+    /// All remaining fields.
+    std::vector<std::string_view> remainingFields();
 
-    /// Fields that may be absent, which is a "-": `otherwise` is returned then.
-    std::int64_t integerOr(std::int64_t otherwise, const char* field, std::int64_t least, std::int64_t most);
-    double numberOr(double otherwise, const char* field);
-    Nanos timeOr(Nanos otherwise, const char* field);
-    std::string_view wordOr(std::string_view otherwise, const char* field);
+    /// Optional fields: `fallback` is returned for "-".
+    std::int64_t integerOr(std::int64_t fallback, const char* field, std::int64_t min, std::int64_t max);
+    double numberOr(double fallback, const char* field);
+    Nanos timeOr(Nanos fallback, const char* field);
+    std::string_view stringOr(std::string_view fallback, const char* field);
 
     [[noreturn]] void fail(const char* field) const;
 
@@ -67,10 +67,10 @@
 /// Throws ParseError, as readOutcome() does.
 EndpointRow readEndpointRow(LineReader& line);
 Outcome readOutcome(LineReader& line, const char* field);
-/// From "name=value" fields; others are skipped.
+/// Reads "name=value" fields; other fields are ignored.
 NamedValues readNamedValues(const std::vector<std::string_view>& fields);
 
-/// Hexadecimal digits; "-" for none.
+/// Hexadecimal digits; "-" for no bytes.
 std::string formatHex(std::string_view bytes);
 /// Milliseconds with three decimals.
 std::string formatMillis(Nanos span);
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -8,10 +8,10 @@
 namespace lichenlanding {
 namespace {
 
-// A rate limit of 0 would divide by zero and keep every vote for ever.
+// A rate limit of 0 would cause a division by zero and hold back every vote forever.
 constexpr double kMinVotesPerSecond = 0.1;
 
-// Typed access to named values. Without a default a missing value throws.
+// Typed access to named values. A missing value throws unless there is a default.
 class ValueReader {
   public:
     explicit ValueReader(const NamedValues& values) : values_(values) {}
@@ -21,8 +21,8 @@
         if (found == values_.end()) throw SettingError("missing setting " + key);
         return found->second;
     }
-    std::string text(const std::string& key, const char* otherwise) const {
-        return values_.contains(key) ? text(key) : otherwise;
+    std::string text(const std::string& key, const char* fallback) const {
+        return values_.contains(key) ? text(key) : fallback;
     }
     double number(const std::string& key) const {
         double value = 0;
@@ -30,20 +30,18 @@
             throw SettingError("unreadable setting " + key);
         return value;
     }
-    double number(const std::string& key, double otherwise) const {
-        return values_.contains(key) ? number(key) : otherwise;
+    double number(const std::string& key, double fallback) const {
+        return values_.contains(key) ? number(key) : fallback;
     }
     int integer(const std::string& key) const { return static_cast<int>(number(key)); }
-    int integer(const std::string& key, int otherwise) const {
-        return static_cast<int>(number(key, otherwise));
+    int integer(const std::string& key, int fallback) const {
+        return static_cast<int>(number(key, fallback));
     }
     Nanos time(const std::string& key) const { return nanosOfMillis(number(key)); }
-    Nanos time(const std::string& key, double otherwise) const {
-        return nanosOfMillis(number(key, otherwise));
-    }
+    Nanos time(const std::string& key, double fallback) const { return nanosOfMillis(number(key, fallback)); }
     bool boolean(const std::string& key) const { return text(key) == "true"; }
-    bool boolean(const std::string& key, bool otherwise) const {
-        return values_.contains(key) ? boolean(key) : otherwise;
+    bool boolean(const std::string& key, bool fallback) const {
+        return values_.contains(key) ? boolean(key) : fallback;
     }
     std::vector<std::string> list(const std::string& key) const {
         std::vector<std::string> items;
@@ -57,19 +55,19 @@
     const NamedValues& values_;
 };
 
-Effect effectOf(const std::string& word) {
-    if (word == "pure") return Effect::idempotent;
-    return word == "token" ? Effect::deduplicated : Effect::nonIdempotent;
+Effect parseEffect(const std::string& value) {
+    if (value == "pure") return Effect::idempotent;
+    return value == "token" ? Effect::deduplicated : Effect::nonIdempotent;
 }
 
-DedupScope dedupScopeOf(const std::string& word) {
-    if (word == "all") return DedupScope::all;
-    return word == "zone" ? DedupScope::zone : DedupScope::cell;
+DedupScope parseDedupScope(const std::string& value) {
+    if (value == "all") return DedupScope::all;
+    return value == "zone" ? DedupScope::zone : DedupScope::cell;
 }
 
-VoteMode voteModeOf(const std::string& word) {
-    if (word == "single") return VoteMode::single;
-    return word == "clocked" ? VoteMode::timed : VoteMode::majority;
+VoteMode parseVoteMode(const std::string& value) {
+    if (value == "single") return VoteMode::single;
+    return value == "clocked" ? VoteMode::timed : VoteMode::majority;
 }
 
 PathGroup readGroup(const ValueReader& values, int index) {
@@ -81,9 +79,9 @@
     group.timeout = values.time(path + "deadlineMs");
     group.priorityWeight = values.number(path + "worth", 1);
     group.streaming = values.boolean(path + "streaming", false);
-    group.effect = effectOf(values.text(path + "effect"));
+    group.effect = parseEffect(values.text(path + "effect"));
     if (group.effect == Effect::deduplicated) {
-        group.dedupScope = dedupScopeOf(values.text(path + "group"));
+        group.dedupScope = parseDedupScope(values.text(path + "group"));
         group.dedupWindow = values.time(path + "windowMs");
     }
     return group;
@@ -120,7 +118,7 @@
 }
 
 void readRollout(const ValueReader& values, Settings& settings) {
-    settings.voteMode = voteModeOf(values.text("extra.voteMode"));
+    settings.voteMode = parseVoteMode(values.text("extra.voteMode"));
     for (const auto& cap : values.list("extra.caps")) {
         double value = 0;
         if (!parse(std::string_view(cap), value)) throw SettingError("unreadable setting extra.caps");
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -1,4 +1,4 @@
-// What the sidecar and the gateway share. The sidecar's other types are in policy/types.hpp.
+// Types shared by the sidecar and the gateway. Other types of the sidecar are in policy/types.hpp.
 #pragma once
 
 #include <cstdint>
@@ -7,9 +7,10 @@
 
 namespace lichenlanding {
 
-using Nanos = std::int64_t;  ///< a time or a span, in whole nanoseconds
+using Nanos = std::int64_t;  ///< a time or a duration in nanoseconds
 
-/// A vote on the build on trial: none, go on to the next stage, hold the stage, roll back.
+/// A verdict or vote on the build on trial: none (abstain), advance to the next stage, hold the stage, roll
+/// back.
 enum class Verdict { none, advance, hold, rollBack };
 
 struct Pod;
--- a/src/text.hpp
+++ b/src/text.hpp
@@ -1,4 +1,4 @@
-// Splitting text and parsing numbers, for all text formats.
+// Helpers to split text and to parse numbers, shared by all text formats.
 #pragma once
 
 #include <charconv>
@@ -10,18 +10,18 @@
 
 namespace lichenlanding {
 
-/// The parts of `text` between occurrences of `by`: one more than there are of it. They refer to `text`.
-inline std::vector<std::string_view> split(std::string_view text, char by) {
+/// Splits `text` at each `separator`. The parts, one more than there are separators, refer to `text`.
+inline std::vector<std::string_view> split(std::string_view text, char separator) {
     std::vector<std::string_view> parts;
     for (std::size_t from = 0;;) {
-        const auto to = text.find(by, from);
+        const auto to = text.find(separator, from);
         parts.push_back(text.substr(from, to == std::string_view::npos ? to : to - from));
         if (to == std::string_view::npos) return parts;
         from = to + 1;
     }
 }
 
-/// Parses a decimal number that takes up all of `text`; false, with an unspecified value, if it does not.
+/// Parses `text`, all of it, as a decimal number. Returns false, with an unspecified value, if that fails.
 template <typename T>
 bool parse(std::string_view text, T& value) {
     const auto* const end = text.data() + text.size();
@@ -29,7 +29,7 @@
     return read.ec == std::errc() && read.ptr == end && !text.empty();
 }
 
-/// Rounded to whole microseconds, in which the simulator's wire counts.
+/// Rounds to whole microseconds, the resolution of the simulator's protocol.
 inline Nanos nanosOfMillis(double ms) { return std::llround(ms * 1000.0) * 1000; }
 
 }  // namespace lichenlanding
