--- a/src/policy/count_pooling.hpp
+++ b/src/policy/count_pooling.hpp
@@ -38,11 +38,11 @@
         if (&attempt != &attempt.request->attempts.front() || attempt.build->number > trial.build) return;
         if (outcome == Outcome::rejected || outcome == Outcome::unreachable) return;
         const auto age = attempt.sentAt - attempt.pod->startedAt;
-        if (age < skipFirst) return;
+        if (age < ignoredAge) return;
         const bool isNew = attempt.build->number == trial.build;
         const auto group = static_cast<std::size_t>(attempt.request->group->index);
         auto& counts = trial.ownCounts[group][isNew ? 0 : 1];
-        if (age < countAfter) {
+        if (age < countedAge) {
             if (!isNew || counts.unranked++ > 0 || trial.firstCountedAt >= 0) return;
             trial.firstCountedAt = now;
             return sendCounts();  // starts the timeout of voters that have no outcome of the new build yet
--- a/src/policy/gossip.hpp
+++ b/src/policy/gossip.hpp
@@ -32,6 +32,8 @@
 
 /// A message to peers. Receivers ignore messages of other builds than their own build on trial.
 struct Message {
+    /// counts: outcomes of the sender, to the voters. verdict: a voter's verdict. pods: statistics of the
+    /// sender, to the voters. view: a voter's view of slow pods.
     enum class Kind : std::uint8_t { counts = 1, verdict = 2, pods = 3, view = 4 };
     Kind kind = Kind::counts;
     std::uint32_t epoch = 0;  ///< random at each start of the sender; tells restarts apart
--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -17,9 +17,9 @@
 constexpr Nanos kTickInterval = 250 * kMs;           // between periodic checks of votes and timers
 constexpr Nanos kPoolingInterval = 2 * kSecond;      // between sends of counts to the voters
 constexpr Nanos kMinEvaluationInterval = 500 * kMs;  // between evaluations by a voter
-constexpr Nanos kMaxSkip = 2 * kSecond;  // after a pod's start; its outcomes until then are ignored
+constexpr Nanos kMaxIgnoredAge = 2 * kSecond;        // of pods, whose outcomes are ignored
 constexpr int kVoterCount = 3, kRankTestDraws = 200, kLastBin = kLatencyBins - 1;
-constexpr double kAdvanceThreshold = 0.4, kAheadThreshold = 0.55, kRollBackThreshold = 0.38;
+constexpr double kAdvanceThreshold = 0.4, kAheadThreshold = 0.55, kRollBackThreshold = 0.38;  // of rank tests
 constexpr double kConfidence = 0.95, kHighConfidence = 0.99;
 constexpr std::uint32_t kHalveBaselineAt = 60;  // outcomes in one bin of the baseline
 constexpr double kMinConcurrentShare = 0.5;     // earlier builds' recent outcomes, relative to the new one's
@@ -132,7 +132,7 @@
     std::mt19937 random;
     int self, sidecars, maxAttempts, lastStage;
     double firstStageCap, slowStartExcess;
-    Nanos silenceTimeout, settleTime, queueTime, skipFirst, countAfter, renewAfter, voteInterval, retryAdvice;
+    Nanos silenceTimeout, settleTime, queueTime, ignoredAge, countedAge, renewAfter, voteInterval, retryAfter;
     std::vector<std::array<Nanos, kLastBin>> binEdges;  // by path group
     std::vector<int> allPeers;
 
@@ -169,12 +169,12 @@
         lastStage = static_cast<int>(settings.caps.size()) - 1;
         firstStageCap = settings.caps.empty() ? 0 : settings.caps.front();
         slowStartExcess = std::max(1.0, settings.overloadMultiple * kSlowStartHeadroom);
-        skipFirst = std::min(kMaxSkip, settings.slowStartTime);
-        countAfter = std::max(skipFirst, settings.slowStartTime * 3 / 4);
+        ignoredAge = std::min(kMaxIgnoredAge, settings.slowStartTime);
+        countedAge = std::max(ignoredAge, settings.slowStartTime * 3 / 4);
         voteInterval = static_cast<Nanos>(1.0 * sidecars * kSecond / settings.votesPerSecond);
         const auto ttl = settings.voteTtl;
         renewAfter = std::max(ttl / 2, std::min(voteInterval, ttl - 2 * settings.voteTimeout));
-        retryAdvice = settings.sendRetryAfter ? settings.maxRetryAfter : 0;
+        retryAfter = settings.sendRetryAfter ? settings.maxRetryAfter : 0;
         silenceTimeout = kSecond;
         baseline.resize(settings.groups.size());
         settleTime = settings.slowStartTime + kPoolingInterval;
--- a/src/policy/routing.hpp
+++ b/src/policy/routing.hpp
@@ -140,7 +140,7 @@
     Step finishUnserved(Request& request, bool shed = false) {
         request.ended = true;
         const bool rejects = now < request.deadline && mayReject(request);
-        if (rejects) host.reject(request, shed || overloaded() ? retryAdvice : 0);
+        if (rejects) host.reject(request, shed || overloaded() ? retryAfter : 0);
         else host.fail(request);
         return Step::finished;
     }
--- a/src/policy/voter_verdict.hpp
+++ b/src/policy/voter_verdict.hpp
@@ -28,13 +28,13 @@
     bool isWorse(const OutcomeSums& newer, const OutcomeSums& earlier, bool concurrent) {
         const double n = newer.total(), m = earlier.total();
         if (n < kMinOutcomes || m < kMinOutcomes) return false;
-        const auto more = [&](double x, double y, double margin) {
+        const auto higher = [&](double x, double y, double margin) {
             return surelyBelow(twoBins(x, n), twoBins(y, m), 0.5 - margin / 2, kHighConfidence);
         };
-        return more(newer.errored, earlier.errored, kErrorMargin + earlier.errored / m) ||
-               more(newer.flagged, earlier.flagged, kFlagMargin) ||
+        return higher(newer.errored, earlier.errored, kErrorMargin + earlier.errored / m) ||
+               higher(newer.flagged, earlier.flagged, kFlagMargin) ||
                (concurrent && (surelyBelow(newer.bins, earlier.bins, kRollBackThreshold, kHighConfidence) ||
-                               more(newer.bins[kLastBin], earlier.bins[kLastBin], kLateMargin)));
+                               higher(newer.bins[kLastBin], earlier.bins[kLastBin], kLateMargin)));
     }
 
     // Sums over path groups, the older ones weighted to the newer ones' mix, which changes with the stages.
@@ -52,7 +52,7 @@
     }
 
     // A burst (not counting clients' retries, which a slow build causes) or unhealthy, lost or warming pods.
-    bool knownSlownessCause() const {
+    bool hasKnownSlownessCause() const {
         const double expected = trial.demandBaseline * kDemandSeconds;  // low demand varies by chance
         if (demandRate * kDemandSeconds > expected * kBurstFactor + 2 * std::sqrt(expected)) return true;
         const auto isSlow = [&](auto* pod) { return peerSlowness(*pod) > kSlowFactor; };
@@ -102,7 +102,7 @@
         const auto [recent, before] = sumWithSameMix(times);
         if (slowerThanBefore(recent, before, released)) {
             if (trial.unexplainedSince < 0) trial.slowPeriodStart = now;
-            if (trial.unexplainedSince < 0 || knownSlownessCause()) trial.unexplainedSince = now;
+            if (trial.unexplainedSince < 0 || hasKnownSlownessCause()) trial.unexplainedSince = now;
             // Exception: the earlier build may be the slow one. A new build that ranks ahead is excused; one
             // that slows both does not rank ahead. Harm: under little traffic one may rank ahead by chance.
             const bool ahead = !released && compared && surelyAbove(kAheadThreshold);
--- a/src/policy/votes.hpp
+++ b/src/policy/votes.hpp
@@ -50,22 +50,22 @@
         ownVote.cast.verdict = Verdict::none;
         ownVote.cast.build = -1;
         const bool limited = answer == Outcome::rejected;
-        const auto gap = limited ? std::min(kSecond << ownVote.rejections, voteInterval) : kTickInterval;
+        const auto delay = limited ? std::min(kSecond << ownVote.rejections, voteInterval) : kTickInterval;
         if (limited) ownVote.rejections = std::min(ownVote.rejections + 1, 8);
-        ownVote.notBefore += gap / 2 + static_cast<Nanos>(random() % 1000) * gap / 1000;
+        ownVote.notBefore += delay / 2 + static_cast<Nanos>(random() % 1000) * delay / 1000;
         return false;
     }
 
     Verdict verdictToCast() {
         auto verdict = isVoter() ? trial.verdict : voterMajority();
-        // Exception: without a required attestation a build stays in its stage. Harm: late metadata delay it.
+        // Exception: without a required attestation a build keeps its stage. Harm: late metadata delays it.
         const auto* build = settings.attestationRequired ? buildFor(rollout.build) : nullptr;
         if (build && !attested(*build)) {
             if (build->attestation == Attestation::withdrawn) verdict = Verdict::rollBack;
             if (verdict != Verdict::rollBack) verdict = timed() ? Verdict::hold : Verdict::none;
         }
-        const bool late = rollout.state == RolloutState::released && verdict == Verdict::rollBack;
-        if (rollout.state != RolloutState::testing && !late) verdict = Verdict::none;
+        const bool afterRelease = rollout.state == RolloutState::released && verdict == Verdict::rollBack;
+        if (rollout.state != RolloutState::testing && !afterRelease) verdict = Verdict::none;
         // Exception: no vote to advance in the last stage before its pods are warm and counted, or faults
         // under full traffic would go unnoticed. Large fleets start earlier by the time votes are queued.
         const bool settled = rollout.stage < lastStage || now - rollout.since >= settleTime - queueTime;
--- a/tests/policy/votes.cpp
+++ b/tests/policy/votes.cpp
@@ -268,8 +268,8 @@
 // late, after the next build had been offered.
 TEST_CASE("an error of the new build is sent immediately, further ones at most every half second") {
     TrialFixture fixture;
-    const auto messagesAfter = [&](std::uint32_t build,
-                                   Outcome outcome) {  // messages sent after a request to a pod of that build
+    // The number of messages that are sent after a request to a pod of `build`.
+    const auto messagesAfter = [&](std::uint32_t build, Outcome outcome) {
         const auto before = fixture.sentToPeer1.size();
         for (int turn = 0; turn < 50; ++turn) {
             auto& request = fixture.request("h" + std::to_string(fixture.requests.size()), 0);
--- a/tests/verdict/rollout.cpp
+++ b/tests/verdict/rollout.cpp
@@ -44,9 +44,8 @@
         aggregator.update("a", 1, 3, {{"r", {counts(9, 100 * kMillisecond), {}}}});
         aggregator.update("a", 1, 2, {{"r", {counts(7, 100 * kMillisecond), {}}}});  // late
         CPPUNIT_ASSERT_EQUAL(9U, total());
-        aggregator.update(
-            "a", 2, 1,
-            {{"r", {counts(2, 100 * kMillisecond), {}}}});  // its next incarnation is added to the first
+        // The next incarnation of a sender is added to the first.
+        aggregator.update("a", 2, 1, {{"r", {counts(2, 100 * kMillisecond), {}}}});
         aggregator.update("b", 1, 1, {{"r", {counts(4, 100 * kMillisecond), {}}}});
         CPPUNIT_ASSERT_EQUAL(15U, total());
         const auto decoded = messages::decodeTotals(messages::encode(aggregator.sum()));
