--- a/src/proxy/rollout_voting.hpp
+++ b/src/proxy/rollout_voting.hpp
@@ -37,9 +37,9 @@
     const FleetMembership& fleet_;
     const PeerConnections& connections_;
     std::function<void()> onEnded_;
-    std::uint64_t lastSequence_ = 0;              // of the last counts sent in this incarnation
-    std::map<std::string, verdict::Pool> pools_;  // by rollout key
-    std::map<std::string, Nanos> nextJudgement_;  // by rollout key
+    std::uint64_t lastSequence_ = 0;                          // of the last counts sent in this incarnation
+    std::map<std::string, verdict::TotalsAggregator> pools_;  // by rollout key
+    std::map<std::string, Nanos> nextJudgement_;              // by rollout key
     std::mt19937 random_{std::random_device{}()};
     bool counting_ = false;
 };
