--- a/src/proxy/peer_messages.cpp
+++ b/src/proxy/peer_messages.cpp
@@ -37,18 +37,18 @@
 }
 
 Json encode(const Vote& vote) {
-    const auto& judgement = vote.judgement;
+    const auto& evaluation = vote.evaluation;
     return {{"t", wire::kVote},
             {"from", vote.from},
             {"service", vote.service},
             {"target", vote.target},
             {"stage", vote.stage},
-            {"verdict", static_cast<int>(judgement.verdict)},
-            {"fresh", judgement.canaryOutcomes},
-            {"earlier", judgement.stableOutcomes},
-            {"bad", judgement.canaryFailures},
-            {"lower", judgement.bounds.lowerChance},
-            {"upper", judgement.bounds.upperChance}};
+            {"verdict", static_cast<int>(evaluation.verdict)},
+            {"fresh", evaluation.canaryOutcomes},
+            {"earlier", evaluation.stableOutcomes},
+            {"bad", evaluation.canaryFailures},
+            {"lower", evaluation.bounds.lowerChance},
+            {"upper", evaluation.bounds.upperChance}};
 }
 
 Json encode(const PeerLost& lost) { return {{"t", wire::kPeerLost}, {"name", lost.name}}; }
--- a/src/proxy/peer_messages.hpp
+++ b/src/proxy/peer_messages.hpp
@@ -65,11 +65,11 @@
 Json encode(const OutcomeCounts& counts);
 OutcomeCounts decodeOutcomeCounts(const Json& message);
 
-/// A voter's judgement of one stage of a rollout.
+/// A voter's evaluation of one stage of a rollout.
 struct Vote {
     std::string from, service, target;
     int stage = 0;
-    verdict::CanaryEvaluation judgement;
+    verdict::CanaryEvaluation evaluation;
 };
 Json encode(const Vote& vote);
 
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -47,14 +47,14 @@
             if (!rollout.running()) continue;
             running = true;
             if (due) sendCounts(rollout);
-            judge(rollout);
+            evaluate(rollout);
         }
         if (!due) continue;
         lastSent = now();
         failuresSent = router_.canaryFailures();
     }
     counting_ = false;
-    pools_.clear();
+    aggregators_.clear();
     onEnded_();
 }
 
@@ -65,7 +65,7 @@
     EncodedMessage encoded;
     for (const auto& voter : fleet_.votersOf(rollout)) {
         if (voter == settings_.name) {
-            pools_[key].update(settings_.name, incarnation_, lastSequence_, totals);
+            aggregators_[key].update(settings_.name, incarnation_, lastSequence_, totals);
             continue;
         }
         const auto connection = connections_.peer(fleet_.proxies().at(voter));
@@ -78,19 +78,20 @@
 }
 
 void RolloutVoting::onCounts(OutcomeCounts counts) {
-    pools_[counts.rollout].update(counts.from, counts.incarnation, counts.sequence, std::move(counts.totals));
+    aggregators_[counts.rollout].update(counts.from, counts.incarnation, counts.sequence,
+                                        std::move(counts.totals));
 }
 
-void RolloutVoting::judge(const messages::Rollout& rollout) {
+void RolloutVoting::evaluate(const messages::Rollout& rollout) {
     const auto voters = fleet_.votersOf(rollout);
     if (std::find(voters.begin(), voters.end(), settings_.name) == voters.end()) return;
     const auto key = keyOf(rollout);
-    auto& next = nextJudgement_[key];
+    auto& next = nextEvaluation_[key];
     if (now() < next) return;
     next = now() + verdict::kEvaluationInterval;
-    const auto judgement = verdict::evaluateCanary(pools_[key].sum(), random_);
+    const auto evaluation = verdict::evaluateCanary(aggregators_[key].sum(), random_);
     connections_.sendToControlNodes(
-        encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, judgement}));
+        encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, evaluation}));
 }
 
 }  // namespace lichenlanding::proxy
--- a/src/proxy/rollout_voting.hpp
+++ b/src/proxy/rollout_voting.hpp
@@ -1,5 +1,6 @@
-/// A proxy's role in rollouts: it sends its outcome counts to the voters and, if it is a voter itself, judges
-/// the pooled counts and sends its vote to the control nodes. Used from one thread: the proxy's event loop.
+/// A proxy's role in rollouts: it sends its outcome counts to the voters and, if it is a voter itself,
+/// evaluates the total counts and sends its vote to the control nodes. Used from one thread: the proxy's
+/// event loop.
 #pragma once
 
 #include <map>
@@ -20,7 +21,7 @@
                   std::uint64_t incarnation, routing::Router& router, const FleetMembership& fleet,
                   const PeerConnections& connections, std::function<void()> onEnded);
 
-    /// Called when the rollouts have changed. Counts and judges as long as one is running.
+    /// Called when the rollouts have changed. Counts and evaluates as long as one is running.
     void onRollouts();
     /// Handles the outcome counts of another proxy; this one is a voter.
     void onCounts(OutcomeCounts counts);
@@ -28,7 +29,7 @@
   private:
     transport::Task<> countWhileRunning();
     void sendCounts(const messages::Rollout& rollout);
-    void judge(const messages::Rollout& rollout);
+    void evaluate(const messages::Rollout& rollout);
 
     transport::asio::io_context& io_;
     const config::BootstrapSettings& settings_;
@@ -37,9 +38,9 @@
     const FleetMembership& fleet_;
     const PeerConnections& connections_;
     std::function<void()> onEnded_;
-    std::uint64_t lastSequence_ = 0;                          // of the last counts sent in this incarnation
-    std::map<std::string, verdict::TotalsAggregator> pools_;  // by rollout key
-    std::map<std::string, Nanos> nextJudgement_;              // by rollout key
+    std::uint64_t lastSequence_ = 0;  // of the last counts sent in this incarnation
+    std::map<std::string, verdict::TotalsAggregator> aggregators_;  // by rollout key
+    std::map<std::string, Nanos> nextEvaluation_;                   // by rollout key
     std::mt19937 random_{std::random_device{}()};
     bool counting_ = false;
 };
