--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -28,7 +28,7 @@
 }
 
 std::string formatProposalNumber(const consensus::ProposalNumber& proposalNumber) {
-    return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.writer);
+    return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.proposer);
 }
 
 std::string formatHistory(const std::string& value) {
@@ -42,7 +42,8 @@
     if (note.empty()) return store.note(storage::kOldMembersNote) + " (no epoch yet)";
     const auto state = membership::decodeEpochState(membership::Json::parse(note));
     std::string all = "epoch " + std::to_string(state.epoch.number) +
-                      (state.open ? "" : ", not known to be open") + (state.next ? ", sealed" : "") + ":";
+                      (state.open ? "" : ", not known to be open") + (state.successor ? ", sealed" : "") +
+                      ":";
     for (const auto& member : state.epoch.members)
         all += " " + member.address + " (disk " + member.disk + ")";
     return all + ", this disk " + store.note(storage::kDiskNote);
--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -45,7 +45,7 @@
 Reply Acceptor::emptyReply() const {
     Reply reply;
     reply.epoch = epochState_.epoch.number;
-    reply.sealed = epochState_.next.has_value();
+    reply.sealed = epochState_.successor.has_value();
     return reply;
 }
 
@@ -59,15 +59,15 @@
 Reply Acceptor::evaluateInstall(const Request& request, std::optional<Update>& update) const {
     auto reply = emptyReply();
     const auto& current = epochState_.epoch;
-    const auto& to = *request.to;
+    const auto& to = *request.successor;
     reply.accepted = to.number >= current.number;
     const bool opens = request.open && !epochState_.open;
     if (to.number < current.number || (to.number == current.number && !opens)) return reply;
     EpochState installed;
     installed.epoch = to;
     installed.open = request.open;
-    if (to.number == current.number) installed.next = epochState_.next;
-    if (!request.open) installed.before = request.from;
+    if (to.number == current.number) installed.successor = epochState_.successor;
+    if (!request.open) installed.predecessor = request.predecessor;
     update = Update{{}, std::move(installed)};
     return reply;
 }
@@ -78,21 +78,21 @@
     // One that holds the successor already accepts nothing of the old epoch any more: sealed as well. But
     // only a member of the old: a new disk in the place of a lost one would answer for what it never held.
     const bool holdsSuccessor =
-        current.number == request.epoch + 1 && request.from && isMember(*request.from);
+        current.number == request.epoch + 1 && request.predecessor && isMember(*request.predecessor);
     const bool seals = current.number == request.epoch && isMember(current);
     if (!holdsSuccessor && !seals) {
         reply.rejected = true;
         return reply;
     }
-    if (seals && !epochState_.next) {
+    if (seals && !epochState_.successor) {
         update = Update{{}, epochState_};
-        update->epochState->next = request.to;
+        update->epochState->successor = request.successor;
     }
     reply.accepted = true;
     reply.states = states_;
     for (auto& [key, state] : reply.states) {
-        const auto at = request.holds.find(key);
-        if (at != request.holds.end() && at->second == state.accepted) state.value.clear();
+        const auto at = request.knownNumbers.find(key);
+        if (at != request.knownNumbers.end() && at->second == state.accepted) state.value.clear();
     }
     return reply;
 }
@@ -100,7 +100,7 @@
 Reply Acceptor::evaluateAtKey(const Request& request, std::optional<Update>& update) const {
     auto reply = emptyReply();
     const auto& current = epochState_.epoch;
-    if (current.number != request.epoch || epochState_.next || !isMember(current)) {
+    if (current.number != request.epoch || epochState_.successor || !isMember(current)) {
         reply.rejected = true;
         return reply;
     }
@@ -118,8 +118,8 @@
     if (reply.accepted && reply.state != state(request.key))
         update = Update{{{request.key, reply.state}}, {}};
     // What the proposer sent or holds is not sent back.
-    const bool isProposersOwn = accepts || request.held == reply.state.accepted;
-    if (isProposersOwn && request.held.round > 0) {
+    const bool isProposersOwn = accepts || request.knownNumber == reply.state.accepted;
+    if (isProposersOwn && request.knownNumber.round > 0) {
         reply.valueOmitted = true;
         reply.state.value.clear();
     }
@@ -148,11 +148,11 @@
     request.epoch = epoch_;
     request.key = key_;
     if (step_ == Step::read) {
-        request.held = known_.accepted;
+        request.knownNumber = known_.accepted;
     } else if (step_ == Step::prepare) {
         request.kind = Request::Kind::prepare;
         request.proposalNumber = proposalNumber_;
-        request.held = known_.accepted;
+        request.knownNumber = known_.accepted;
     } else {
         request.kind = Request::Kind::accept;
         request.proposalNumber = proposalNumber_;
@@ -228,18 +228,18 @@
 std::vector<Request> Reconfiguration::requests() const {
     std::vector<Request> all;
     Request request;
-    request.to = to_;
+    request.successor = to_;
     if (step_ == Step::seal) {
         request.kind = Request::Kind::seal;
         request.epoch = from_.number;
-        request.from = from_;
-        for (const auto& [key, state] : known_) request.holds[key] = state.accepted;
+        request.predecessor = from_;
+        for (const auto& [key, state] : known_) request.knownNumbers[key] = state.accepted;
         all.push_back(request);
     } else if (step_ == Step::transfer || step_ == Step::open) {
         request.kind = Request::Kind::install;
         request.epoch = to_.number;
         request.open = step_ == Step::open;
-        if (!request.open) request.from = from_;
+        if (!request.open) request.predecessor = from_;
         all.push_back(request);
         if (step_ == Step::transfer)
             for (const auto& [_, proposal] : proposals_)
--- a/src/consensus/consensus.hpp
+++ b/src/consensus/consensus.hpp
@@ -28,7 +28,7 @@
 /// Totally ordered; round 0 is none.
 struct ProposalNumber {
     std::uint64_t round = 0;
-    std::uint32_t writer = 0;  ///< the proposer, unlike any other's: tells two numbers of one round apart
+    std::uint32_t proposer = 0;  ///< the proposer, unlike any other's: tells two numbers of one round apart
     auto operator<=>(const ProposalNumber&) const = default;
 };
 
@@ -60,10 +60,12 @@
 
 /// What one disk knows for good of the epochs.
 struct EpochState {
-    Epoch epoch;                ///< the newest that it was told of
-    bool open = false;          ///< a majority of its members holds all values
-    std::optional<Epoch> next;  ///< the decided successor: `epoch` is sealed here, nothing of it is answered
-    std::optional<Epoch> before;  ///< what `epoch` follows, until it is open: who completes it needs both
+    Epoch epoch;        ///< the newest that it was told of
+    bool open = false;  ///< a majority of its members holds all values
+    std::optional<Epoch>
+        successor;  ///< the decided successor: `epoch` is sealed here, nothing of it is answered
+    std::optional<Epoch>
+        predecessor;  ///< what `epoch` follows, until it is open: who completes it needs both
     bool operator==(const EpochState&) const = default;
 };
 
@@ -80,24 +82,25 @@
     std::uint64_t epoch = 0;
     std::string key;
     ProposalNumber proposalNumber;
-    std::string value;    ///< accept only
-    ProposalNumber held;  ///< of a value that the proposer has: an equal one need not be sent back
-    std::map<std::string, ProposalNumber> holds;  ///< seal: the same, by key
-    std::optional<Epoch> to, from;  ///< seal, install: the successor, and the epoch that it follows
-    bool open = false;              ///< install: the successor is open
+    std::string value;           ///< accept only
+    ProposalNumber knownNumber;  ///< of a value that the proposer has: an equal one need not be sent back
+    std::map<std::string, ProposalNumber> knownNumbers;  ///< seal: the same, by key
+    std::optional<Epoch> successor,
+        predecessor;    ///< seal, install: the successor, and the epoch that it follows
+    bool open = false;  ///< install: the successor is open
 };
 
 /// From an acceptor to a proposer.
 struct Reply {
     /// The acceptor is no member of the request's epoch, or has sealed it: it is no part of any majority.
     bool rejected = false;
-    bool accepted = false;      ///< false where a higher promise stood against the request
-    RegisterState state;        ///< as it is after the request
-    bool valueOmitted = false;  ///< `state`'s value is the proposer's own, and left out
-    RegisterStates states;      ///< of a seal: all
-    std::uint64_t epoch = 0;    ///< the acceptor's own
-    bool sealed = false;        ///< the acceptor has sealed its own epoch
-    std::uint64_t writes = 0;   ///< how often the disk was written: a lower number later is a lost disk
+    bool accepted = false;         ///< false where a higher promise stood against the request
+    RegisterState state;           ///< as it is after the request
+    bool valueOmitted = false;     ///< `state`'s value is the proposer's own, and left out
+    RegisterStates states;         ///< of a seal: all
+    std::uint64_t epoch = 0;       ///< the acceptor's own
+    bool sealed = false;           ///< the acceptor has sealed its own epoch
+    std::uint64_t writeCount = 0;  ///< how often the disk was written: a lower number later is a lost disk
 };
 
 /// What must be on disk before a reply is sent.
@@ -116,7 +119,7 @@
 
     const std::string& disk() const { return disk_; }
     /// A member of its newest epoch that has not sealed it.
-    bool isVotingMember() const { return !epochState_.next && isMember(epochState_.epoch); }
+    bool isVotingMember() const { return !epochState_.successor && isMember(epochState_.epoch); }
     bool isMember(const Epoch& epoch) const;
     /// The reply; `update` is set where something must be on disk before it is sent. Changes nothing itself.
     Reply evaluate(const Request& request, std::optional<Update>& update) const;
--- a/src/control_plane/epoch_tracker.cpp
+++ b/src/control_plane/epoch_tracker.cpp
@@ -52,7 +52,7 @@
     consensus::Request request;
     request.kind = consensus::Request::Kind::install;
     request.epoch = open_.number;
-    request.to = open_;
+    request.successor = open_;
     request.open = true;
     storage_.submit(std::move(request));
 }
@@ -72,8 +72,8 @@
     const auto& stored = storage_.acceptor().epochState();
     EpochNotice notice;
     notice.epoch = stored.open && stored.epoch.number > open_.number ? stored.epoch : open_;
-    if (stored.next) notice.reconfiguration = {stored.epoch, *stored.next};
-    else if (!stored.open && stored.before) notice.reconfiguration = {*stored.before, stored.epoch};
+    if (stored.successor) notice.reconfiguration = {stored.epoch, *stored.successor};
+    else if (!stored.open && stored.predecessor) notice.reconfiguration = {*stored.predecessor, stored.epoch};
     else notice.reconfiguration = reconfiguration_;
     return notice;
 }
--- a/src/control_plane/learner.cpp
+++ b/src/control_plane/learner.cpp
@@ -79,7 +79,7 @@
 }
 
 bool Learner::isBehind(const std::string& key) const {
-    if (storage_.acceptor().epochState().next) return false;  // sealed: no read could end
+    if (storage_.acceptor().epochState().successor) return false;  // sealed: no read could end
     const auto& proposalNumber = known(key).proposalNumber;
     const auto inForce = inForce_.find(key);
     if (inForce != inForce_.end() && inForce->second > proposalNumber) return true;
--- a/src/control_plane/reconfiguration_driver.cpp
+++ b/src/control_plane/reconfiguration_driver.cpp
@@ -105,7 +105,7 @@
     if (now() - epochs_.reconfigurationSince() < kDeferFor / 2 + jitter) co_return;
     const auto [from, to] = *epochs_.reconfiguration();
     // A seal can't be taken back: not before those who are to go on are there.
-    if (!storage_.acceptor().epochState().next && !contact_.isMajorityHeard(to)) co_return;
+    if (!storage_.acceptor().epochState().successor && !contact_.isMajorityHeard(to)) co_return;
     running_ = true;
     const bool done = co_await carryOut(from, to);
     if (!done) epochs_.restartSuccessorDelay();
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -165,7 +165,7 @@
 void ReplicaNode::handleReply(const PeerConnection& connection, const Json& message) {
     const auto reply = decodeReplyMessage(message);
     if (const auto* peer = peers_.find(connection.peer))
-        storage_.noteWrites(peer->member.disk, reply.reply.writes);
+        storage_.noteWrites(peer->member.disk, reply.reply.writeCount);
     broker_.handleReply(reply, connection.peer);
 }
 
--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -216,7 +216,7 @@
             if (acceptor_.disk() != disk) continue;  // renewed meanwhile
             applySynced(job, *update);
         }
-        reply.writes = writes_;
+        reply.writeCount = writes_;
         if (job.onReply) job.onReply(reply);
         if (job.onSynced) job.onSynced();
     }
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -53,8 +53,8 @@
 
 Json encode(const consensus::EpochState& state) {
     Json encoded{{kEpoch, encode(state.epoch)}, {kOpen, state.open}};
-    if (state.next) encoded[kNext] = encode(*state.next);
-    if (state.before) encoded[kBefore] = encode(*state.before);
+    if (state.successor) encoded[kNext] = encode(*state.successor);
+    if (state.predecessor) encoded[kBefore] = encode(*state.predecessor);
     return encoded;
 }
 
@@ -62,8 +62,8 @@
     consensus::EpochState state;
     state.epoch = decodeEpoch(from.at(kEpoch));
     from.at(kOpen).get_to(state.open);
-    if (from.contains(kNext)) state.next = decodeEpoch(from.at(kNext));
-    if (from.contains(kBefore)) state.before = decodeEpoch(from.at(kBefore));
+    if (from.contains(kNext)) state.successor = decodeEpoch(from.at(kNext));
+    if (from.contains(kBefore)) state.predecessor = decodeEpoch(from.at(kBefore));
     return state;
 }
 
@@ -73,11 +73,11 @@
     if (request.proposalNumber.round > 0) encoded[kProposalNumber] = messages::encode(request.proposalNumber);
     if (request.kind == consensus::Request::Kind::accept)
         encoded[kValue] = messages::encodeBytes(request.value);
-    if (request.held.round > 0) encoded[kHeldNumber] = messages::encode(request.held);
-    for (const auto& [key, proposalNumber] : request.holds)
+    if (request.knownNumber.round > 0) encoded[kHeldNumber] = messages::encode(request.knownNumber);
+    for (const auto& [key, proposalNumber] : request.knownNumbers)
         encoded[kHeldNumbers][key] = messages::encode(proposalNumber);
-    if (request.to) encoded[kSuccessor] = encode(*request.to);
-    if (request.from) encoded[kPredecessor] = encode(*request.from);
+    if (request.successor) encoded[kSuccessor] = encode(*request.successor);
+    if (request.predecessor) encoded[kPredecessor] = encode(*request.predecessor);
     if (request.open) encoded[kOpen] = true;
     return encoded;
 }
@@ -92,16 +92,17 @@
         request.proposalNumber = messages::decodeProposalNumber(from.at(kProposalNumber));
     if (request.kind == consensus::Request::Kind::accept)
         request.value = messages::decodeBytes(from.at(kValue));
-    if (from.contains(kHeldNumber)) request.held = messages::decodeProposalNumber(from.at(kHeldNumber));
+    if (from.contains(kHeldNumber))
+        request.knownNumber = messages::decodeProposalNumber(from.at(kHeldNumber));
     if (from.contains(kHeldNumbers))
         for (const auto& [key, proposalNumber] : from.at(kHeldNumbers).items())
-            request.holds[key] = messages::decodeProposalNumber(proposalNumber);
-    if (from.contains(kSuccessor)) request.to = decodeEpoch(from.at(kSuccessor));
-    if (from.contains(kPredecessor)) request.from = decodeEpoch(from.at(kPredecessor));
+            request.knownNumbers[key] = messages::decodeProposalNumber(proposalNumber);
+    if (from.contains(kSuccessor)) request.successor = decodeEpoch(from.at(kSuccessor));
+    if (from.contains(kPredecessor)) request.predecessor = decodeEpoch(from.at(kPredecessor));
     if (from.contains(kOpen)) from.at(kOpen).get_to(request.open);
     using Kind = consensus::Request::Kind;
     const bool changesEpoch = request.kind == Kind::seal || request.kind == Kind::install;
-    if (kind < 0 || kind > static_cast<int>(Kind::install) || changesEpoch != request.to.has_value())
+    if (kind < 0 || kind > static_cast<int>(Kind::install) || changesEpoch != request.successor.has_value())
         from.at("no such request");  // throws: the field is never there
     return request;
 }
@@ -109,7 +110,7 @@
 Json encode(const consensus::Reply& reply) {
     Json encoded{{kRejected, reply.rejected}, {kAccepted, reply.accepted},
                  {kEpoch, reply.epoch},       {kSealed, reply.sealed},
-                 {kWrites, reply.writes},     {kState, messages::encode(reply.state)}};
+                 {kWrites, reply.writeCount}, {kState, messages::encode(reply.state)}};
     if (reply.valueOmitted) encoded[kValueOmitted] = true;
     for (const auto& [key, state] : reply.states) encoded[kStates][key] = messages::encode(state);
     return encoded;
@@ -121,7 +122,7 @@
     from.at(kAccepted).get_to(reply.accepted);
     from.at(kEpoch).get_to(reply.epoch);
     from.at(kSealed).get_to(reply.sealed);
-    from.at(kWrites).get_to(reply.writes);
+    from.at(kWrites).get_to(reply.writeCount);
     reply.state = messages::decodeRegisterState(from.at(kState));
     reply.valueOmitted = from.contains(kValueOmitted);
     if (from.contains(kStates))
--- a/src/messages/codec.cpp
+++ b/src/messages/codec.cpp
@@ -57,7 +57,7 @@
 }
 
 Json encode(const consensus::ProposalNumber& proposalNumber) {
-    return Json::array({proposalNumber.round, proposalNumber.writer});
+    return Json::array({proposalNumber.round, proposalNumber.proposer});
 }
 
 consensus::ProposalNumber decodeProposalNumber(const Json& from) {
--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -76,7 +76,7 @@
     std::string bytes;
     for (const auto& proposalNumber : {state.promised, state.accepted}) {
         append(bytes, proposalNumber.round);
-        append(bytes, proposalNumber.writer);
+        append(bytes, proposalNumber.proposer);
     }
     return bytes + state.value;
 }
@@ -85,7 +85,7 @@
     consensus::RegisterState state;
     for (auto* proposalNumber : {&state.promised, &state.accepted}) {
         proposalNumber->round = consume<std::uint64_t>(bytes);
-        proposalNumber->writer = consume<std::uint32_t>(bytes);
+        proposalNumber->proposer = consume<std::uint32_t>(bytes);
     }
     state.value = bytes;
     return state;
--- a/tests/consensus/explored_world.cpp
+++ b/tests/consensus/explored_world.cpp
@@ -7,7 +7,7 @@
 using namespace lichenlanding::consensus;
 
 std::string text(const ProposalNumber& proposalNumber) {
-    return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.writer);
+    return std::to_string(proposalNumber.round) + "." + std::to_string(proposalNumber.proposer);
 }
 std::string text(const Epoch& epoch) {
     std::string all = std::to_string(epoch.number) + ":";
@@ -22,7 +22,7 @@
                       std::to_string(request.epoch);
     if (!reply)
         return all + consensus_explorer::text(request.proposalNumber) + request.value +
-               (request.to ? consensus_explorer::text(*request.to) : "");
+               (request.successor ? consensus_explorer::text(*request.successor) : "");
     all += answer.rejected ? "b" : answer.accepted ? "t" : "n";
     all += std::to_string(answer.epoch) + (answer.sealed ? "s" : "") +
            consensus_explorer::text(answer.state.promised) + ":" +
@@ -213,9 +213,9 @@
         // A decided successor is told by whoever has sealed for it: it is not decided again, but
         // ended.
         for (const auto& acceptor : acceptors)
-            if (acceptor.epochState().next && acceptor.epochState().epoch.number == task.epoch.number) {
+            if (acceptor.epochState().successor && acceptor.epochState().epoch.number == task.epoch.number) {
                 ++task.attempt, task.repliesSeen.clear();
-                task.reconfiguration = Reconfiguration(task.epoch, *acceptor.epochState().next,
+                task.reconfiguration = Reconfiguration(task.epoch, *acceptor.epochState().successor,
                                                        static_cast<std::uint32_t>(at + 1));
                 return send(at);
             }
@@ -314,9 +314,9 @@
     if (bug == Bug::newDiskSeals && request.kind == Request::Kind::seal &&
         acceptor.epochState().epoch.number == request.epoch + 1) {
         reply.accepted = true, reply.states = acceptor.states();
-    } else if (bug == Bug::sealForgets && acceptor.epochState().next) {
+    } else if (bug == Bug::sealForgets && acceptor.epochState().successor) {
         auto epochState = acceptor.epochState();
-        epochState.next.reset();
+        epochState.successor.reset();
         Acceptor unsealed(address(message.machine), acceptor.disk());
         unsealed.apply({acceptor.states(), epochState});
         reply = unsealed.evaluate(request, update);
@@ -349,7 +349,7 @@
 
 void World::answer(Message message, const Reply& reply) {
     message.reply = true, message.answer = reply;
-    message.request.value.clear(), message.request.to.reset();
+    message.request.value.clear(), message.request.successor.reset();
     messages.push_back(std::move(message));
 }
 
@@ -359,7 +359,7 @@
         std::size_t unsealed = 0;
         for (const auto& acceptor : acceptors) {
             const auto& epochState = acceptor.epochState();
-            const bool sealed = epochState.next && bug != Bug::sealForgets;
+            const bool sealed = epochState.successor && bug != Bug::sealForgets;
             unsealed += epochState.epoch.number == number && !sealed && acceptor.isMember(epoch);
         }
         if (unsealed >= epoch.majority()) broken = "NoOldEpochWrites: " + text(epoch) + " still takes";
@@ -375,7 +375,7 @@
     for (const auto& acceptor : acceptors) {
         const auto& epochState = acceptor.epochState();
         all += acceptor.disk() + text(epochState.epoch) + (epochState.open ? "o" : "c") +
-               (epochState.next ? text(*epochState.next) : "") + ";";
+               (epochState.successor ? text(*epochState.successor) : "") + ";";
         for (const auto& [name, state] : acceptor.states())
             all += name + text(state.promised) + text(state.accepted) + state.value;
     }
--- a/tests/control_plane/peer_messages.cpp
+++ b/tests/control_plane/peer_messages.cpp
@@ -137,7 +137,7 @@
         reply.stage = {0, "", 0};
         reply.reply.accepted = true;
         reply.reply.epoch = 1;
-        reply.reply.writes = 3;
+        reply.reply.writeCount = 3;
         const auto encoded = encode(reply);
         CPPUNIT_ASSERT_EQUAL(Json("reply"), encoded.at("t"));
         CPPUNIT_ASSERT_EQUAL(Json::parse(R"([0,"",0])"), encoded.at("about"));
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -341,8 +341,8 @@
     };
     consensus::Request seal;
     consensus::Request accept;
-    seal.kind = consensus::Request::Kind::seal, seal.epoch = 1, seal.from = one, seal.to = two;
-    seal.holds["k"] = {3, 4};
+    seal.kind = consensus::Request::Kind::seal, seal.epoch = 1, seal.predecessor = one, seal.successor = two;
+    seal.knownNumbers["k"] = {3, 4};
     accept.kind = consensus::Request::Kind::accept, accept.epoch = 1, accept.key = "k",
     accept.proposalNumber = {3, 4};
     accept.value = "value";
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -387,7 +387,7 @@
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{before ? 1U : 2U}, duties.at("rollouts").term);
             if (!before) {
                 const auto standing = membership::decodeEpochState(Json::parse(notes.at("standing")));
-                CPPUNIT_ASSERT(standing.open && !standing.next && !standing.before);
+                CPPUNIT_ASSERT(standing.open && !standing.successor && !standing.predecessor);
                 CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, standing.epoch.number);
                 CPPUNIT_ASSERT(kStoredMembers == standing.epoch.members);
                 CPPUNIT_ASSERT_EQUAL(notes.at("standing"), membership::encode(standing).dump());
@@ -541,9 +541,9 @@
         // A disk whose epoch is sealed, and that was not told of its opening.
         const auto sealed = bytesOf("values/standing_sealed.json");
         const auto standing = membership::decodeEpochState(Json::parse(sealed));
-        CPPUNIT_ASSERT(!standing.open && standing.next && standing.before);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, standing.next->number);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, standing.before->number);
+        CPPUNIT_ASSERT(!standing.open && standing.successor && standing.predecessor);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{5}, standing.successor->number);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{3}, standing.predecessor->number);
         CPPUNIT_ASSERT_EQUAL(sealed, membership::encode(standing).dump());
     }
 
@@ -593,11 +593,11 @@
                              leases::decodeLeases(request("reg_accept").value).at("list").term);
         CPPUNIT_ASSERT_EQUAL(std::string("epoch/1"), request("reg_accept_epoch").key);
         CPPUNIT_ASSERT(request("reg_seal_in_succession").kind == Kind::seal);
-        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, request("reg_seal_in_succession_holds").holds.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t{3}, request("reg_seal_in_succession_holds").knownNumbers.size());
         CPPUNIT_ASSERT(request("reg_install_in_succession").kind == Kind::install);
         CPPUNIT_ASSERT(request("reg_install_in_succession_open").open);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, request("reg_install_in_succession").to->number);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, request("reg_install_in_succession").from->number);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, request("reg_install_in_succession").successor->number);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, request("reg_install_in_succession").predecessor->number);
         const auto reply = [](const char* name) {
             return membership::decodeReply(message(name).at("reply"));
         };
@@ -607,7 +607,7 @@
                        reply("reply_in_succession_taken_sealed").sealed);
         CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").states.contains("epoch/4"));
         // A writer's number in ballots is a hash of its address; c3 was the first to propose members.
-        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.writer, numberOf("127.0.1.3:7720"));
+        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.proposer, numberOf("127.0.1.3:7720"));
         const auto totals = messages::decodeTotals(message("counts").at("totals"));
         CPPUNIT_ASSERT_EQUAL(10U, totals.at("r")[1].bins[0]);
     }
@@ -833,7 +833,7 @@
         });
         CPPUNIT_ASSERT_EQUAL(
             numberOf(at(ip, internal)),
-            messages::decodeProposalNumber(controlNode.find("known")->at("ballots").at("rollouts")).writer);
+            messages::decodeProposalNumber(controlNode.find("known")->at("ballots").at("rollouts")).proposer);
         CPPUNIT_ASSERT(status().at("register").at("contact").get<bool>());
     }
 
