--- a/src/admin/rollout_requests.cpp
+++ b/src/admin/rollout_requests.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 bool isSameRequest(const messages::Rollout& one, const messages::Rollout& other) {
-    return one.service == other.service && one.target == other.target && one.term == other.term;
+    return one.service == other.service && one.target == other.target && one.timeLimitMs == other.timeLimitMs;
 }
 
 // Lets go of the oldest that have ended.
--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -47,7 +47,7 @@
     try {
         decoded.at("service_name").get_to(request.service);
         decoded.at("target_version").get_to(request.target);
-        request.term = config::parseDuration(decoded.at("deadline").get<std::string>()) / kMillisecond;
+        request.timeLimitMs = config::parseDuration(decoded.at("deadline").get<std::string>()) / kMillisecond;
     } catch (const std::exception&) {
         return std::nullopt;
     }
@@ -163,7 +163,7 @@
     const auto outcome = admin::classifyRequest(messages::decodeRollouts(*value), request);
     log("rollout_requested", {{"service", request.service},
                               {"target", request.target},
-                              {"term_ms", request.term},
+                              {"term_ms", request.timeLimitMs},
                               {"outcome", admin::outcomeName(outcome)}});
     if (outcome == admin::RolloutRequestOutcome::underWay) co_return rolloutConflictResponse(request);
     co_return jsonResponse(200, std::string("{}"));
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -21,19 +21,19 @@
 
 // A request for one service and version may come again, with another deadline, once the first has ended.
 std::string requestKey(const messages::Rollout& rollout) {
-    return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.term);
+    return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.timeLimitMs);
 }
 
 bool isSameRequest(const messages::Rollout& one, const messages::Rollout& other) {
-    return one.service == other.service && one.target == other.target && one.term == other.term;
+    return one.service == other.service && one.target == other.target && one.timeLimitMs == other.timeLimitMs;
 }
 
 messages::Rollout afterMove(messages::Rollout rollout, const verdict::Move& move, std::int64_t age) {
     if (move.completed) rollout.state = kCompletedState;
     else if (move.rolledBack) rollout.state = kRolledBackState;
     else ++rollout.stage;
-    rollout.age = age;
-    rollout.inStage = 0;
+    rollout.ageMs = age;
+    rollout.stageAgeMs = 0;
     return rollout;
 }
 
@@ -60,8 +60,8 @@
     for (auto& one : rollouts) {
         if (!one.running()) continue;
         const auto age = ages.at(requestKey(one), now);
-        one.age = std::max(one.age, age.order);
-        if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
+        one.ageMs = std::max(one.ageMs, age.order);
+        if (age.stage == one.stage) one.stageAgeMs = std::max(one.stageAgeMs, age.inStage);
     }
     return messages::encode(rollouts);
 }
@@ -73,7 +73,7 @@
     for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value)) {
         if (!rollout.running()) continue;
         running_.insert(requestKey(rollout));
-        ages_.learn(requestKey(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
+        ages_.learn(requestKey(rollout), {rollout.ageMs, rollout.stage, rollout.stageAgeMs}, now());
     }
     ages_.keep(running_);
 }
@@ -136,7 +136,7 @@
     const auto votes = tally(rollout);
     const auto age = ages_.at(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
-    const auto move = verdict::nextMove(rollout.stage, votes.counts, age.order, inStage, rollout.term);
+    const auto move = verdict::nextMove(rollout.stage, votes.counts, age.order, inStage, rollout.timeLimitMs);
     if (!move) co_return;
     const auto after = afterMove(rollout, *move, age.order);
     const char* why = move->why;
--- a/src/messages/codec.cpp
+++ b/src/messages/codec.cpp
@@ -10,10 +10,10 @@
     X(service, "service") \
     X(target, "target")   \
     X(state, "state")     \
-    X(stage, "stage") X(number, "number") X(term, "term")
+    X(stage, "stage") X(number, "number") X(timeLimitMs, "term")
 // Not there in values of earlier texts, which kept times of wall clocks: such an order counts from its
 // reading.
-#define ROLLOUT_SPANS(X) X(age, "age") X(inStage, "in_stage")
+#define ROLLOUT_SPANS(X) X(ageMs, "age") X(stageAgeMs, "in_stage")
 
 namespace lichenlanding::messages {
 
--- a/src/messages/codec.hpp
+++ b/src/messages/codec.hpp
@@ -42,11 +42,11 @@
 struct Rollout {
     std::string service, target, state = "in_progress";
     int stage = 0;  // 0: a share of the traffic; 1: all of it, for a moment; 2: all of it, to the end
-    std::int64_t number = 0;  // rises with each change of any rollout, but for its ages
-    std::int64_t term = 0;    // milliseconds that it may take
+    std::int64_t number = 0;       // rises with each change of any rollout, but for its ages
+    std::int64_t timeLimitMs = 0;  // milliseconds that it may take
     // Milliseconds since the order, and in its stage, as of the last write: verdict::Ages counts on from
     // there.
-    std::int64_t age = 0, inStage = 0;
+    std::int64_t ageMs = 0, stageAgeMs = 0;
     bool running() const { return state == "in_progress"; }
 };
 
--- a/src/messages/peer_messages.cpp
+++ b/src/messages/peer_messages.cpp
@@ -38,7 +38,7 @@
     json[kFieldKind] = hello.kind;
     json[kFieldName] = hello.name;
     json[kFieldAddress] = hello.address;
-    if (hello.instance) json[kFieldInstance] = *hello.instance;
+    if (hello.incarnation) json[kFieldIncarnation] = *hello.incarnation;
     if (hello.members) json[kFieldMembers] = *hello.members;
     return json;
 }
@@ -48,7 +48,7 @@
     hello.kind = get<std::string>(from, kFieldKind);
     hello.name = get<std::string>(from, kFieldName);
     hello.address = get<std::string>(from, kFieldAddress);
-    hello.instance = getOptional<std::uint64_t>(from, kFieldInstance);
+    hello.incarnation = getOptional<std::uint64_t>(from, kFieldIncarnation);
     hello.members = getOptional<std::vector<std::string>>(from, kFieldMembers);
     return hello;
 }
@@ -90,7 +90,7 @@
     if (request.configuration) json[kFieldConfiguration] = *request.configuration;
     if (request.rollouts) json[kFieldRollouts] = true;
     if (request.endpoints) {
-        json[kFieldHeldIds] = request.endpoints->held;
+        json[kFieldHeldIds] = request.endpoints->heldIds;
         json[kFieldWantedVersion] = encode(request.endpoints->version);
     }
     return json;
@@ -103,7 +103,7 @@
     if (const auto held = from.find(kFieldHeldIds); held != from.end()) {
         auto& endpoints = request.endpoints.emplace();
         endpoints.version = decodeEndpointListVersion(from.at(kFieldWantedVersion));
-        held->get_to(endpoints.held);
+        held->get_to(endpoints.heldIds);
     }
     return request;
 }
@@ -132,7 +132,7 @@
 
 Json encode(const EndpointsUpdate& update) {
     auto json = ofType(kTypeEndpoints);
-    if (update.before) json[kFieldBefore] = encode(*update.before);
+    if (update.baseVersion) json[kFieldBaseVersion] = encode(*update.baseVersion);
     json[kFieldListVersion] = encode(update.version);
     auto& endpoints = json[kFieldEndpoints] = Json::array();
     for (const auto& endpoint : update.endpoints) endpoints.push_back(encode(endpoint));
@@ -144,8 +144,8 @@
 EndpointsUpdate decodeEndpointsUpdate(const Json& from) {
     EndpointsUpdate update;
     update.version = decodeEndpointListVersion(from.at(kFieldListVersion));
-    if (const auto before = from.find(kFieldBefore); before != from.end())
-        update.before = decodeEndpointListVersion(*before);
+    if (const auto before = from.find(kFieldBaseVersion); before != from.end())
+        update.baseVersion = decodeEndpointListVersion(*before);
     const auto& endpoints = from.at(kFieldEndpoints);
     update.endpoints.reserve(endpoints.size());
     for (const auto& entry : endpoints) update.endpoints.push_back(decodeEndpoint(entry));
@@ -176,7 +176,7 @@
 Json encode(const CountsReport& report) {
     auto json = ofType(kTypeCounts);
     json[kFieldFrom] = report.from;
-    json[kFieldInstance] = report.instance;
+    json[kFieldIncarnation] = report.incarnation;
     json[kFieldNumber] = report.number;
     json[kFieldRolloutKey] = report.rolloutKey;
     json[kFieldTotals] = encode(report.totals);
@@ -187,7 +187,7 @@
     CountsReport report;
     report.rolloutKey = get<std::string>(from, kFieldRolloutKey);
     report.from = get<std::string>(from, kFieldFrom);
-    report.instance = get<std::uint64_t>(from, kFieldInstance);
+    report.incarnation = get<std::uint64_t>(from, kFieldIncarnation);
     report.number = get<std::uint64_t>(from, kFieldNumber);
     report.totals = decodeTotals(from.at(kFieldTotals));
     return report;
--- a/src/messages/peer_messages.hpp
+++ b/src/messages/peer_messages.hpp
@@ -33,7 +33,7 @@
 /// The first message on each connection, both ways.
 struct Hello {
     std::string kind, name, address;
-    std::optional<std::uint64_t> instance;            // of a proxy
+    std::optional<std::uint64_t> incarnation;         // of a proxy
     std::optional<std::vector<std::string>> members;  // of a control node: addresses to connect to
 };
 Json encode(const Hello& hello);
@@ -65,7 +65,7 @@
     struct Endpoints {
         discovery::EndpointListVersion version;  // that the digest named
         std::map<std::string, std::vector<std::string>>
-            held;  // ids, by the number of each range that differs
+            heldIds;  // ids, by the number of each range that differs
     };
     std::optional<std::uint32_t> configuration;  // the version that was named
     bool rollouts = false;
@@ -93,7 +93,7 @@
 
 /// A change of the endpoints from the list version `before`, or, where there is none, what mends a copy.
 struct EndpointsUpdate {
-    std::optional<discovery::EndpointListVersion> before;
+    std::optional<discovery::EndpointListVersion> baseVersion;
     discovery::EndpointListVersion version;
     std::vector<discovery::Endpoint> endpoints;
     std::vector<std::string> removed;                 // seen to go: never back
@@ -119,7 +119,7 @@
 /// Proxy to the voters on a rollout: its outcomes since its start. Replaces its earlier reports.
 struct CountsReport {
     std::string from;
-    std::uint64_t instance = 0, number = 0;
+    std::uint64_t incarnation = 0, number = 0;
     std::string rolloutKey;  // service, line feed, target version
     verdict::Totals totals;
 };
--- a/src/messages/wire_names.hpp
+++ b/src/messages/wire_names.hpp
@@ -35,12 +35,12 @@
 
 // ---- Fields by message. Each stays since both versions read and write it during an update. ----
 
-inline constexpr char kFieldKind[] = "kind";        // hello: kWireKindProxy or kWireKindControlNode
-inline constexpr char kFieldName[] = "name";        // hello, lost: the node name
-inline constexpr char kFieldAddress[] = "at";       // hello: where the sender's peers reach it
-inline constexpr char kFieldInstance[] = "life";    // hello, counts: drawn at each start of a process
-inline constexpr char kFieldMembers[] = "members";  // hello of a control node: addresses of control nodes
-inline constexpr char kFieldProxies[] = "foyers";   // roster: address by name
+inline constexpr char kFieldKind[] = "kind";         // hello: kWireKindProxy or kWireKindControlNode
+inline constexpr char kFieldName[] = "name";         // hello, lost: the node name
+inline constexpr char kFieldAddress[] = "at";        // hello: where the sender's peers reach it
+inline constexpr char kFieldIncarnation[] = "life";  // hello, counts: drawn at each start of a process
+inline constexpr char kFieldMembers[] = "members";   // hello of a control node: addresses of control nodes
+inline constexpr char kFieldProxies[] = "foyers";    // roster: address by name
 inline constexpr char kFieldConfiguration[] = "configuration";  // digest, want, ack: its version
 inline constexpr char kFieldRollouts[] = "rollouts";            // digest: their number; want: they are wanted
 inline constexpr char kFieldListVersion[] = "edition";          // digest, pods: EndpointListVersion
@@ -52,7 +52,7 @@
 inline constexpr char kFieldCompressed[] = "squeezed";    // configuration: compressed bytes
 inline constexpr char kFieldNumber[] = "number";          // rollouts, counts: the higher is the newer
 inline constexpr char kFieldRolloutList[] = "list";       // rollouts: JSON as text, as the register has it
-inline constexpr char kFieldBefore[] = "after";           // pods: the list version that the change follows
+inline constexpr char kFieldBaseVersion[] = "after";      // pods: the list version that the change follows
 inline constexpr char kFieldEndpoints[] = "set";          // pods: endpoints that are there
 inline constexpr char kFieldRemoved[] = "gone";           // pods: ids that were seen to go
 inline constexpr char kFieldSuspect[] = "aside";          // pods: ids that this list version does not know
--- a/src/subscription/configuration_cache.cpp
+++ b/src/subscription/configuration_cache.cpp
@@ -49,7 +49,7 @@
     highestTermSeen_ = term;
     if (!first && events.empty()) return nullptr;
     messages::EndpointsUpdate update;
-    update.before = endpointListVersion_;
+    update.baseVersion = endpointListVersion_;
     endpointListVersion_ = {term, first ? 1 : endpointListVersion_.sequence + 1};
     update.version = endpointListVersion_;
     for (const auto& event : events) {
@@ -198,7 +198,7 @@
 bool ConfigurationCache::wantsFullList(const Json& fetchRequest) const {
     const auto request = messages::decodeFetchRequest(fetchRequest);
     return endpointsCurrent_ && request.endpoints && request.endpoints->version == endpointListVersion_ &&
-           std::all_of(request.endpoints->held.begin(), request.endpoints->held.end(),
+           std::all_of(request.endpoints->heldIds.begin(), request.endpoints->heldIds.end(),
                        [](const auto& range) { return range.second.empty(); });
 }
 
@@ -213,11 +213,12 @@
 
 Json ConfigurationCache::endpointsAnswer(const messages::FetchRequest::Endpoints& request) const {
     std::set<std::string> theirs;
-    for (const auto& [_, ids] : request.held) theirs.insert(ids.begin(), ids.end());
+    for (const auto& [_, ids] : request.heldIds) theirs.insert(ids.begin(), ids.end());
     messages::EndpointsUpdate update;
     update.version = endpointListVersion_;
     for (const auto& [id, endpoint] : endpoints_.endpoints())
-        if (request.held.contains(std::to_string(rangeOf(id))) && (endpoint.draining || !theirs.contains(id)))
+        if (request.heldIds.contains(std::to_string(rangeOf(id))) &&
+            (endpoint.draining || !theirs.contains(id)))
             update.endpoints.push_back(endpoint);
     // What is not in this version has no place in a copy of it. Removed for good is only what was seen to go:
     // the other may know an endpoint that is newer than this version.
@@ -241,7 +242,8 @@
     if (newer && update.suspect) removeAll(*update.suspect, true);
     highestTermSeen_ = std::max(highestTermSeen_, update.version.term);
     // A change names the version before it, a mended copy does not.
-    const bool missedOne = update.before && (!endpointsCurrent_ || *update.before != endpointListVersion_);
+    const bool missedOne =
+        update.baseVersion && (!endpointsCurrent_ || *update.baseVersion != endpointListVersion_);
     if (from == MessageSource::controlNode && update.version.term < endpointListVersion_.term) {
         reply(digestMessage());  // its lease has gone to another, which it may not know
     } else if (newer && missedOne) {
--- a/tests/admin/configuration_record.cpp
+++ b/tests/admin/configuration_record.cpp
@@ -234,7 +234,7 @@
 
 messages::Rollout asked(const std::string& service, const std::string& target, std::int64_t term) {
     messages::Rollout order;
-    order.service = service, order.target = target, order.term = term;
+    order.service = service, order.target = target, order.timeLimitMs = term;
     return order;
 }
 
@@ -451,7 +451,7 @@
                 value = addRollout(value, both[0]), value = addRollout(value, both[1]);
                 const auto all = messages::decodeRollouts(value);
                 CPPUNIT_ASSERT_EQUAL(std::size_t{1}, all.size());
-                CPPUNIT_ASSERT_EQUAL(both[first].term, all[0].term);
+                CPPUNIT_ASSERT_EQUAL(both[first].timeLimitMs, all[0].timeLimitMs);
                 CPPUNIT_ASSERT(classifyRequest(all, both[first]) == RolloutRequestOutcome::known);
                 CPPUNIT_ASSERT(classifyRequest(all, both[1 - first]) == RolloutRequestOutcome::underWay);
             }
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -442,7 +442,7 @@
         // Orders by the register's rules, on what was there.
         const auto outcome = [](const std::string& value, const char* target, std::int64_t term) {
             messages::Rollout order;
-            order.service = "t", order.target = target, order.term = term;
+            order.service = "t", order.target = target, order.timeLimitMs = term;
             return admin::classifyRequest(messages::decodeRollouts(value), order);
         };
         CPPUNIT_ASSERT(outcome(read("rollouts"), "v2", 3'600'000) == admin::RolloutRequestOutcome::known);
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -295,11 +295,12 @@
             R"([{"service":"s","target":"v2","state":"in_progress","stage":1,"number":4,"began":1764645000000,)"
             R"("term":12000,"moved":1764645002000}])");
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), read.size());
-        CPPUNIT_ASSERT(read[0].running() && read[0].stage == 1 && read[0].age == 0 && read[0].inStage == 0);
+        CPPUNIT_ASSERT(read[0].running() && read[0].stage == 1 && read[0].ageMs == 0 &&
+                       read[0].stageAgeMs == 0);
         auto order = read[0];
-        order.age = 1234, order.inStage = 200;
+        order.ageMs = 1234, order.stageAgeMs = 200;
         const auto again = messages::decodeRollouts(messages::encode({order}));
-        CPPUNIT_ASSERT(again[0].age == 1234 && again[0].inStage == 200 && again[0].number == 4);
+        CPPUNIT_ASSERT(again[0].ageMs == 1234 && again[0].stageAgeMs == 200 && again[0].number == 4);
     }
 
     // A proxy's ways with control nodes in and out of contact.
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -262,7 +262,7 @@
         messages::Rollout first;
         messages::Rollout anew;
         first.service = anew.service = "s", first.target = anew.target = "v2";
-        first.term = 12'000, anew.term = 15'000, first.number = 1, anew.number = 3;
+        first.timeLimitMs = 12'000, anew.timeLimitMs = 15'000, first.number = 1, anew.number = 3;
         const auto serve = [&] {
             int fresh = 0;
             for (int at = 0; at < 600; ++at) {
