--- a/src/command/store.cpp
+++ b/src/command/store.cpp
@@ -38,15 +38,15 @@
 }
 
 std::string formatMembers(const storage::LmdbReplicaStore& store) {
-    const auto note = store.note(storage::kStandingNote);
-    if (note.empty()) return store.note(storage::kOldMembersNote) + " (no epoch yet)";
+    const auto note = store.note(storage::kEpochStateNote);
+    if (note.empty()) return store.note(storage::kLegacyMembersNote) + " (no epoch yet)";
     const auto state = membership::decodeEpochState(membership::Json::parse(note));
     std::string all = "epoch " + std::to_string(state.epoch.number) +
                       (state.open ? "" : ", not known to be open") + (state.successor ? ", sealed" : "") +
                       ":";
     for (const auto& member : state.epoch.members)
         all += " " + member.address + " (disk " + member.disk + ")";
-    return all + ", this disk " + store.note(storage::kDiskNote);
+    return all + ", this disk " + store.note(storage::kDiskIdentityNote);
 }
 
 void printFoundPreview(const storage::LmdbReplicaStore& store) {
@@ -69,7 +69,7 @@
 /// `confirmed` only tells what could be lost.
 void found(const std::string& folder, const std::string& address, bool confirmed) {
     auto store = openStore(folder);
-    const auto disk = store.note(storage::kDiskNote);
+    const auto disk = store.note(storage::kDiskIdentityNote);
     if (disk.empty()) throw std::runtime_error("the store in " + folder + " has no identity of its disk yet");
     printFoundPreview(store);
     if (!confirmed) {
@@ -78,11 +78,11 @@
         return;
     }
     consensus::EpochState before;
-    if (const auto note = store.note(storage::kStandingNote); !note.empty())
+    if (const auto note = store.note(storage::kEpochStateNote); !note.empty())
         before = membership::decodeEpochState(membership::Json::parse(note));
     const consensus::Epoch next{before.epoch.number + kEpochStep, {{address, disk, "", ""}}};
-    store.write(
-        {}, {{storage::kStandingNote, membership::encode(consensus::EpochState{next, true, {}, {}}).dump()}});
+    store.write({}, {{storage::kEpochStateNote,
+                      membership::encode(consensus::EpochState{next, true, {}, {}}).dump()}});
     std::printf(
         "written: epoch %llu with %s as its only member; start it, then the others, which stand by and are "
         "added.\n",
--- a/src/config/bootstrap_settings.hpp
+++ b/src/config/bootstrap_settings.hpp
@@ -27,9 +27,9 @@
     X(heartbeatText, std::string, "/heartbeat", false)                            \
     X(dataDir, std::string, "/data_dir", false)                                   \
     X(diskMegabytes, int, "/limits/disk_mb", false)                               \
-    X(machinesLost, int, "/fault_tolerance/machines", false)                      \
-    X(zonesLost, int, "/fault_tolerance/zones", false)                            \
-    X(regionsLost, int, "/fault_tolerance/regions", false)                        \
+    X(tolerableMachineLosses, int, "/fault_tolerance/machines", false)            \
+    X(tolerableZoneLosses, int, "/fault_tolerance/zones", false)                  \
+    X(tolerableRegionLosses, int, "/fault_tolerance/regions", false)              \
     X(platformAddress, std::string, "/cloud_api/address", true)                   \
     X(platformCallsPerSecond, double, "/cloud_api/rate_per_s", false)
 
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -10,16 +10,16 @@
 
 // Each setting once, since parse() reads it, explain() writes it and errors name it: member, name in the
 // file, kind, needed or not.
-#define ROUTE_SETTINGS(X)                       \
-    X(host, "hostname", text, true)             \
-    X(prefix, "path_prefix", text, true)        \
-    X(timeout, "timeout", duration, true)       \
-    X(target, "target_latency", duration, true) \
-    X(priority, "priority", count, false)       \
+#define ROUTE_SETTINGS(X)                              \
+    X(host, "hostname", text, true)                    \
+    X(prefix, "path_prefix", text, true)               \
+    X(timeout, "timeout", duration, true)              \
+    X(targetLatency, "target_latency", duration, true) \
+    X(priority, "priority", count, false)              \
     X(maxAttempts, "max_attempts", count, false)
 
-#define SERVICE_SETTINGS(X)                \
-    X(health, "health_check", text, false) \
+#define SERVICE_SETTINGS(X)                         \
+    X(healthCheckPath, "health_check", text, false) \
     X(maxConnections, "max_connections", count, false)
 
 #define CLIENT_LIMITS_SETTINGS(X)                       \
@@ -89,14 +89,14 @@
 #undef X
     std::string kind;
     from.text(kind, "route_class", true);
-    made.repeatable = kind == "idempotent";
-    if (!kind.empty() && !made.repeatable && kind != "non_idempotent")
+    made.idempotent = kind == "idempotent";
+    if (!kind.empty() && !made.idempotent && kind != "non_idempotent")
         from.wrong("route_class", "must be idempotent or non_idempotent");
     if (made.prefix.empty() || made.prefix.front() != '/' || made.prefix.back() != '/')
         from.wrong("path_prefix", "must begin and end with a slash");
     if (made.timeout > kLongestTimeout) from.wrong("timeout", "must be ten minutes or less");
     if (made.timeout <= 0) from.wrong("timeout", "must be above 0");
-    if (made.target >= made.timeout + kTargetBeyond)
+    if (made.targetLatency >= made.timeout + kTargetBeyond)
         from.wrong("target_latency", "must be less than a minute above the timeout");
     made.maxAttempts = std::max<std::int64_t>(made.maxAttempts, 1);
     std::string one;
@@ -287,7 +287,7 @@
 #define X(member, key, kind, needed) all += settingLine(spec, where, key, kind(route.member));
     ROUTE_SETTINGS(X)
 #undef X
-    all += settingLine(spec, where, "route_class", route.repeatable ? "idempotent" : "non_idempotent");
+    all += settingLine(spec, where, "route_class", route.idempotent ? "idempotent" : "non_idempotent");
     for (const auto& share : route.shares)
         all += "to service " + share.service + ", " + std::to_string(share.weight) + " of " +
                std::to_string(route.totalWeight) + " requests\n";
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -31,13 +31,13 @@
 /// Where requests for a host and a path prefix go.
 struct Route {
     std::string name, host, prefix;
-    std::size_t resourceIndex = 0;        // its place in the list of resources
-    bool repeatable = false;              // route_class idempotent
-    Nanos timeout = 0, target = 0;        // above 0
-    std::int64_t priority = 0;            // 0 the highest
-    std::int64_t maxAttempts = 1;         // pods that one try may be sent to; 1 or more
-    std::vector<WeightedService> shares;  // one, or as traffic_split says; weights sum to above 0
-    std::int64_t totalWeight = 1;         // their sum
+    std::size_t resourceIndex = 0;         // its place in the list of resources
+    bool idempotent = false;               // route_class idempotent
+    Nanos timeout = 0, targetLatency = 0;  // above 0
+    std::int64_t priority = 0;             // 0 the highest
+    std::int64_t maxAttempts = 1;          // pods that one try may be sent to; 1 or more
+    std::vector<WeightedService> shares;   // one, or as traffic_split says; weights sum to above 0
+    std::int64_t totalWeight = 1;          // their sum
 
     /// The service for a draw of 0 <= draw < totalWeight.
     const std::string& serviceForDraw(std::int64_t draw) const;
@@ -45,7 +45,7 @@
 
 /// A service that routes send to; its endpoints come from the platform's list.
 struct Service {
-    std::string name, health = "/";
+    std::string name, healthCheckPath = "/";
     std::int64_t maxConnections = 1024;  // that a pod takes from all callers
 };
 
--- a/src/control_plane/disk_identity.cpp
+++ b/src/control_plane/disk_identity.cpp
@@ -8,7 +8,7 @@
 
 namespace lichenlanding::control_plane {
 
-using membership::Json, storage::kDiskNote, storage::kStandingNote, storage::kOldMembersNote;
+using membership::Json, storage::kDiskIdentityNote, storage::kEpochStateNote, storage::kLegacyMembersNote;
 
 namespace {
 
@@ -34,17 +34,17 @@
 StoredReplica readIdentity(consensus::RegisterStates states, Notes notes, const FoundingRules& rules) {
     StoredReplica stored;
     stored.update.states = std::move(states);
-    stored.disk = notes[kDiskNote];
+    stored.disk = notes[kDiskIdentityNote];
     stored.isNew = stored.disk.empty();
     if (!stored.isNew) {
-        if (!notes[kStandingNote].empty())
-            stored.update.epochState = membership::decodeEpochState(Json::parse(notes[kStandingNote]));
+        if (!notes[kEpochStateNote].empty())
+            stored.update.epochState = membership::decodeEpochState(Json::parse(notes[kEpochStateNote]));
         if (!notes[kWritesNote].empty()) stored.writes = std::stoull(notes[kWritesNote]);
         if (!notes[kWitnessNote].empty())
             stored.witnessed = Json::parse(notes[kWitnessNote]).get<std::map<std::string, std::uint64_t>>();
         return stored;
     }
-    if (const auto& members = notes[kOldMembersNote]; !members.empty()) {
+    if (const auto& members = notes[kLegacyMembersNote]; !members.empty()) {
         stored.disk = "first-" + rules.address;
         stored.update.epochState = firstEpoch(members);
         return stored;
--- a/src/control_plane/disk_identity.hpp
+++ b/src/control_plane/disk_identity.hpp
@@ -19,8 +19,8 @@
 /// Names of the notes that are read at the start: part of the disk format.
 inline const std::string kWritesNote = "writes";    ///< how often the disk was ever written, decimal
 inline const std::string kWitnessNote = "witness";  ///< JSON object: highest write count seen, by disk
-inline const std::array<std::string, 5> kStoredNotes{storage::kDiskNote, storage::kStandingNote, kWritesNote,
-                                                     kWitnessNote, storage::kOldMembersNote};
+inline const std::array<std::string, 5> kStoredNotes{storage::kDiskIdentityNote, storage::kEpochStateNote,
+                                                     kWritesNote, kWitnessNote, storage::kLegacyMembersNote};
 
 /// What a replica is told of founding by its settings.
 struct FoundingRules {
--- a/src/control_plane/membership_planner.cpp
+++ b/src/control_plane/membership_planner.cpp
@@ -22,7 +22,7 @@
       learner_(learner) {}
 
 membership::FaultTolerance MembershipPlanner::tolerance() const {
-    return {boot_.machinesLost, boot_.zonesLost, boot_.regionsLost};
+    return {boot_.tolerableMachineLosses, boot_.tolerableZoneLosses, boot_.tolerableRegionLosses};
 }
 
 std::vector<std::string> MembershipPlanner::unmetTolerance(
--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -13,7 +13,7 @@
 
 using namespace transport;
 using membership::Json;
-using storage::kDiskNote, storage::kStandingNote;
+using storage::kDiskIdentityNote, storage::kEpochStateNote;
 
 constexpr std::size_t kMaxQueuedJobs = 64;
 constexpr double kStoreShareOfDisk = 0.6;  // of the disk that the store may take
@@ -74,7 +74,7 @@
     // The identity, and at the first start that this is a founder, are synced before anything is said.
     Job job;
     job.update.epochState = acceptor_.epochState();
-    job.notes[kDiskNote] = acceptor_.disk();
+    job.notes[kDiskIdentityNote] = acceptor_.disk();
     job.onSynced = [this] {
         open_ = true;
         confirmed_ = true;
@@ -130,7 +130,7 @@
     Job job;
     for (const auto& [key, _] : states) job.update.states[key] = {};
     job.update.epochState = epochState;
-    job.notes[kDiskNote] = acceptor_.disk();
+    job.notes[kDiskIdentityNote] = acceptor_.disk();
     job.onSynced = [this] {
         open_ = true;
         confirmed_ = true;
@@ -225,7 +225,7 @@
 
 void ReplicaStorage::addBookkeeping(consensus::Update& update, Notes& notes) const {
     if (update.epochState) {
-        notes[kStandingNote] = membership::encode(*update.epochState).dump();
+        notes[kEpochStateNote] = membership::encode(*update.epochState).dump();
         if (update.epochState->open)  // what the acceptor drops is dropped on the disk
             for (const auto& [key, _] : acceptor_.states())
                 if (consensus::isSuccessorKey(key) &&
--- a/src/proxy/client_connection.cpp
+++ b/src/proxy/client_connection.cpp
@@ -68,7 +68,7 @@
 void ClientConnection::onClientLeft() {
     if (std::exchange(clientLeft_, true)) return;
     ErrorCode ignored;
-    if (upstreamSocket && requests_.front()->routed.route->repeatable) upstreamSocket->close(ignored);
+    if (upstreamSocket && requests_.front()->routed.route->idempotent) upstreamSocket->close(ignored);
     std::size_t unanswered = 0;
     std::size_t inFlight = 0;
     for (const auto& request : requests_) {
--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -171,7 +171,7 @@
 // The client has left. Ends what is not sent yet, and what may be repeated; what may run only once is let run
 // on: its pod may be at work, and a client that has closed only its own side still gets the response.
 void RequestHandler::cancelAttempts() {
-    const bool repeatable = request_->routed.route->repeatable;
+    const bool repeatable = request_->routed.route->idempotent;
     for (const auto& [call, _] : attempts_)
         if (repeatable || isUnsent(*call)) call->cancel();
     nextHedgeCheck_ = request_->routed.deadline;
@@ -186,7 +186,7 @@
         endSeen = true;
         ++endsSeen_;
         if (call->end == AttemptEvent::answered) {
-            if (call->response.result_int() < 500 || !routed.route->repeatable) return call;
+            if (call->response.result_int() < 500 || !routed.route->idempotent) return call;
             fallback_ = call;
         }
         if (routing::inFlight(routed.attempts) == 0) attemptWanted_ = true;
@@ -222,7 +222,7 @@
         writeBody = [self](tcp::socket& to) {
             return relayRequestBody(self->connection_, self->request_, to);
         };
-    const bool runsOnce = !routed.route->repeatable;
+    const bool runsOnce = !routed.route->idempotent;
     const int maxConnections = server.router.maxConnections(host);
     try {
         co_await server.upstream.call(call, sent, routed.deadline, runsOnce, maxConnections, writeBody);
--- a/src/routing/canary.cpp
+++ b/src/routing/canary.cpp
@@ -216,7 +216,7 @@
         const bool fresh = rollout.target == host.endpoint.version;
         if (!fresh && roleOf(host) != VersionRole::stable) continue;
         auto& canary = canaryOf(rollout);
-        canary.totals[route.name][fresh ? 0 : 1].count(took, route.target, failed);
+        canary.totals[route.name][fresh ? 0 : 1].count(took, route.targetLatency, failed);
         if (!fresh) continue;
         ++canary.outcomes;
         if (!failed) continue;
--- a/src/routing/hedge_policy.cpp
+++ b/src/routing/hedge_policy.cpp
@@ -13,22 +13,22 @@
 constexpr double kTargetDivisor = 3;                 // of the target: the usual time before any answer
 
 double initialUsualTime(const config::Route& route) {
-    return static_cast<double>(route.target) / kTargetDivisor;
+    return static_cast<double>(route.targetLatency) / kTargetDivisor;
 }
 
 }  // namespace
 
 Nanos HedgePolicy::hedgeAt(const config::Route& route, Nanos deadline, Nanos sentAt) const {
-    if (!route.repeatable) return deadline;
+    if (!route.idempotent) return deadline;
     const auto usual = usualTimes_.find(route.name);
-    const auto target = static_cast<double>(route.target);
+    const auto target = static_cast<double>(route.targetLatency);
     const double after = std::min(usual == usualTimes_.end() ? target : kAfterUsualTimes * usual->second,
                                   kAfterTargetPart * target);
     return std::min(deadline, sentAt + static_cast<Nanos>(after));
 }
 
 Nanos HedgePolicy::nextCheckAt(const config::Route& route, Nanos deadline, Nanos now) const {
-    if (!route.repeatable) return deadline;
+    if (!route.idempotent) return deadline;
     return std::min(deadline, now + std::max(static_cast<Nanos>(usualTime(route) / 2), kCheckAgainMin));
 }
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -94,7 +94,7 @@
 bool Router::mayAttemptAgain(const RoutedRequest& request, Nanos now) const {
     const auto& [attempts, route] = std::tie(request.attempts, *request.route);
     // A host that was not reached was not sent it; but a request is not held for long over such hosts.
-    return mayAttempt(attempts, route.repeatable) &&
+    return mayAttempt(attempts, route.idempotent) &&
            static_cast<std::int64_t>(possibleArrivals(attempts)) < route.maxAttempts &&
            static_cast<std::int64_t>(attempts.size()) < route.maxAttempts + kUnreachedMore &&
            request.deadline - now > kLeastTimeLeft;
--- a/src/storage/replica_store.hpp
+++ b/src/storage/replica_store.hpp
@@ -16,9 +16,10 @@
 namespace lichenlanding::storage {
 
 // Names of notes beside the states. They are on the disks of running clusters, so they stay.
-inline const std::string kDiskNote = "disk";           // the identity of the disk
-inline const std::string kStandingNote = "standing";   // its place among the epochs, as JSON
-inline const std::string kOldMembersNote = "members";  // in stores from before there were epochs: addresses
+inline const std::string kDiskIdentityNote = "disk";    // the identity of the disk
+inline const std::string kEpochStateNote = "standing";  // its place among the epochs, as JSON
+inline const std::string kLegacyMembersNote =
+    "members";  // in stores from before there were epochs: addresses
 
 /// The disk refused, or a record cannot be read. `subject` is the directory or the record.
 struct StorageError : Error {
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -373,8 +373,9 @@
                 if (key[0] == 'n')
                     names.insert(key.substr(1)), notes[key.substr(1)] = replicaStore.note(key.substr(1));
             CPPUNIT_ASSERT(expected == names);
-            CPPUNIT_ASSERT_EQUAL(std::string("diskstandingmembers"),
-                                 storage::kDiskNote + storage::kStandingNote + storage::kOldMembersNote);
+            CPPUNIT_ASSERT_EQUAL(
+                std::string("diskstandingmembers"),
+                storage::kDiskIdentityNote + storage::kEpochStateNote + storage::kLegacyMembersNote);
             isConfiguration(cells.at(control_plane::kConfigurationKey).value, before ? 0x11 : 0x14,
                             before ? std::vector<std::uint32_t>{0x10, 0x11, 0x0f} : kStoredHistory);
             const auto rollouts = cells.at(control_plane::kRolloutsKey).value;
@@ -412,9 +413,9 @@
         for (const auto& store : kMemberStores) {
             const LmdbReplicaStore replicaStore(copied("promptbook/" + store), 8 << 20);
             const auto& address = kStoredMembers[copies.size()].address;
-            auto& copy = copies.emplace_back(address, replicaStore.note(storage::kDiskNote));
-            copy.apply({replicaStore.states(), membership::decodeEpochState(
-                                                   Json::parse(replicaStore.note(storage::kStandingNote)))});
+            auto& copy = copies.emplace_back(address, replicaStore.note(storage::kDiskIdentityNote));
+            copy.apply({replicaStore.states(), membership::decodeEpochState(Json::parse(
+                                                   replicaStore.note(storage::kEpochStateNote)))});
             CPPUNIT_ASSERT(copy.isVotingMember());
         }
         const consensus::Epoch& epoch = copies[0].epochState().epoch;
--- a/tests/membership/founding.cpp
+++ b/tests/membership/founding.cpp
@@ -56,7 +56,7 @@
     void foundsOneRegisterWhereAZoneMayBeLost() {
         Cluster cluster(3);
         cluster.tolerance = [](config::BootstrapSettings& boot) {
-            boot.machinesLost = 0, boot.zonesLost = 1;
+            boot.tolerableMachineLosses = 0, boot.tolerableZoneLosses = 1;
         };
         for (int at = 0; at < 3; ++at) cluster.launch(at, true);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
@@ -91,7 +91,7 @@
         cluster.port = port, cluster.zone = zone;
         // Seeds of one zone don't bear its loss: they wait until the others are heard of.
         cluster.tolerance = [](config::BootstrapSettings& boot) {
-            boot.machinesLost = 1, boot.zonesLost = 1;
+            boot.tolerableMachineLosses = 1, boot.tolerableZoneLosses = 1;
         };
         for (const int at : {3, 4, 5, 0, 1, 2}) cluster.launch(at, true);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3, 4, 5}); });
--- a/tests/membership/reconfiguration.cpp
+++ b/tests/membership/reconfiguration.cpp
@@ -158,7 +158,7 @@
     void keepsALateMember() {
         Cluster cluster(4);
         cluster.tolerance = [](config::BootstrapSettings& boot) {
-            boot.machinesLost = 1;
+            boot.tolerableMachineLosses = 1;
             boot.controlReplaceAfter = 5 * kSecond;  // also on a machine that is busy with other things
         };
         for (int at = 0; at < 4; ++at) cluster.launch(at, true);
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -163,7 +163,7 @@
         }
         members.resize(static_cast<std::size_t>(machines));
         zone = [](int at) { return "z" + std::to_string(at % 3); };
-        tolerance = [](config::BootstrapSettings& boot) { boot.machinesLost = 1; };
+        tolerance = [](config::BootstrapSettings& boot) { boot.tolerableMachineLosses = 1; };
         for (int at = 0; at < started; ++at) launch(at, true);
     }
     ~Cluster() {
