--- a/src/consensus/consensus.cpp
+++ b/src/consensus/consensus.cpp
@@ -6,27 +6,27 @@
 namespace lichenlanding::consensus {
 namespace {
 
-// Of the keys on disk under which the members of an epoch decide the next.
+// Prefix of successor keys, as stored on disk.
 const std::string kSuccessorPrefix = "epoch/";
 
 }  // namespace
 
 std::optional<std::uint32_t> Epoch::find(const std::string& address, const std::string& disk) const {
-    for (std::uint32_t at = 0; at < members.size(); ++at)
-        if (members[at].address == address && (number == 0 || members[at].disk == disk)) return at;
+    for (std::uint32_t index = 0; index < members.size(); ++index)
+        if (members[index].address == address && (number == 0 || members[index].disk == disk)) return index;
     return std::nullopt;
 }
 
-std::string successorKey(const Epoch& of) { return kSuccessorPrefix + std::to_string(of.number + 1); }
+std::string successorKey(const Epoch& epoch) { return kSuccessorPrefix + std::to_string(epoch.number + 1); }
 
 bool isSuccessorKey(const std::string& key) { return key.starts_with(kSuccessorPrefix); }
 
 // ---- Acceptor ----
 
 const RegisterState& Acceptor::state(const std::string& key) const {
-    static const RegisterState kNone;
-    const auto at = states_.find(key);
-    return at == states_.end() ? kNone : at->second;
+    static const RegisterState kEmpty;
+    const auto found = states_.find(key);
+    return found == states_.end() ? kEmpty : found->second;
 }
 
 bool Acceptor::isMember(const Epoch& epoch) const { return epoch.find(address_, disk_).has_value(); }
@@ -36,9 +36,9 @@
     if (!update.epochState) return;
     epochState_ = *update.epochState;
     if (!epochState_.open) return;
-    // What earlier epochs decided of their successors is done with.
-    std::erase_if(states_, [&](const auto& one) {
-        return isSuccessorKey(one.first) && one.first != successorKey(epochState_.epoch);
+    // The successor decisions of earlier epochs are no longer needed.
+    std::erase_if(states_, [&](const auto& entry) {
+        return isSuccessorKey(entry.first) && entry.first != successorKey(epochState_.epoch);
     });
 }
 
@@ -53,20 +53,20 @@
     update.reset();
     if (request.kind == Request::Kind::install) return evaluateInstall(request, update);
     if (request.kind == Request::Kind::seal) return evaluateSeal(request, update);
-    return evaluateAtKey(request, update);
+    return evaluateRegisterRequest(request, update);
 }
 
 Reply Acceptor::evaluateInstall(const Request& request, std::optional<Update>& update) const {
     auto reply = emptyReply();
     const auto& current = epochState_.epoch;
-    const auto& to = *request.successor;
-    reply.accepted = to.number >= current.number;
+    const auto& successor = *request.successor;
+    reply.accepted = successor.number >= current.number;
     const bool opens = request.open && !epochState_.open;
-    if (to.number < current.number || (to.number == current.number && !opens)) return reply;
+    if (successor.number < current.number || (successor.number == current.number && !opens)) return reply;
     EpochState installed;
-    installed.epoch = to;
+    installed.epoch = successor;
     installed.open = request.open;
-    if (to.number == current.number) installed.successor = epochState_.successor;
+    if (successor.number == current.number) installed.successor = epochState_.successor;
     if (!request.open) installed.predecessor = request.predecessor;
     update = Update{{}, std::move(installed)};
     return reply;
@@ -75,12 +75,13 @@
 Reply Acceptor::evaluateSeal(const Request& request, std::optional<Update>& update) const {
     auto reply = emptyReply();
     const auto& current = epochState_.epoch;
-    // One that holds the successor already accepts nothing of the old epoch any more: sealed as well. But
-    // only a member of the old: a new disk in the place of a lost one would answer for what it never held.
-    const bool holdsSuccessor =
+    // An acceptor that already has the successor installed rejects requests of the old epoch and so counts as
+    // sealed, but only if it was a member of the old epoch: a new disk that replaced a lost one would answer
+    // for states that it never had.
+    const bool hasSuccessor =
         current.number == request.epoch + 1 && request.predecessor && isMember(*request.predecessor);
     const bool seals = current.number == request.epoch && isMember(current);
-    if (!holdsSuccessor && !seals) {
+    if (!hasSuccessor && !seals) {
         reply.rejected = true;
         return reply;
     }
@@ -91,13 +92,13 @@
     reply.accepted = true;
     reply.states = states_;
     for (auto& [key, state] : reply.states) {
-        const auto at = request.knownNumbers.find(key);
-        if (at != request.knownNumbers.end() && at->second == state.accepted) state.value.clear();
+        const auto known = request.knownNumbers.find(key);
+        if (known != request.knownNumbers.end() && known->second == state.accepted) state.value.clear();
     }
     return reply;
 }
 
-Reply Acceptor::evaluateAtKey(const Request& request, std::optional<Update>& update) const {
+Reply Acceptor::evaluateRegisterRequest(const Request& request, std::optional<Update>& update) const {
     auto reply = emptyReply();
     const auto& current = epochState_.epoch;
     if (current.number != request.epoch || epochState_.successor || !isMember(current)) {
@@ -117,9 +118,9 @@
     }
     if (reply.accepted && reply.state != state(request.key))
         update = Update{{{request.key, reply.state}}, {}};
-    // What the proposer sent or holds is not sent back.
-    const bool isProposersOwn = accepts || request.knownNumber == reply.state.accepted;
-    if (isProposersOwn && request.knownNumber.round > 0) {
+    // A value that the proposer sent or already has is omitted from the reply.
+    const bool proposerHasValue = accepts || request.knownNumber == reply.state.accepted;
+    if (proposerHasValue && request.knownNumber.round > 0) {
         reply.valueOmitted = true;
         reply.state.value.clear();
     }
@@ -129,18 +130,19 @@
 
 // ---- Proposal ----
 
-Proposal::Proposal(std::string key, const Epoch& epoch, std::uint32_t writer, std::uint64_t above,
-                   Change change, bool readFirst, RegisterState held, RegisterState base)
+Proposal::Proposal(std::string key, const Epoch& epoch, std::uint32_t proposer,
+                   std::uint64_t highestKnownRound, Change change, bool readFirst, RegisterState known,
+                   RegisterState inherited)
     : key_(std::move(key)),
       epoch_(epoch.number),
       majority_(epoch.majority()),
-      proposer_(writer),
-      highestRound_(std::max({above, base.promised.round, base.accepted.round})),
+      proposer_(proposer),
+      highestRound_(std::max({highestKnownRound, inherited.promised.round, inherited.accepted.round})),
       change_(std::move(change)),
       step_(readFirst ? Step::read : Step::prepare),
-      proposalNumber_{highestRound_ + 1, writer},
-      known_(std::move(held)),
-      inherited_(std::move(base)),
+      proposalNumber_{highestRound_ + 1, proposer},
+      known_(std::move(known)),
+      inherited_(std::move(inherited)),
       highest_(inherited_) {}
 
 Request Proposal::request() const {
@@ -177,21 +179,22 @@
     if (reply.valueOmitted) state.value = known_.value;
     if (!answeredBy_.insert(member).second) return false;
     highestRound_ = std::max({highestRound_, state.promised.round, state.accepted.round});
-    return step_ == Step::read ? handleRead(state) : handleVote(member, reply, state);
+    return step_ == Step::read ? handleReadReply(state) : handlePhaseReply(member, reply, state);
 }
 
-// Neither for nor against. Where the register goes on in another epoch, this proposal can't succeed any more.
+// A rejection counts neither for nor against the proposal, unless it shows that this epoch is sealed or
+// replaced: then the proposal cannot succeed any more.
 bool Proposal::handleRejection(const Reply& reply) {
-    // One that is still in the epoch before, sealed, has not been told of this one yet: as one that is down.
+    // An acceptor that is still in an earlier epoch has not received this one yet; it is treated as down.
     if (reply.epoch < epoch_ || (reply.epoch == epoch_ && !reply.sealed)) return false;
     enterStep(Step::lost);
     return true;
 }
 
-bool Proposal::handleRead(const RegisterState& state) {
+bool Proposal::handleReadReply(const RegisterState& state) {
     unanimous_ = unanimous_ && (!lastRead_ || lastRead_->accepted == state.accepted);
     lastRead_ = state;
-    if (state.accepted > known_.accepted) known_ = state;  // need not be told again
+    if (state.accepted > known_.accepted) known_ = state;  // the prepare need not transfer it again
     if (unanimous_ && answeredBy_.size() < majority_) return false;
     if (unanimous_ && change_(state.value) == state.value) {
         value_ = state.value;
@@ -203,7 +206,7 @@
     return true;
 }
 
-bool Proposal::handleVote(std::uint32_t member, const Reply& reply, const RegisterState& state) {
+bool Proposal::handlePhaseReply(std::uint32_t member, const Reply& reply, const RegisterState& state) {
     if (!reply.accepted) {
         enterStep(Step::lost);
         return true;
@@ -222,11 +225,11 @@
 
 // ---- Reconfiguration ----
 
-Reconfiguration::Reconfiguration(Epoch from, Epoch to, std::uint32_t writer, RegisterStates held)
-    : from_(std::move(from)), to_(std::move(to)), proposer_(writer), known_(std::move(held)) {}
+Reconfiguration::Reconfiguration(Epoch from, Epoch to, std::uint32_t proposer, RegisterStates known)
+    : from_(std::move(from)), to_(std::move(to)), proposer_(proposer), known_(std::move(known)) {}
 
 std::vector<Request> Reconfiguration::requests() const {
-    std::vector<Request> all;
+    std::vector<Request> requests;
     Request request;
     request.successor = to_;
     if (step_ == Step::seal) {
@@ -234,45 +237,45 @@
         request.epoch = from_.number;
         request.predecessor = from_;
         for (const auto& [key, state] : known_) request.knownNumbers[key] = state.accepted;
-        all.push_back(request);
+        requests.push_back(request);
     } else if (step_ == Step::transfer || step_ == Step::open) {
         request.kind = Request::Kind::install;
         request.epoch = to_.number;
         request.open = step_ == Step::open;
         if (!request.open) request.predecessor = from_;
-        all.push_back(request);
+        requests.push_back(request);
         if (step_ == Step::transfer)
             for (const auto& [_, proposal] : proposals_)
-                if (proposal.step() != Proposal::Step::done) all.push_back(proposal.request());
+                if (proposal.step() != Proposal::Step::done) requests.push_back(proposal.request());
     }
-    return all;
+    return requests;
 }
 
 bool Reconfiguration::handleReply(std::uint32_t member, Step answered, const std::string& key,
                                   Proposal::Step proposalStep, const Reply& reply) {
     if (answered != step_) return false;
-    if (step_ == Step::seal) return handleSealed(member, reply);
-    if (step_ == Step::transfer) return handleTransferred(member, key, proposalStep, reply);
+    if (step_ == Step::seal) return handleSealReply(member, reply);
+    if (step_ == Step::transfer) return handleTransferReply(member, key, proposalStep, reply);
     if (step_ != Step::open || !reply.accepted) return false;
     if (!acceptedBy_.insert(member).second || acceptedBy_.size() < to_.majority()) return false;
     step_ = Step::done;
     return true;
 }
 
-bool Reconfiguration::handleSealed(std::uint32_t member, const Reply& reply) {
+bool Reconfiguration::handleSealReply(std::uint32_t member, const Reply& reply) {
     if (!reply.accepted) {
         if (reply.epoch <= from_.number + 1) return false;
-        step_ = Step::lost;  // long past
+        step_ = Step::lost;  // a later epoch is already in force
         return true;
     }
     if (!acceptedBy_.insert(member).second) return false;
-    mergeSealed(reply.states);
+    mergeSealedStates(reply.states);
     if (acceptedBy_.size() < from_.majority()) return false;
     beginTransfer();
     return true;
 }
 
-void Reconfiguration::mergeSealed(const RegisterStates& states) {
+void Reconfiguration::mergeSealedStates(const RegisterStates& states) {
     for (const auto& [key, state] : states) {
         auto& highest = highest_[key];
         highest.promised = std::max(highest.promised, state.promised);
@@ -289,8 +292,9 @@
     acceptedBy_.clear();
     const Change unchanged = [](const std::string& value) { return value; };
     for (const auto& [key, state] : highest_) {
-        // Also where nothing was accepted but something promised: a value that one disk accepted in an old
-        // epoch must lie below every number of the new one, or it would come back with that disk.
+        // Keys with a promise but no accepted value are transferred too: a value that a single disk accepted
+        // in an old epoch must stay below every number of the new epoch, or it would reappear when that disk
+        // becomes a member again.
         if (isSuccessorKey(key)) continue;
         proposals_.emplace(
             key, Proposal(key, to_, proposer_, state.promised.round, unchanged, false, state, state));
@@ -298,11 +302,11 @@
     if (proposals_.empty()) step_ = Step::open;
 }
 
-bool Reconfiguration::handleTransferred(std::uint32_t member, const std::string& key,
-                                        Proposal::Step proposalStep, const Reply& reply) {
-    const auto at = proposals_.find(key);
-    if (at == proposals_.end() || !at->second.handleReply(member, proposalStep, reply)) return false;
-    if (at->second.step() == Proposal::Step::lost) {
+bool Reconfiguration::handleTransferReply(std::uint32_t member, const std::string& key,
+                                          Proposal::Step proposalStep, const Reply& reply) {
+    const auto found = proposals_.find(key);
+    if (found == proposals_.end() || !found->second.handleReply(member, proposalStep, reply)) return false;
+    if (found->second.step() == Proposal::Step::lost) {
         step_ = Step::lost;
         return true;
     }
--- a/src/consensus/consensus.hpp
+++ b/src/consensus/consensus.hpp
@@ -1,17 +1,18 @@
-/// Consensus on one value for each key of a register that a majority of disks holds: written to a majority,
-/// read from a majority, the highest proposal number wins. No log, no leader. The members are a value too: an
-/// epoch, changed by agreement of its own members and sealed before the next one opens.
-/// docs/design/control.md tells why it holds.
+/// Replicated registers: consensus on one value per key. A write goes to a majority of disks, a read asks a
+/// majority, and the value with the highest proposal number is the current one (Paxos without a log and
+/// without a leader). The member list is itself such a value: an epoch, replaced by agreement of its own
+/// members and sealed before its successor opens. docs/design/control.md has the argument for its safety.
 ///
 /// Pure: no clock, no randomness, no I/O, no threads; an object belongs to one thread at a time. The host
-/// moves messages (any may be lost, doubled, late or out of order) and keeps register states and epoch state
-/// on disk. Invariants, each checked by the explorer in tests/consensus:
-///   - Lasting: what a write or a read has ended with is what every later one ends with or builds on;
-///   - OneBody: a proposal number has one value for good;
-///   - OneEpochOpen: no two sets of members are open under one number;
-///   - NoOldEpochWrites: nothing ends in an epoch once its successor is open;
-///   - NoForgetfulVote: a disk that was lost, or put back from an older image, never answers as before;
-///   - FoundedOnce: the first epoch is one, whatever is killed on the way.
+/// delivers messages (any may be lost, duplicated, delayed or reordered) and persists register states and the
+/// epoch state. Invariants, each checked by the explorer in tests/consensus:
+///   - DurableValues: a value that a write or read has returned is returned or built upon by every later one;
+///   - SingleValuePerNumber: a proposal number is bound to one value forever;
+///   - SingleOpenEpoch: no two member lists are open under the same epoch number;
+///   - NoStaleEpochWrites: no operation completes in an epoch once its successor is open;
+///   - MonotonicPromises: a disk never reverts a promise; a disk that was lost, or restored from an older
+///     image, never answers under its former identity;
+///   - SingleFounding: there is exactly one first epoch, whichever processes are killed while it forms.
 #pragma once
 
 #include <compare>
@@ -25,43 +26,43 @@
 
 namespace lichenlanding::consensus {
 
-/// Totally ordered; round 0 is none.
+/// Totally ordered. Round 0 means "no proposal".
 struct ProposalNumber {
     std::uint64_t round = 0;
-    std::uint32_t proposer = 0;  ///< the proposer, unlike any other's: tells two numbers of one round apart
+    std::uint32_t proposer = 0;  ///< unique to each proposer: breaks ties between numbers of one round
     auto operator<=>(const ProposalNumber&) const = default;
 };
 
-/// What one disk holds of one key.
+/// The state of one key on one disk.
 struct RegisterState {
-    ProposalNumber promised;  ///< nothing below is accepted any more
-    ProposalNumber accepted;  ///< of `value`
+    ProposalNumber promised;  ///< proposals below this number are rejected
+    ProposalNumber accepted;  ///< the proposal that wrote `value`
     std::string value;
     bool operator==(const RegisterState&) const = default;
 };
 using RegisterStates = std::map<std::string, RegisterState>;  // by key
 
-/// One replica: a machine with the disk that it has now. Another disk is another member.
+/// One replica: a machine together with its current disk. A machine with another disk is another member.
 struct Member {
     std::string address, disk, zone, region;
     auto operator<=>(const Member&) const = default;
 };
 
-/// The members, from one change of them to the next. Number 0 is the founding: its members are the seeds as
-/// all were told them, by address alone (disk ""), and all that they ever decide is epoch 1.
+/// A member list, in force from one membership change to the next. Epoch 0 is the founding: its members are
+/// the configured seed nodes, identified by address alone (disk ""), and their only decision is epoch 1.
 struct Epoch {
     std::uint64_t number = 0;
-    std::vector<Member> members;  ///< in order of address
+    std::vector<Member> members;  ///< sorted by address
     std::size_t majority() const { return members.size() / 2 + 1; }
-    /// The place of a member; none where it isn't one.
+    /// The index of a member in `members`; none for a non-member.
     std::optional<std::uint32_t> find(const std::string& address, const std::string& disk) const;
     bool operator==(const Epoch&) const = default;
 };
 
-/// What one disk knows for good of the epochs.
+/// The epochs that one disk has on record.
 struct EpochState {
-    Epoch epoch;        ///< the newest that it was told of
-    bool open = false;  ///< a majority of its members holds all values
+    Epoch epoch;        ///< the newest epoch received
+    bool open = false;  ///< a majority of its members has all values
     std::optional<Epoch>
         successor;  ///< the decided successor: `epoch` is sealed here, nothing of it is answered
     std::optional<Epoch>
@@ -69,12 +70,12 @@
     bool operator==(const EpochState&) const = default;
 };
 
-/// The key under which the members of one epoch decide the next; it has no meaning in any other epoch.
-std::string successorKey(const Epoch& of);
-/// Whether a key is a successor key, of whatever epoch.
+/// The key under which the members of an epoch decide its successor; used in that epoch only.
+std::string successorKey(const Epoch& epoch);
+/// Whether a key is the successor key of any epoch.
 bool isSuccessorKey(const std::string& key);
 
-/// From a proposer to an acceptor.
+/// A request from a proposer to an acceptor.
 struct Request {
     /// The numbers are part of the wire protocol.
     enum class Kind : std::uint8_t { read, prepare, accept, seal, install };
@@ -87,41 +88,44 @@
     std::map<std::string, ProposalNumber> knownNumbers;  ///< seal: the same, by key
     std::optional<Epoch> successor,
         predecessor;    ///< seal, install: the successor, and the epoch that it follows
-    bool open = false;  ///< install: the successor is open
+    bool open = false;  ///< install: whether the successor is open
 };
 
-/// From an acceptor to a proposer.
+/// An acceptor's reply to a proposer.
 struct Reply {
-    /// The acceptor is no member of the request's epoch, or has sealed it: it is no part of any majority.
+    /// The acceptor is not a member of the request's epoch, or has sealed it. The reply counts towards no
+    /// majority.
     bool rejected = false;
-    bool accepted = false;         ///< false where a higher promise stood against the request
-    RegisterState state;           ///< as it is after the request
-    bool valueOmitted = false;     ///< `state`'s value is the proposer's own, and left out
-    RegisterStates states;         ///< of a seal: all
-    std::uint64_t epoch = 0;       ///< the acceptor's own
-    bool sealed = false;           ///< the acceptor has sealed its own epoch
-    std::uint64_t writeCount = 0;  ///< how often the disk was written: a lower number later is a lost disk
+    bool accepted = false;      ///< false if a higher promise prevented it
+    RegisterState state;        ///< the key's state after the request
+    bool valueOmitted = false;  ///< `state.value` is omitted: the proposer has it
+    RegisterStates states;      ///< reply to a seal: the states of all keys
+    std::uint64_t epoch = 0;    ///< the acceptor's current epoch
+    bool sealed = false;        ///< whether the acceptor has sealed its current epoch
+    /// How often the disk was written. A lower count than in an earlier reply reveals a lost disk.
+    std::uint64_t writeCount = 0;
 };
 
-/// What must be on disk before a reply is sent.
+/// Changes to persist before a reply is sent.
 struct Update {
     RegisterStates states;
     std::optional<EpochState> epochState;
 };
 
-/// One disk's part in the consensus. The host asks what a request would change, has the disk sync it, and
-/// only then applies it and sends the reply: nothing is told that a loss of power could take back.
+/// The acceptor role for one disk. The host evaluates a request, syncs the resulting update to disk, and only
+/// then applies it and sends the reply, so that a power loss cannot undo anything that was reported.
 class Acceptor {
   public:
     Acceptor() = default;
-    /// On the disk with this identity, at this address.
+    /// An acceptor for the disk with identity `disk` on the machine at `address`.
     Acceptor(std::string address, std::string disk) : address_(std::move(address)), disk_(std::move(disk)) {}
 
     const std::string& disk() const { return disk_; }
-    /// A member of its newest epoch that has not sealed it.
+    /// Whether it is a member of its newest epoch and has not sealed that epoch.
     bool isVotingMember() const { return !epochState_.successor && isMember(epochState_.epoch); }
     bool isMember(const Epoch& epoch) const;
-    /// The reply; `update` is set where something must be on disk before it is sent. Changes nothing itself.
+    /// Computes the reply without changing any state. Sets `update` if changes must be on disk before the
+    /// reply is sent.
     Reply evaluate(const Request& request, std::optional<Update>& update) const;
     void apply(const Update& update);
     const RegisterStates& states() const { return states_; }
@@ -131,7 +135,7 @@
   private:
     Reply evaluateInstall(const Request& request, std::optional<Update>& update) const;
     Reply evaluateSeal(const Request& request, std::optional<Update>& update) const;
-    Reply evaluateAtKey(const Request& request, std::optional<Update>& update) const;
+    Reply evaluateRegisterRequest(const Request& request, std::optional<Update>& update) const;
     Reply emptyReply() const;
 
     std::string address_, disk_;
@@ -139,33 +143,38 @@
     RegisterStates states_;
 };
 
-/// From the value in force to the one that shall be; the same value: nothing to change, but it must be in
-/// force for sure. May be called several times, with different values.
+/// Computes the new value from the current one. Returning the same value requests no change, only proof that
+/// the value is in force. May be called several times with different values.
 using Change = std::function<std::string(const std::string&)>;
 
-/// One proposal at a key: a read (which ends at once where a majority agrees), else prepare and accept. The
-/// host sends request() to all members whenever the step has moved, and hands in replies with the step they
-/// answer; a reply of an earlier step is dropped. On `lost` it waits a little and makes another proposal
-/// above highestRound().
+/// One attempt to read or change a key: a read, which completes at once if a majority agrees, otherwise
+/// prepare and accept. The host sends request() to all members after each change of step and passes in each
+/// reply with the step that it answers; replies to earlier steps are ignored. On `lost` the host backs off
+/// and starts another proposal above highestRound().
 class Proposal {
   public:
     /// The numbers are part of the wire protocol.
     enum class Step : std::uint8_t { read, prepare, accept, done, lost };
 
-    /// `held`: a value that the host knows with its number, if any, so that acceptors need not send it.
-    /// `base`: what an earlier epoch has left, counted as if a member had told it.
-    Proposal(std::string key, const Epoch& epoch, std::uint32_t writer, std::uint64_t above, Change change,
-             bool readFirst, RegisterState held = {}, RegisterState base = {});
+    /// `highestKnownRound`: the proposal uses a higher round. `known`: a value that the host has, with its
+    /// number, so that acceptors can omit it. `inherited`: the state carried over from an earlier epoch,
+    /// treated as the reply of one more member.
+    Proposal(std::string key, const Epoch& epoch, std::uint32_t proposer, std::uint64_t highestKnownRound,
+             Change change, bool readFirst, RegisterState known = {}, RegisterState inherited = {});
 
     Step step() const { return step_; }
     Request request() const;
-    /// From the member in this place of the epoch. True where the step has moved.
+    /// Handles the reply of the member at index `member` of the epoch to a request of step `answered`.
+    /// Returns true if the step has changed.
     bool handleReply(std::uint32_t member, Step answered, const Reply& reply);
 
-    const std::string& value() const { return value_; }                ///< when done
-    ProposalNumber proposalNumber() const { return proposalNumber_; }  ///< of the value, when done
-    std::uint64_t highestRound() const { return highestRound_; }       ///< seen
-    /// The highest state that it was told or began with: the next proposal need not be told it again.
+    /// The resulting value; valid in step `done`.
+    const std::string& value() const { return value_; }
+    /// The number of the resulting value; valid in step `done`.
+    ProposalNumber proposalNumber() const { return proposalNumber_; }
+    /// The highest round seen in any reply.
+    std::uint64_t highestRound() const { return highestRound_; }
+    /// The newest state received or passed in, for use as `known` of the next proposal.
     const RegisterState& highestSeen() const {
         return highest_.accepted > known_.accepted ? highest_ : known_;
     }
@@ -174,8 +183,8 @@
   private:
     void enterStep(Step step);
     bool handleRejection(const Reply& reply);
-    bool handleRead(const RegisterState& state);
-    bool handleVote(std::uint32_t member, const Reply& reply, const RegisterState& state);
+    bool handleReadReply(const RegisterState& state);
+    bool handlePhaseReply(std::uint32_t member, const Reply& reply, const RegisterState& state);
 
     std::string key_;
     std::uint64_t epoch_;
@@ -186,50 +195,52 @@
     Step step_;
     ProposalNumber proposalNumber_;
     std::string value_;
-    RegisterState known_;                              // by the host, or as read
-    RegisterState inherited_;                          // from an earlier epoch
-    RegisterState highest_;                            // of this prepare's replies
-    std::set<std::uint32_t> answeredBy_, acceptedBy_;  // members, in this step
+    RegisterState known_;                              // passed in by the host, or read
+    RegisterState inherited_;                          // carried over from an earlier epoch
+    RegisterState highest_;                            // highest accepted state among the replies to prepare
+    std::set<std::uint32_t> answeredBy_, acceptedBy_;  // member indices, in this step
     std::optional<RegisterState> lastRead_;
-    bool unanimous_ = true;  // all reads so far
+    bool unanimous_ = true;  // whether all read replies so far agree
 };
 
-/// From one epoch to the successor that its members have decided: seal a majority of the old, put the highest
-/// state of every key on a majority of the new, open the new on a majority of its disks. Any number of hosts
-/// may do it at once, in part, or again: each step keeps what another has done.
+/// Moves the registers from one epoch to the successor that its members have decided: seals a majority of the
+/// old epoch, writes the highest state of every key to a majority of the new one, then opens the new epoch on
+/// a majority of its disks. Every step is idempotent: any number of hosts may run it concurrently, partially
+/// or repeatedly.
 class Reconfiguration {
   public:
     /// The numbers are part of the wire protocol.
     enum class Step : std::uint8_t { seal, transfer, open, done, lost };
 
-    /// `held`: what the host knows, so that acceptors need not send it.
-    Reconfiguration(Epoch from, Epoch to, std::uint32_t writer, RegisterStates held = {});
+    /// `known`: values that the host has, so that acceptors can omit them.
+    Reconfiguration(Epoch from, Epoch to, std::uint32_t proposer, RegisterStates known = {});
 
     Step step() const { return step_; }
-    /// To be sent to the members of targetEpoch(); a transfer's carry their key.
+    /// The requests to send to all members of targetEpoch(). Those of the transfer carry their key.
     std::vector<Request> requests() const;
     const Epoch& targetEpoch() const { return step_ == Step::seal ? from_ : to_; }
-    /// From the member in this place of targetEpoch(), to a request of this step, key and step of the key's
-    /// proposal. True where there are other requests than before.
+    /// Handles the reply of the member at index `member` of targetEpoch() to the request that was identified
+    /// by its step, key and the step of the key's proposal. Returns true if requests() has changed.
     bool handleReply(std::uint32_t member, Step answered, const std::string& key, Proposal::Step proposalStep,
                      const Reply& reply);
     const Epoch& from() const { return from_; }
     const Epoch& to() const { return to_; }
-    const std::map<std::string, Proposal>& proposals() const { return proposals_; }  ///< of the transfer
+    /// The proposals of the transfer, by key.
+    const std::map<std::string, Proposal>& proposals() const { return proposals_; }
 
   private:
-    bool handleSealed(std::uint32_t member, const Reply& reply);
-    bool handleTransferred(std::uint32_t member, const std::string& key, Proposal::Step proposalStep,
-                           const Reply& reply);
-    void mergeSealed(const RegisterStates& states);
+    bool handleSealReply(std::uint32_t member, const Reply& reply);
+    bool handleTransferReply(std::uint32_t member, const std::string& key, Proposal::Step proposalStep,
+                             const Reply& reply);
+    void mergeSealedStates(const RegisterStates& states);
     void beginTransfer();
 
     Epoch from_, to_;
     std::uint32_t proposer_;
-    RegisterStates known_;    // by the host
-    RegisterStates highest_;  // of the sealed members
+    RegisterStates known_;    // passed in by the host
+    RegisterStates highest_;  // highest state of each key among the sealed members
     Step step_ = Step::seal;
-    std::set<std::uint32_t> acceptedBy_;  // members, in this step
+    std::set<std::uint32_t> acceptedBy_;  // member indices, in this step
     std::map<std::string, Proposal> proposals_;
 };
 
--- a/src/messages/codec.cpp
+++ b/src/messages/codec.cpp
@@ -2,7 +2,7 @@
 
 #include "config/configuration.hpp"
 
-// Member and name of each, once.
+// X(member, field name)
 #define ENDPOINT_FIELDS(X) \
     X(id, "i")             \
     X(service, "s") X(address, "a") X(zone, "z") X(version, "v") X(slots, "k") X(draining, "d") X(warmup, "w")
@@ -11,9 +11,9 @@
     X(target, "target")   \
     X(state, "state")     \
     X(stage, "stage") X(number, "number") X(timeLimitMs, "term")
-// Not there in values of earlier texts, which kept times of wall clocks: such an order counts from its
-// reading.
-#define ROLLOUT_SPANS(X) X(ageMs, "age") X(stageAgeMs, "in_stage")
+// Earlier versions stored wall-clock times in place of these fields. The ages of such a rollout count from
+// the time at which it is read.
+#define ROLLOUT_AGES(X) X(ageMs, "age") X(stageAgeMs, "in_stage")
 
 namespace lichenlanding::messages {
 
@@ -42,8 +42,8 @@
     entry.at("config_version").get_to(endpoint.version);
     entry.at("capacity_slots").get_to(endpoint.slots);
     endpoint.draining = entry.at("state").get<std::string>() != "ready";
-    if (const auto left = entry.find("warmup_left"); left != entry.end() && left->is_string())
-        endpoint.warmup = config::parseDuration(left->get_ref<const std::string&>());
+    if (const auto warmup = entry.find("warmup_left"); warmup != entry.end() && warmup->is_string())
+        endpoint.warmup = config::parseDuration(warmup->get_ref<const std::string&>());
     return endpoint;
 }
 
@@ -102,7 +102,7 @@
         Json json;
 #define X(field, name) json[name] = rollout.field;
         ROLLOUT_FIELDS(X)
-        ROLLOUT_SPANS(X)
+        ROLLOUT_AGES(X)
 #undef X
         list.push_back(std::move(json));
     }
@@ -118,7 +118,7 @@
         ROLLOUT_FIELDS(X)
 #undef X
 #define X(field, name) rollout.field = json.value(name, std::int64_t{0});
-        ROLLOUT_SPANS(X)
+        ROLLOUT_AGES(X)
 #undef X
     }
     return rollouts;
--- a/src/messages/codec.hpp
+++ b/src/messages/codec.hpp
@@ -1,8 +1,8 @@
-/// Parts of messages as JSON values, and rollouts as the register's text has them. Whole messages between
-/// proxies and control nodes are in peer_messages.hpp.
+/// Encodes parts of messages as JSON values, and rollouts as JSON text (their form in the register). Complete
+/// messages between proxies and control nodes are in peer_messages.hpp.
 ///
-/// Encoding only: nothing here decides. Decoders throw nlohmann::json::exception on a value of another shape.
-/// Any thread.
+/// Encoding only, no decisions. Decoders throw nlohmann::json::exception on missing fields and wrong types.
+/// Thread-safe.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -17,13 +17,13 @@
 
 using Json = nlohmann::json;
 
-/// An endpoint as processes tell it to each other: an object with a letter for each field.
+/// An endpoint as exchanged between the gateway's processes: an object with one-letter field names.
 Json encode(const discovery::Endpoint& endpoint);
 discovery::Endpoint decodeEndpoint(const Json& from);
-/// One entry of the platform's list of instances. Throws ParseError as well, on a warm-up time that is none.
+/// Decodes an entry of the platform's instance list. Also throws ParseError, on an invalid warm-up duration.
 discovery::Endpoint decodePlatformEntry(const Json& entry);
 
-/// Bytes that need not be text, as a JSON binary value (CBOR has them as they are).
+/// Arbitrary bytes as a JSON binary value, which CBOR carries unescaped.
 Json encodeBytes(const std::string& bytes);
 std::string decodeBytes(const Json& from);
 
@@ -34,24 +34,25 @@
 Json encode(const consensus::RegisterState& state);
 consensus::RegisterState decodeRegisterState(const Json& from);
 
-/// By route, both sides: the bins and, last, the failures.
+/// By route, for either side of the comparison: the histogram bins, then the number of failures.
 Json encode(const verdict::Totals& totals);
 verdict::Totals decodeTotals(const Json& from);
 
-/// An operator's order to bring a version of a service in.
+/// An operator's request to roll out a version of a service.
 struct Rollout {
     std::string service, target, state = "in_progress";
-    int stage = 0;  // 0: a share of the traffic; 1: all of it, for a moment; 2: all of it, to the end
-    std::int64_t number = 0;       // rises with each change of any rollout, but for its ages
-    std::int64_t timeLimitMs = 0;  // milliseconds that it may take
-    // Milliseconds since the order, and in its stage, as of the last write: verdict::Ages counts on from
-    // there.
+    // 0: a share of the traffic; 1: all traffic, as a short trial; 2: all traffic until the end.
+    int stage = 0;
+    std::int64_t number = 0;  // increases with each change of any rollout other than an update of its ages
+    std::int64_t timeLimitMs = 0;
+    // Milliseconds since the request and since the stage began, as of the last write. verdict::Ages adds the
+    // time since then.
     std::int64_t ageMs = 0, stageAgeMs = 0;
     bool running() const { return state == "in_progress"; }
 };
 
-/// JSON as text: the register's value, and the text of a rollouts message.
+/// JSON text: the value in the register, and the text of a rollouts message.
 std::string encode(const std::vector<Rollout>& rollouts);
-std::vector<Rollout> decodeRollouts(const std::string& text);  // "" is none
+std::vector<Rollout> decodeRollouts(const std::string& text);  // "" means none
 
 }  // namespace lichenlanding::messages
--- a/src/messages/peer_messages.cpp
+++ b/src/messages/peer_messages.cpp
@@ -5,7 +5,7 @@
 namespace lichenlanding::messages {
 namespace {
 
-Json ofType(const char* type) { return Json{{kFieldType, type}}; }
+Json messageOfType(const char* type) { return Json{{kFieldType, type}}; }
 
 template <typename T>
 T get(const Json& from, const char* field) {
@@ -14,9 +14,9 @@
 
 template <typename T>
 std::optional<T> getOptional(const Json& from, const char* field) {
-    const auto at = from.find(field);
-    if (at == from.end()) return std::nullopt;
-    return at->template get<T>();
+    const auto found = from.find(field);
+    if (found == from.end()) return std::nullopt;
+    return found->template get<T>();
 }
 
 }  // namespace
@@ -34,7 +34,7 @@
 }
 
 Json encode(const Hello& hello) {
-    auto json = ofType(kTypeHello);
+    auto json = messageOfType(kTypeHello);
     json[kFieldKind] = hello.kind;
     json[kFieldName] = hello.name;
     json[kFieldAddress] = hello.address;
@@ -54,7 +54,7 @@
 }
 
 Json encode(const Roster& roster) {
-    auto json = ofType(kTypeRoster);
+    auto json = messageOfType(kTypeRoster);
     json[kFieldProxies] = roster.proxies;
     return json;
 }
@@ -64,7 +64,7 @@
 }
 
 Json encode(const Digest& digest) {
-    auto json = ofType(kTypeDigest);
+    auto json = messageOfType(kTypeDigest);
     json[kFieldConfiguration] = digest.configuration;
     json[kFieldRollouts] = digest.rollouts;
     if (digest.endpoints) {
@@ -86,7 +86,7 @@
 }
 
 Json encode(const FetchRequest& request) {
-    auto json = ofType(kTypeFetch);
+    auto json = messageOfType(kTypeFetch);
     if (request.configuration) json[kFieldConfiguration] = *request.configuration;
     if (request.rollouts) json[kFieldRollouts] = true;
     if (request.endpoints) {
@@ -100,16 +100,16 @@
     FetchRequest request;
     request.configuration = getOptional<std::uint32_t>(from, kFieldConfiguration);
     request.rollouts = from.contains(kFieldRollouts);
-    if (const auto held = from.find(kFieldHeldIds); held != from.end()) {
+    if (const auto heldIds = from.find(kFieldHeldIds); heldIds != from.end()) {
         auto& endpoints = request.endpoints.emplace();
         endpoints.version = decodeEndpointListVersion(from.at(kFieldWantedVersion));
-        held->get_to(endpoints.heldIds);
+        heldIds->get_to(endpoints.heldIds);
     }
     return request;
 }
 
 Json encode(const ConfigurationUpdate& update) {
-    auto json = ofType(kTypeConfiguration);
+    auto json = messageOfType(kTypeConfiguration);
     json[kFieldVersion] = update.version;
     json[kFieldCompressed] = encodeBytes(update.compressed);
     return json;
@@ -120,7 +120,7 @@
 }
 
 Json encode(const RolloutsUpdate& update) {
-    auto json = ofType(kTypeRollouts);
+    auto json = messageOfType(kTypeRollouts);
     json[kFieldNumber] = update.number;
     json[kFieldRolloutList] = update.text;
     return json;
@@ -131,7 +131,7 @@
 }
 
 Json encode(const EndpointsUpdate& update) {
-    auto json = ofType(kTypeEndpoints);
+    auto json = messageOfType(kTypeEndpoints);
     if (update.baseVersion) json[kFieldBaseVersion] = encode(*update.baseVersion);
     json[kFieldListVersion] = encode(update.version);
     auto& endpoints = json[kFieldEndpoints] = Json::array();
@@ -144,8 +144,8 @@
 EndpointsUpdate decodeEndpointsUpdate(const Json& from) {
     EndpointsUpdate update;
     update.version = decodeEndpointListVersion(from.at(kFieldListVersion));
-    if (const auto before = from.find(kFieldBaseVersion); before != from.end())
-        update.baseVersion = decodeEndpointListVersion(*before);
+    if (const auto baseVersion = from.find(kFieldBaseVersion); baseVersion != from.end())
+        update.baseVersion = decodeEndpointListVersion(*baseVersion);
     const auto& endpoints = from.at(kFieldEndpoints);
     update.endpoints.reserve(endpoints.size());
     for (const auto& entry : endpoints) update.endpoints.push_back(decodeEndpoint(entry));
@@ -156,7 +156,7 @@
 }
 
 Json encode(const Acknowledgement& acknowledgement) {
-    auto json = ofType(kTypeAcknowledgement);
+    auto json = messageOfType(kTypeAcknowledgement);
     json[kFieldConfiguration] = acknowledgement.configuration;
     return json;
 }
@@ -166,7 +166,7 @@
 }
 
 Json encode(const PeerLost& lost) {
-    auto json = ofType(kTypePeerLost);
+    auto json = messageOfType(kTypePeerLost);
     json[kFieldName] = lost.name;
     return json;
 }
@@ -174,7 +174,7 @@
 PeerLost decodePeerLost(const Json& from) { return {get<std::string>(from, kFieldName)}; }
 
 Json encode(const CountsReport& report) {
-    auto json = ofType(kTypeCounts);
+    auto json = messageOfType(kTypeCounts);
     json[kFieldFrom] = report.from;
     json[kFieldIncarnation] = report.incarnation;
     json[kFieldNumber] = report.number;
@@ -194,7 +194,7 @@
 }
 
 Json encode(const Vote& vote) {
-    auto json = ofType(kTypeVote);
+    auto json = messageOfType(kTypeVote);
     json[kFieldFrom] = vote.from;
     json[kFieldService] = vote.service;
     json[kFieldTarget] = vote.target;
--- a/tests/consensus/explored_world.cpp
+++ b/tests/consensus/explored_world.cpp
@@ -18,303 +18,309 @@
 std::string Message::text() const {
     std::string all = std::to_string(task) + "/" + std::to_string(machine) + "/" + std::to_string(attempt) +
                       "/" + std::to_string(step) + "." + std::to_string(proposalStep) + request.key +
-                      std::to_string(static_cast<int>(request.kind)) + (reply ? "r" : "q") +
+                      std::to_string(static_cast<int>(request.kind)) + (isReply ? "r" : "q") +
                       std::to_string(request.epoch);
-    if (!reply)
+    if (!isReply)
         return all + consensus_explorer::text(request.proposalNumber) + request.value +
                (request.successor ? consensus_explorer::text(*request.successor) : "");
-    all += answer.rejected ? "b" : answer.accepted ? "t" : "n";
-    all += std::to_string(answer.epoch) + (answer.sealed ? "s" : "") +
-           consensus_explorer::text(answer.state.promised) + ":" +
-           consensus_explorer::text(answer.state.accepted) + answer.state.value;
-    for (const auto& [key, state] : answer.states)
+    all += reply.rejected ? "b" : reply.accepted ? "t" : "n";
+    all += std::to_string(reply.epoch) + (reply.sealed ? "s" : "") +
+           consensus_explorer::text(reply.state.promised) + ":" +
+           consensus_explorer::text(reply.state.accepted) + reply.state.value;
+    for (const auto& [key, state] : reply.states)
         all += key + consensus_explorer::text(state.promised) + ":" +
                consensus_explorer::text(state.accepted) + state.value;
     return all;
 }
 
-World::World(Shape shape_, Bug bug_) : shape(std::move(shape_)), bug(bug_) {
-    const int machines = shape.members + shape.spares;
+World::World(Scenario scenario_, Bug bug_) : scenario(std::move(scenario_)), bug(bug_) {
+    const int machines = scenario.members + scenario.spares;
     Epoch first;
-    first.number = shape.founding ? 0 : 1;
-    for (int at = 0; at < machines; ++at) {
-        acceptors.emplace_back(address(at), "1");
-        lives.push_back(1);
-        if (at < shape.members) first.members.push_back(member(at));
+    first.number = scenario.founding ? 0 : 1;
+    for (int index = 0; index < machines; ++index) {
+        acceptors.emplace_back(address(index), "1");
+        diskIncarnations.push_back(1);
+        if (index < scenario.members) first.members.push_back(member(index));
     }
-    for (int at = 0; at < shape.members; ++at) acceptors[at].apply({{}, EpochState{first, true, {}, {}}});
-    images = acceptors;
+    for (int index = 0; index < scenario.members; ++index)
+        acceptors[index].apply({{}, EpochState{first, true, {}, {}}});
+    diskImages = acceptors;
     opened[first.number] = first;
-    if (shape.founding) {
-        change(0), change(1);
+    if (scenario.founding) {
+        addMembershipChange(0), addMembershipChange(1);
         return;
     }
-    add(Task::write, "7A"), add(Task::write, "7B");
-    if (shape.changes > 0) change(0);
+    addTask(Task::write, "7A"), addTask(Task::write, "7B");
+    if (scenario.membershipChanges > 0) addMembershipChange(0);
 }
 
-void World::change(int which) {
+void World::addMembershipChange(int which) {
     Task task;
-    task.kind = Task::replace, task.epoch = newest();
+    task.kind = Task::changeMembers, task.epoch = newest();
     task.to.number = task.epoch.number + 1;
     const int machines = static_cast<int>(acceptors.size());
     std::vector<int> chosen;
-    for (int at = 0; at < machines && static_cast<int>(chosen.size()) < shape.members; ++at) {
-        const int machine = (at + which + (shape.founding ? 0 : 1)) % machines;
+    for (int index = 0; index < machines && static_cast<int>(chosen.size()) < scenario.members; ++index) {
+        const int machine = (index + which + (scenario.founding ? 0 : 1)) % machines;
         chosen.push_back(machine);
     }
     std::sort(chosen.begin(), chosen.end());
     for (const int machine : chosen) task.to.members.push_back(member(machine));
-    sets[text(task.to)] = task.to;
+    memberLists[text(task.to)] = task.to;
     tasks.push_back(std::move(task));
-    begin(static_cast<int>(tasks.size()) - 1);
+    beginAttempt(static_cast<int>(tasks.size()) - 1);
 }
 
-void World::add(Task::Kind kind, const std::string& body) {
+void World::addTask(Task::Kind kind, const std::string& value) {
     Task task;
-    task.kind = kind, task.body = body, task.epoch = newest(), task.after = !ended.empty();
+    task.kind = kind, task.value = value, task.epoch = newest(),
+    task.afterFirstValue = !completedValues.empty();
     tasks.push_back(std::move(task));
-    begin(static_cast<int>(tasks.size()) - 1);
+    beginAttempt(static_cast<int>(tasks.size()) - 1);
 }
 
-void World::begin(int at) {
-    auto& task = tasks[at];
-    const auto writer = static_cast<std::uint32_t>(at + 1);
-    const auto above = task.proposal ? task.proposal->highestRound() : 0;
+void World::beginAttempt(int taskIndex) {
+    auto& task = tasks[taskIndex];
+    const auto proposer = static_cast<std::uint32_t>(taskIndex + 1);
+    const auto highestKnownRound = task.proposal ? task.proposal->highestRound() : 0;
     ++task.attempt;
     task.repliesSeen.clear();
     task.reconfiguration.reset();
-    if (task.kind == Task::replace) {
+    if (task.kind == Task::changeMembers) {
         const auto value = text(task.to);
         task.proposal = Proposal(
-            successorKey(task.epoch), task.epoch, writer, above,
-            [value](const std::string& held) { return held.empty() ? value : held; }, false);
+            successorKey(task.epoch), task.epoch, proposer, highestKnownRound,
+            [value](const std::string& current) { return current.empty() ? value : current; }, false);
     } else {
-        const auto body = task.body;
+        const auto ownValue = task.value;
         task.proposal = Proposal(
-            "k", task.epoch, writer, above,
-            [body](const std::string& held) {
-                return body.empty() || (!held.empty() && held[0] >= body[0]) ? held : body;
+            "k", task.epoch, proposer, highestKnownRound,
+            [ownValue](const std::string& current) {
+                return ownValue.empty() || (!current.empty() && current[0] >= ownValue[0]) ? current
+                                                                                           : ownValue;
             },
             task.attempt == 1);
     }
-    send(at);
+    sendRequests(taskIndex);
 }
 
-void World::send(int at) {
-    const auto& task = tasks[at];
-    const auto each = [&](const Epoch& asked, Message message) {
-        for (const auto& member : asked.members) {
+void World::sendRequests(int taskIndex) {
+    const auto& task = tasks[taskIndex];
+    const auto sendToAll = [&](const Epoch& targets, Message message) {
+        for (const auto& member : targets.members) {
             message.machine = member.address[0] - 'a';
             messages.push_back(message);
         }
     };
     Message message;
-    message.task = at, message.attempt = task.attempt;
+    message.task = taskIndex, message.attempt = task.attempt;
     if (!task.reconfiguration) {
         message.step = static_cast<int>(task.proposal->step()), message.request = task.proposal->request();
-        each(task.epoch, message);
+        sendToAll(task.epoch, message);
         return;
     }
-    message.ofProposal = false, message.step = static_cast<int>(task.reconfiguration->step());
+    message.toProposal = false, message.step = static_cast<int>(task.reconfiguration->step());
     for (const auto& request : task.reconfiguration->requests()) {
         const auto proposal = task.reconfiguration->proposals().find(request.key);
         message.proposalStep = proposal == task.reconfiguration->proposals().end()
                                    ? 0
                                    : static_cast<int>(proposal->second.step());
         message.request = request;
-        each(task.reconfiguration->targetEpoch(), message);
+        sendToAll(task.reconfiguration->targetEpoch(), message);
     }
 }
 
-void World::open(const Epoch& epoch) {
-    const auto [at, added] = opened.emplace(epoch.number, epoch);
-    if (!added && at->second != epoch)
-        broken =
-            (shape.founding ? "FoundedOnce: " : "OneEpochOpen: ") + text(at->second) + " and " + text(epoch);
+void World::recordOpenEpoch(const Epoch& epoch) {
+    const auto [entry, inserted] = opened.emplace(epoch.number, epoch);
+    if (!inserted && entry->second != epoch)
+        violation = (scenario.founding ? "SingleFounding: " : "SingleOpenEpoch: ") + text(entry->second) +
+                    " and " + text(epoch);
 }
 
-void World::onStepChanged(int at) {
-    auto& task = tasks[at];
+void World::onStepChanged(int taskIndex) {
+    auto& task = tasks[taskIndex];
     task.repliesSeen.clear();
     if (task.reconfiguration) {
         if (task.reconfiguration->step() == Reconfiguration::Step::done) {
-            open(task.reconfiguration->to());
-            task.ended = true;
-            const auto replaced = std::count_if(tasks.begin(), tasks.end(),
-                                                [](const Task& one) { return one.kind == Task::replace; });
-            if (shape.founding) {
-                if (tasks.size() == 2) add(Task::write, "7A"), add(Task::write, "7B");
-            } else if (replaced < shape.changes) {
-                change(static_cast<int>(replaced));
+            recordOpenEpoch(task.reconfiguration->to());
+            task.completed = true;
+            const auto changes = std::count_if(
+                tasks.begin(), tasks.end(), [](const Task& one) { return one.kind == Task::changeMembers; });
+            if (scenario.founding) {
+                if (tasks.size() == 2) addTask(Task::write, "7A"), addTask(Task::write, "7B");
+            } else if (changes < scenario.membershipChanges) {
+                addMembershipChange(static_cast<int>(changes));
             }
         } else if (task.reconfiguration->step() != Reconfiguration::Step::lost) {
-            send(at);
+            sendRequests(taskIndex);
         }
         return;
     }
     const auto& proposal = *task.proposal;
     if (proposal.step() == Proposal::Step::lost) return;
-    if (proposal.step() != Proposal::Step::done) return send(at);
-    if (task.kind == Task::replace) {
-        const auto decided = sets.at(proposal.value());
-        task.reconfiguration = Reconfiguration(task.epoch, decided, static_cast<std::uint32_t>(at + 1));
-        if (bug == Bug::opensUnsealed || bug == Bug::opensEmpty) {
-            // What a careless host would do: one answer is enough, or nothing is carried over.
+    if (proposal.step() != Proposal::Step::done) return sendRequests(taskIndex);
+    if (task.kind == Task::changeMembers) {
+        const auto decided = memberLists.at(proposal.value());
+        task.reconfiguration =
+            Reconfiguration(task.epoch, decided, static_cast<std::uint32_t>(taskIndex + 1));
+        if (bug == Bug::opensAfterOneSeal || bug == Bug::opensWithoutTransfer) {
+            // A faulty host: it seals a single member, or transfers no values.
             auto epoch = task.epoch;
-            if (bug == Bug::opensUnsealed) epoch.members.resize(1);
-            if (bug == Bug::opensEmpty)
+            if (bug == Bug::opensAfterOneSeal) epoch.members.resize(1);
+            if (bug == Bug::opensWithoutTransfer)
                 for (auto& acceptor : acceptors)
                     if (decided.find(addressOf(acceptor), acceptor.disk()))
                         acceptor.apply({{}, EpochState{decided, true, {}, {}}});
-            task.reconfiguration = Reconfiguration(epoch, decided, static_cast<std::uint32_t>(at + 1));
-            if (bug == Bug::opensEmpty) {
+            task.reconfiguration = Reconfiguration(epoch, decided, static_cast<std::uint32_t>(taskIndex + 1));
+            if (bug == Bug::opensWithoutTransfer) {
                 for (auto& acceptor : acceptors)
                     if (!task.epoch.find(addressOf(acceptor), acceptor.disk()))
                         acceptor.apply({{{"k", RegisterState{}}}, {}});
-                open(decided), task.ended = true;
+                recordOpenEpoch(decided), task.completed = true;
                 return;
             }
         }
-        send(at);
+        sendRequests(taskIndex);
         return;
     }
-    task.ended = true;
-    // Lasting: bodies of one number are one body, whoever ended with it, and a later one builds on it.
-    if (!ended.empty() && !proposal.value().empty() && ended.back() != proposal.value())
-        broken = "Lasting: " + ended.back() + " then " + proposal.value();
-    if (proposal.value().empty() && task.after) broken = "Lasting: nothing after " + ended.back();
-    if (!proposal.value().empty()) ended.push_back(proposal.value());
+    task.completed = true;
+    // DurableValues: every task returns the value that an earlier one returned or built upon.
+    if (!completedValues.empty() && !proposal.value().empty() && completedValues.back() != proposal.value())
+        violation = "DurableValues: " + completedValues.back() + " then " + proposal.value();
+    if (proposal.value().empty() && task.afterFirstValue)
+        violation = "DurableValues: no value after " + completedValues.back();
+    if (!proposal.value().empty()) completedValues.push_back(proposal.value());
     const auto reads =
         std::count_if(tasks.begin(), tasks.end(), [](const Task& one) { return one.kind == Task::read; });
-    if (!ended.empty() && reads < 2) add(Task::read, "");
+    if (!completedValues.empty() && reads < 2) addTask(Task::read, "");
 }
 
 std::string World::addressOf(const Acceptor& acceptor) const {
-    for (std::size_t at = 0; at < acceptors.size(); ++at)
-        if (&acceptors[at] == &acceptor) return address(static_cast<int>(at));
+    for (std::size_t index = 0; index < acceptors.size(); ++index)
+        if (&acceptors[index] == &acceptor) return address(static_cast<int>(index));
     return "";
 }
 
-bool World::stalled(int at) const {
-    const auto& task = tasks[at];
-    if (task.ended || task.attempt >= 20) return false;
+bool World::canRestart(int taskIndex) const {
+    const auto& task = tasks[taskIndex];
+    if (task.completed || task.attempt >= 20) return false;
     const bool lost = task.reconfiguration ? task.reconfiguration->step() == Reconfiguration::Step::lost
                                            : task.proposal->step() == Proposal::Step::lost;
     return lost || std::none_of(messages.begin(), messages.end(), [&](const Message& message) {
-               return message.task == at && message.attempt == task.attempt;
+               return message.task == taskIndex && message.attempt == task.attempt;
            });
 }
 
-void World::restart(int at) {
-    auto& task = tasks[at];
-    if (task.kind == Task::replace) {
-        if (task.epoch.number != newest().number) return void(task.ended = true);  // another was quicker
-        // A decided successor is told by whoever has sealed for it: it is not decided again, but
-        // ended.
+void World::restart(int taskIndex) {
+    auto& task = tasks[taskIndex];
+    if (task.kind == Task::changeMembers) {
+        if (task.epoch.number != newest().number)
+            return void(task.completed = true);  // another task has completed a change
+        // A sealed acceptor reports the decided successor: the change is completed, not decided again.
         for (const auto& acceptor : acceptors)
             if (acceptor.epochState().successor && acceptor.epochState().epoch.number == task.epoch.number) {
                 ++task.attempt, task.repliesSeen.clear();
                 task.reconfiguration = Reconfiguration(task.epoch, *acceptor.epochState().successor,
-                                                       static_cast<std::uint32_t>(at + 1));
-                return send(at);
+                                                       static_cast<std::uint32_t>(taskIndex + 1));
+                return sendRequests(taskIndex);
             }
     } else {
         task.epoch = newest();
     }
-    begin(at);
+    beginAttempt(taskIndex);
 }
 
 World::Choices World::choices() const {
     Choices all;
-    all.ways = shape.doubles > 0 ? 3 : 2;
-    all.messages = messages.size() * all.ways;
-    all.losses = shape.losses > 0 ? acceptors.size() : 0;
-    all.images = shape.images > 0 ? acceptors.size() : 0;
-    for (int at = 0; at < static_cast<int>(tasks.size()); ++at) all.stalled += stalled(at);
+    all.outcomesPerMessage = scenario.duplicates > 0 ? 3 : 2;
+    all.messages = messages.size() * all.outcomesPerMessage;
+    all.diskLosses = scenario.diskLosses > 0 ? acceptors.size() : 0;
+    all.imageRestores = scenario.imageRestores > 0 ? acceptors.size() : 0;
+    for (int index = 0; index < static_cast<int>(tasks.size()); ++index)
+        all.stalledTasks += canRestart(index);
     return all;
 }
 
-void World::choose(std::size_t choice) {
+void World::applyChoice(std::size_t choice) {
     const auto all = choices();
     if (choice < all.messages) {
-        const auto at = choice / all.ways;
-        const auto way = choice % all.ways;
-        const auto message = messages[at];
-        if (way != 2) messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(at));
-        if (way == 2) --shape.doubles;
-        if (way != 1) deliver(message);
-        return check();
+        const auto index = choice / all.outcomesPerMessage;
+        const auto outcome = choice % all.outcomesPerMessage;
+        const auto message = messages[index];
+        if (outcome != 2) messages.erase(messages.begin() + static_cast<std::ptrdiff_t>(index));
+        if (outcome == 2) --scenario.duplicates;
+        if (outcome != 1) deliver(message);
+        return checkStaleEpochs();
     }
     choice -= all.messages;
-    if (choice < all.losses) {
-        --shape.losses;
-        return loseDisk(static_cast<int>(choice));
+    if (choice < all.diskLosses) {
+        --scenario.diskLosses;
+        return replaceDisk(static_cast<int>(choice));
     }
-    choice -= all.losses;
-    if (choice < all.images) {
-        --shape.images;
+    choice -= all.diskLosses;
+    if (choice < all.imageRestores) {
+        --scenario.imageRestores;
         const auto machine = static_cast<int>(choice);
-        // Nobody is asked whether it is the disk that they know: it answers as before. Else it is a new
-        // one.
-        if (bug == Bug::rollsBack) acceptors[machine] = images[machine];
-        else loseDisk(machine);
+        // The bug: the restored disk answers under its former identity. Otherwise it gets a new one.
+        if (bug == Bug::restoresOldImage) acceptors[machine] = diskImages[machine];
+        else replaceDisk(machine);
         return;
     }
-    choice -= all.images;
-    for (int at = 0; at < static_cast<int>(tasks.size()); ++at)
-        if (stalled(at) && choice-- == 0) return restart(at);
+    choice -= all.imageRestores;
+    for (int index = 0; index < static_cast<int>(tasks.size()); ++index)
+        if (canRestart(index) && choice-- == 0) return restart(index);
 }
 
-void World::loseDisk(int machine) {
+void World::replaceDisk(int machine) {
     const auto before = acceptors[machine];
-    const bool keeps = bug == Bug::lostDiskKeepsName || (bug == Bug::foundsAgain && shape.founding);
-    if (!keeps) ++lives[machine];
-    acceptors[machine] = Acceptor(address(machine), std::to_string(lives[machine]));
-    if (keeps && before.epochState().epoch.number <= (shape.founding ? 0U : 1U))
-        acceptors[machine].apply({{}, images[machine].epochState()});
+    const bool keepsIdentity =
+        bug == Bug::lostDiskKeepsIdentity || (bug == Bug::foundsAgainAfterDiskLoss && scenario.founding);
+    if (!keepsIdentity) ++diskIncarnations[machine];
+    acceptors[machine] = Acceptor(address(machine), std::to_string(diskIncarnations[machine]));
+    if (keepsIdentity && before.epochState().epoch.number <= (scenario.founding ? 0U : 1U))
+        acceptors[machine].apply({{}, diskImages[machine].epochState()});
 }
 
 void World::deliver(const Message& message) {
-    if (message.reply) {
+    if (message.isReply) {
         auto& task = tasks[message.task];
-        if (message.attempt != task.attempt || message.ofProposal == task.reconfiguration.has_value()) return;
+        if (message.attempt != task.attempt || message.toProposal == task.reconfiguration.has_value()) return;
         task.repliesSeen += message.text() + ";";
-        const auto& asked = task.reconfiguration ? task.reconfiguration->targetEpoch() : task.epoch;
+        const auto& targets = task.reconfiguration ? task.reconfiguration->targetEpoch() : task.epoch;
         std::optional<std::uint32_t> position;
-        for (std::uint32_t at = 0; at < asked.members.size(); ++at)
-            if (asked.members[at].address == address(message.machine)) position = at;
+        for (std::uint32_t index = 0; index < targets.members.size(); ++index)
+            if (targets.members[index].address == address(message.machine)) position = index;
         if (!position) return;
         const bool moves =
             task.reconfiguration
                 ? task.reconfiguration->handleReply(
                       *position, static_cast<Reconfiguration::Step>(message.step), message.request.key,
-                      static_cast<Proposal::Step>(message.proposalStep), message.answer)
+                      static_cast<Proposal::Step>(message.proposalStep), message.reply)
                 : task.proposal->handleReply(*position, static_cast<Proposal::Step>(message.step),
-                                             message.answer);
+                                             message.reply);
         if (moves) onStepChanged(message.task);
         return;
     }
     auto& acceptor = acceptors[message.machine];
     auto request = message.request;
-    if (bug == Bug::countsBothEpochs && request.kind <= Request::Kind::accept)
+    if (bug == Bug::countsRepliesOfAnyEpoch && request.kind <= Request::Kind::accept)
         request.epoch = acceptor.epochState().epoch.number;
     std::optional<Update> update;
     Reply reply;
-    if (bug == Bug::spareCounts && !reply.rejected && message.machine == 0 &&
-        request.kind <= Request::Kind::accept && message.ofProposal &&
-        acceptors.size() > static_cast<std::size_t>(shape.members)) {
-        // The spare's acceptor answers beside the member's own, as one of the members.
+    if (bug == Bug::spareReplies && !reply.rejected && message.machine == 0 &&
+        request.kind <= Request::Kind::accept && message.toProposal &&
+        acceptors.size() > static_cast<std::size_t>(scenario.members)) {
+        // The spare's acceptor replies as well as the member's own, under the member's name.
         Acceptor spare("a", "1");
         spare.apply({acceptors.back().states(), acceptors[0].epochState()});
         reply = spare.evaluate(request, update);
         if (update) acceptors.back().apply({update->states, {}});
-        if (!reply.rejected && message.task % 2 == 1) return answer(message, reply);
+        if (!reply.rejected && message.task % 2 == 1) return enqueueReply(message, reply);
     }
-    if (bug == Bug::newDiskSeals && request.kind == Request::Kind::seal &&
+    if (bug == Bug::newDiskConfirmsSeal && request.kind == Request::Kind::seal &&
         acceptor.epochState().epoch.number == request.epoch + 1) {
         reply.accepted = true, reply.states = acceptor.states();
-    } else if (bug == Bug::sealForgets && acceptor.epochState().successor) {
+    } else if (bug == Bug::ignoresSeal && acceptor.epochState().successor) {
         auto epochState = acceptor.epochState();
         epochState.successor.reset();
         Acceptor unsealed(address(message.machine), acceptor.disk());
@@ -326,47 +332,49 @@
     if (update) {
         if (bug == Bug::forgetsPromise && request.kind == Request::Kind::prepare)
             for (auto& [key, state] : update->states) state.promised = acceptor.state(key).promised;
-        if (bug != Bug::tellsBeforeDisk || message.machine != 0) acceptor.apply(*update);
-        if (images[message.machine].states().empty()) images[message.machine] = acceptor;
+        if (bug != Bug::repliesBeforeSync || message.machine != 0) acceptor.apply(*update);
+        if (diskImages[message.machine].states().empty()) diskImages[message.machine] = acceptor;
     }
-    answer(message, reply);
+    enqueueReply(message, reply);
     if (!reply.rejected && request.kind <= Request::Kind::accept) {
-        // NoForgetfulVote: what one disk has told, it never goes back on.
-        auto& highest = promisesTold[address(message.machine) + acceptor.disk() + request.key];
+        // MonotonicPromises: a disk never reports a lower promise than before.
+        auto& highest = reportedPromises[address(message.machine) + acceptor.disk() + request.key];
         if (reply.state.promised < highest)
-            broken = "NoForgetfulVote: " + address(message.machine) + " told " + text(highest) + ", then " +
-                     text(reply.state.promised);
+            violation = "MonotonicPromises: " + address(message.machine) + " reported " + text(highest) +
+                        ", then " + text(reply.state.promised);
         highest = std::max(highest, reply.state.promised);
     }
     if (request.kind == Request::Kind::accept && reply.accepted) {
-        const auto [body, added] = bodies.emplace(request.key + text(request.proposalNumber), request.value);
-        if (!added && body->second != request.value)
-            broken =
-                "OneBody: " + text(request.proposalNumber) + " is " + body->second + " and " + request.value;
+        const auto [entry, inserted] =
+            valuesByNumber.emplace(request.key + text(request.proposalNumber), request.value);
+        if (!inserted && entry->second != request.value)
+            violation = "SingleValuePerNumber: " + text(request.proposalNumber) + " is " + entry->second +
+                        " and " + request.value;
     }
-    if (acceptor.epochState().open) open(acceptor.epochState().epoch);
+    if (acceptor.epochState().open) recordOpenEpoch(acceptor.epochState().epoch);
 }
 
-void World::answer(Message message, const Reply& reply) {
-    message.reply = true, message.answer = reply;
+void World::enqueueReply(Message message, const Reply& reply) {
+    message.isReply = true, message.reply = reply;
     message.request.value.clear(), message.request.successor.reset();
     messages.push_back(std::move(message));
 }
 
-void World::check() {
+void World::checkStaleEpochs() {
     for (const auto& [number, epoch] : opened) {
         if (number == newest().number || number == 0) continue;
         std::size_t unsealed = 0;
         for (const auto& acceptor : acceptors) {
             const auto& epochState = acceptor.epochState();
-            const bool sealed = epochState.successor && bug != Bug::sealForgets;
+            const bool sealed = epochState.successor && bug != Bug::ignoresSeal;
             unsealed += epochState.epoch.number == number && !sealed && acceptor.isMember(epoch);
         }
-        if (unsealed >= epoch.majority()) broken = "NoOldEpochWrites: " + text(epoch) + " still takes";
+        if (unsealed >= epoch.majority())
+            violation = "NoStaleEpochWrites: " + text(epoch) + " still accepts requests";
     }
 }
 
-std::string World::key() const {
+std::string World::stateKey() const {
     std::vector<std::string> parts;
     for (const auto& message : messages) parts.push_back(message.text());
     std::sort(parts.begin(), parts.end());
@@ -380,16 +388,16 @@
             all += name + text(state.promised) + text(state.accepted) + state.value;
     }
     for (const auto& task : tasks) {
-        all += "#" + std::to_string(task.attempt) + (task.ended ? "e" : "") + text(task.epoch);
+        all += "#" + std::to_string(task.attempt) + (task.completed ? "e" : "") + text(task.epoch);
         if (task.proposal)
             all += std::to_string(static_cast<int>(task.proposal->step())) + task.proposal->value() +
                    std::to_string(task.proposal->highestRound()) + text(task.proposal->proposalNumber());
         if (task.reconfiguration) all += "s" + std::to_string(static_cast<int>(task.reconfiguration->step()));
         all += "~" + task.repliesSeen;
     }
-    return all + "w" + std::to_string(shape.losses) + std::to_string(shape.images) +
-           std::to_string(shape.doubles) + std::to_string(opened.size()) +
-           (ended.empty() ? "" : ended.back());
+    return all + "w" + std::to_string(scenario.diskLosses) + std::to_string(scenario.imageRestores) +
+           std::to_string(scenario.duplicates) + std::to_string(opened.size()) +
+           (completedValues.empty() ? "" : completedValues.back());
 }
 
 }  // namespace consensus_explorer
--- a/tests/consensus/explored_world.hpp
+++ b/tests/consensus/explored_world.hpp
@@ -1,7 +1,7 @@
-/// A world of acceptors, proposers and messages on their way, in which a test chooses what happens next: the
-/// real classes of src/consensus under every order of delivery and loss, with disks lost, put back from an
-/// older image and members replaced. It checks the invariants of consensus.hpp itself, and can be given a bug
-/// on purpose.
+/// A model of acceptors, proposers and messages in flight, in which the test chooses each next event. It runs
+/// the real classes of src/consensus under any order of delivery and loss, with disks that are lost or
+/// restored from an older image and with members that are replaced. It checks the invariants of consensus.hpp
+/// itself, and can be given a deliberate bug.
 #pragma once
 
 #include <map>
@@ -15,26 +15,27 @@
 
 using namespace lichenlanding::consensus;
 
+// Deliberate bugs that the invariants must detect.
 enum class Bug {
     none,
-    lostDiskKeepsName,  // an empty disk answers under the identity of the one that was lost
-    rollsBack,          // a disk put back from an older image answers as before
-    tellsBeforeDisk,    // what was told is not on the disk
+    lostDiskKeepsIdentity,  // an empty disk replies under the identity of the lost one
+    restoresOldImage,       // a disk restored from an older image replies under its former identity
+    repliesBeforeSync,      // a reply is sent although its update never reaches the disk
     forgetsPromise,
-    spareCounts,       // a machine that is no member answers in the place of one
-    sealForgets,       // a sealed acceptor goes on in the old epoch
-    opensUnsealed,     // a change of the members goes on after one acceptor has sealed
-    opensEmpty,        // a change of the members opens without a transfer
-    foundsAgain,       // a founder that lost its disk answers as a founder again
-    countsBothEpochs,  // a proposal counts answers of whatever epoch
-    newDiskSeals       // the new disk of a lost member, told of the successor, seals in the old one's
-                       // place
+    spareReplies,              // a machine that is not a member replies in the place of one
+    ignoresSeal,               // a sealed acceptor continues to serve the old epoch
+    opensAfterOneSeal,         // a membership change continues after a single acceptor has sealed
+    opensWithoutTransfer,      // a membership change opens the new epoch without the transfer
+    foundsAgainAfterDiskLoss,  // a founder that lost its disk replies as a founder again
+    countsRepliesOfAnyEpoch,   // a proposal counts replies from any epoch
+    newDiskConfirmsSeal        // the new disk of a lost member, with the successor installed, seals the old
+                               // epoch in the place of the lost disk
 };
-// What a world begins with and what may happen in it.
-struct Shape {
+// The initial members of a World and how many faults of each kind may occur in it.
+struct Scenario {
     std::string name;
     int members = 3, spares = 0;
-    int losses = 0, images = 0, doubles = 0, changes = 0;
+    int diskLosses = 0, imageRestores = 0, duplicates = 0, membershipChanges = 0;
     bool founding = false;
 };
 
@@ -44,72 +45,77 @@
 struct Message {
     int task = 0, machine = 0, attempt = 0;
     int step = 0, proposalStep = 0;
-    bool ofProposal = true, reply = false;
+    bool toProposal = true, isReply = false;
     Request request;
-    Reply answer;
+    Reply reply;
     std::string text() const;
 };
 
-// A writer, a reader, or one who changes the members, each on a host of its own.
+// A write, a read or a membership change, each on a host of its own.
 struct Task {
-    enum Kind { write, read, replace } kind = write;
-    std::string body;  // of a writer
-    Epoch epoch;       // that its host knows to be open
-    Epoch to;          // of a change: what it proposes
+    enum Kind { write, read, changeMembers } kind = write;
+    std::string value;  // write: the value to write
+    Epoch epoch;        // the newest open epoch that the host knows
+    Epoch to;           // changeMembers: the proposed epoch
     std::optional<Proposal> proposal;
     std::optional<Reconfiguration> reconfiguration;
     int attempt = 0;
-    bool after = false, ended = false;  // begun when something had lasted
+    // afterFirstValue: begun after another task had completed with a value
+    bool afterFirstValue = false, completed = false;
     std::string repliesSeen;
 };
 
 struct World {
-    Shape shape;
+    Scenario scenario;
     Bug bug = Bug::none;
     std::vector<Acceptor> acceptors;
-    std::vector<Acceptor> images;  // of each disk, as it first was and after its first change
-    std::vector<int> lives;        // of each machine's disk
+    std::vector<Acceptor>
+        diskImages;  // of each disk: with its first register states, before that its initial state
+    std::vector<int> diskIncarnations;  // of each machine's disk
     std::vector<Task> tasks;
-    std::vector<Message> messages;
+    std::vector<Message> messages;  // in flight
     std::map<std::uint64_t, Epoch> opened;
-    std::map<std::string, Epoch> sets;                   // proposals by their text
-    std::map<std::string, std::string> bodies;           // by key and ballot
-    std::map<std::string, ProposalNumber> promisesTold;  // by disk: the highest promise that it told
-    std::vector<std::string> ended;
-    std::string broken;
+    std::map<std::string, Epoch> memberLists;                // proposed epochs by their text
+    std::map<std::string, std::string> valuesByNumber;       // accepted values by key and proposal number
+    std::map<std::string, ProposalNumber> reportedPromises;  // by disk and key: the highest reported promise
+    std::vector<std::string> completedValues;                // results of completed tasks, in order
+    std::string violation;                                   // a violated invariant; empty if none
 
-    explicit World(Shape shape_, Bug bug_ = Bug::none);
+    explicit World(Scenario scenario_, Bug bug_ = Bug::none);
 
     static std::string address(int machine) { return std::string(1, static_cast<char>('a' + machine)); }
-    Member member(int machine) const { return {address(machine), std::to_string(lives[machine]), "", ""}; }
+    Member member(int machine) const {
+        return {address(machine), std::to_string(diskIncarnations[machine]), "", ""};
+    }
     Epoch newest() const { return opened.rbegin()->second; }
 
-    // A change that leaves one member out for one that stands by, or for a disk's new life.
-    void change(int which);
-    void add(Task::Kind kind, const std::string& body);
-    void begin(int at);
-    void send(int at);
+    // Adds a membership change that replaces one member by a spare, or by its own new disk.
+    void addMembershipChange(int which);
+    void addTask(Task::Kind kind, const std::string& value);
+    void beginAttempt(int taskIndex);
+    void sendRequests(int taskIndex);
 
-    void open(const Epoch& epoch);
-    void onStepChanged(int at);
+    void recordOpenEpoch(const Epoch& epoch);
+    void onStepChanged(int taskIndex);
     std::string addressOf(const Acceptor& acceptor) const;
 
-    // A task may begin anew where its proposal is lost, or where nothing of it is on its way any more.
-    bool stalled(int at) const;
-    void restart(int at);
+    // A task may be restarted if its proposal is lost or none of its messages is in flight any more.
+    bool canRestart(int taskIndex) const;
+    void restart(int taskIndex);
 
     struct Choices {
-        std::size_t ways = 0, messages = 0, losses = 0, images = 0, stalled = 0;
-        std::size_t all() const { return messages + losses + images + stalled; }
+        std::size_t outcomesPerMessage = 0, messages = 0, diskLosses = 0, imageRestores = 0, stalledTasks = 0;
+        std::size_t all() const { return messages + diskLosses + imageRestores + stalledTasks; }
     };
     Choices choices() const;
-    void choose(std::size_t choice);
-    void loseDisk(int machine);
+    void applyChoice(std::size_t choice);
+    void replaceDisk(int machine);
     void deliver(const Message& message);
-    void answer(Message message, const Reply& reply);
-    // NoOldEpochWrites: once a successor is open, fewer than a majority of the old would still take anything.
-    void check();
-    std::string key() const;
+    void enqueueReply(Message message, const Reply& reply);
+    // NoStaleEpochWrites: once a successor is open, fewer than a majority of the old epoch are still
+    // unsealed.
+    void checkStaleEpochs();
+    std::string stateKey() const;
 };
 
 }  // namespace consensus_explorer
--- a/tests/consensus/explorer.cpp
+++ b/tests/consensus/explorer.cpp
@@ -1,6 +1,7 @@
-// The register and its epochs, explored: every order of delivery and loss up to a stated size, then seeded
-// schedules beyond it. Each invariant is also shown to be able to fail, by a host or a disk that breaks it on
-// purpose. A line of the output replays what it names: REGISTER_REPLAY="shape bug seed".
+// Explores the registers and their epochs: exhaustively, over every order of delivery and loss up to a fixed
+// number of states, then with seeded random schedules beyond that. Each invariant is also shown to be able to
+// fail, with a host or a disk that has a deliberate bug. A failure prints "scenario bug seed";
+// REGISTER_REPLAY="scenario bug seed" replays that schedule.
 #include <cppunit/extensions/HelperMacros.h>
 
 #include <cstdio>
@@ -17,87 +18,90 @@
 
 namespace {
 
-// With the shape of the world in which it shows.
-struct Seeded {
+// A deliberate bug and the scenario in which it shows.
+struct SeededBug {
     Bug bug;
-    std::string name, shape;
+    std::string name, scenario;
 };
-const std::vector<Seeded> kSeededBugs{{Bug::lostDiskKeepsName, "lostDiskKeepsName", "three"},
-                                      {Bug::rollsBack, "rollsBack", "three-rolled-back"},
-                                      {Bug::tellsBeforeDisk, "tellsBeforeDisk", "three"},
-                                      {Bug::forgetsPromise, "forgetsPromise", "three"},
-                                      {Bug::spareCounts, "spareCounts", "three-replaced"},
-                                      {Bug::sealForgets, "sealForgets", "three-replaced"},
-                                      {Bug::opensUnsealed, "opensUnsealed", "three-replaced"},
-                                      {Bug::opensEmpty, "opensEmpty", "three-replaced"},
-                                      {Bug::foundsAgain, "foundsAgain", "founding"},
-                                      {Bug::countsBothEpochs, "countsBothEpochs", "three-replaced"},
-                                      {Bug::newDiskSeals, "newDiskSeals", "three-replaced"}};
-
-// Breadth first over distinct states, up to `most` of them.
-std::pair<std::size_t, std::string> explore(const World& first, std::size_t most) {
-    std::deque<World> open{first};
-    std::unordered_set<std::string> seen{first.key()};  // asked, never walked through
-    while (!open.empty() && seen.size() < most) {
-        const auto world = std::move(open.front());
-        open.pop_front();
+const std::vector<SeededBug> kSeededBugs{
+    {Bug::lostDiskKeepsIdentity, "lostDiskKeepsIdentity", "three"},
+    {Bug::restoresOldImage, "restoresOldImage", "three-rolled-back"},
+    {Bug::repliesBeforeSync, "repliesBeforeSync", "three"},
+    {Bug::forgetsPromise, "forgetsPromise", "three"},
+    {Bug::spareReplies, "spareReplies", "three-replaced"},
+    {Bug::ignoresSeal, "ignoresSeal", "three-replaced"},
+    {Bug::opensAfterOneSeal, "opensAfterOneSeal", "three-replaced"},
+    {Bug::opensWithoutTransfer, "opensWithoutTransfer", "three-replaced"},
+    {Bug::foundsAgainAfterDiskLoss, "foundsAgainAfterDiskLoss", "founding"},
+    {Bug::countsRepliesOfAnyEpoch, "countsRepliesOfAnyEpoch", "three-replaced"},
+    {Bug::newDiskConfirmsSeal, "newDiskConfirmsSeal", "three-replaced"}};
+
+// Breadth-first search over distinct states, up to `maxStates` of them. Returns their number and the
+// violation found, if any.
+std::pair<std::size_t, std::string> explore(const World& initial, std::size_t maxStates) {
+    std::deque<World> frontier{initial};
+    std::unordered_set<std::string> seen{initial.stateKey()};  // only for lookup, never iterated
+    while (!frontier.empty() && seen.size() < maxStates) {
+        const auto world = std::move(frontier.front());
+        frontier.pop_front();
         for (std::size_t choice = 0; choice < world.choices().all(); ++choice) {
             auto next = world;
-            next.choose(choice);
-            if (!next.broken.empty()) return {seen.size(), next.broken};
-            if (seen.insert(next.key()).second) open.push_back(std::move(next));
+            next.applyChoice(choice);
+            if (!next.violation.empty()) return {seen.size(), next.violation};
+            if (seen.insert(next.stateKey()).second) frontier.push_back(std::move(next));
         }
     }
     return {seen.size(), ""};
 }
 
 struct Outcome {
-    std::string broken;
-    int ended = 0, opened = 0;  // of all that were begun
+    std::string violation;
+    int completed = 0, opened = 0;  // tasks with a value, epochs
 };
 
-Outcome play(const Shape& shape, Bug bug, std::uint32_t seed) {
-    std::mt19937 draw(seed);
-    World world(shape, bug);
+Outcome runSchedule(const Scenario& scenario, Bug bug, std::uint32_t seed) {
+    std::mt19937 random(seed);
+    World world(scenario, bug);
     for (int step = 0; step < 900; ++step) {
         const auto all = world.choices();
         if (all.all() == 0) break;
-        // Mostly deliveries; losses of disks and messages now and then, at any moment.
-        std::size_t choice = draw() % all.all();
-        if (all.messages > 0 && draw() % 16 != 0) {
-            choice = draw() % all.messages;
-            if (draw() % 12 != 0) choice -= choice % all.ways;
+        // Mostly deliveries, with occasional losses of disks and messages at any point.
+        std::size_t choice = random() % all.all();
+        if (all.messages > 0 && random() % 16 != 0) {
+            choice = random() % all.messages;
+            if (random() % 12 != 0) choice -= choice % all.outcomesPerMessage;
         }
-        world.choose(choice);
-        if (!world.broken.empty()) return {"step " + std::to_string(step) + ": " + world.broken, 0, 0};
+        world.applyChoice(choice);
+        if (!world.violation.empty()) return {"step " + std::to_string(step) + ": " + world.violation, 0, 0};
     }
-    return {"", static_cast<int>(world.ended.size()), static_cast<int>(world.opened.size())};
+    return {"", static_cast<int>(world.completedValues.size()), static_cast<int>(world.opened.size())};
 }
 
-// Seeded schedules. Returns the first seed that breaks one, and how.
-std::string chance(const Shape& shape, Bug bug, std::uint32_t from, std::uint32_t to, long* ended = nullptr,
-                   long* opened = nullptr) {
+// Runs the schedules of a range of seeds. Returns the first seed that violates an invariant, with the
+// violation, or "".
+std::string findViolation(const Scenario& scenario, Bug bug, std::uint32_t from, std::uint32_t to,
+                          long* completed = nullptr, long* opened = nullptr) {
     for (auto seed = from; seed < to; ++seed) {
-        const auto outcome = play(shape, bug, seed);
-        if (!outcome.broken.empty())
-            return shape.name + " " + std::to_string(static_cast<int>(bug)) + " " + std::to_string(seed) +
-                   ", " + outcome.broken;
-        if (ended) *ended += outcome.ended;
+        const auto outcome = runSchedule(scenario, bug, seed);
+        if (!outcome.violation.empty())
+            return scenario.name + " " + std::to_string(static_cast<int>(bug)) + " " + std::to_string(seed) +
+                   ", " + outcome.violation;
+        if (completed) *completed += outcome.completed;
         if (opened) *opened += outcome.opened;
     }
     return "";
 }
 
-// name, members, spares, losses, images, doubles, changes, founding
-const std::vector<Shape> kShapes{
+// name, members, spares, diskLosses, imageRestores, duplicates, membershipChanges, founding
+const std::vector<Scenario> kScenarios{
     {"three", 3, 0, 1, 0, 1, 0, false},          {"five", 5, 0, 2, 0, 1, 0, false},
     {"three-replaced", 3, 1, 1, 0, 1, 1, false}, {"three-rolled-back", 3, 1, 0, 1, 0, 1, false},
     {"three-twice", 3, 2, 1, 0, 1, 2, false},    {"five-twice", 5, 2, 2, 0, 0, 2, false},
     {"founding", 3, 1, 1, 0, 1, 0, true}};
-const Shape& shape(const std::string& name) {
-    for (const auto& one : kShapes)
+const Scenario& findScenario(const std::string& name) {
+    for (const auto& one : kScenarios)
         if (one.name == name) return one;
-    throw std::invalid_argument("no shape " + name);
+    throw std::invalid_argument("unknown scenario " + name);
 }
 
 }  // namespace
@@ -112,41 +116,44 @@
 
   public:
     void replaysASchedule() {
-        const char* asked = std::getenv("REGISTER_REPLAY");
-        if (!asked) return;
-        std::istringstream words(asked);
+        const char* replay = std::getenv("REGISTER_REPLAY");
+        if (!replay) return;
+        std::istringstream words(replay);
         std::string name;
         int bug = 0;
         std::uint32_t seed = 0;
         words >> name >> bug >> seed;
-        std::printf(" (%s: %s)", asked, play(shape(name), static_cast<Bug>(bug), seed).broken.c_str());
+        std::printf(" (%s: %s)", replay,
+                    runSchedule(findScenario(name), static_cast<Bug>(bug), seed).violation.c_str());
     }
 
     void holdsInEveryOrder() {
-        for (const auto& one : kShapes) {
-            const auto [states, broken] = explore(World(one), 40'000);
+        for (const auto& one : kScenarios) {
+            const auto [states, violation] = explore(World(one), 40'000);
             std::printf(" (%s: %zu states)", one.name.c_str(), states);
-            CPPUNIT_ASSERT_EQUAL(std::string(), broken);
+            CPPUNIT_ASSERT_EQUAL(std::string(), violation);
         }
     }
 
     void holdsInSeededSchedules() {
-        for (const auto& one : kShapes) {
-            long ended = 0;
+        for (const auto& one : kScenarios) {
+            long completed = 0;
             long opened = 0;
-            const auto* more = std::getenv("REGISTER_SEEDS");
-            const std::uint32_t last = more ? static_cast<std::uint32_t>(std::stoul(more)) : 20'000;
-            CPPUNIT_ASSERT_EQUAL(std::string(), chance(one, Bug::none, 1, last + 1, &ended, &opened));
-            std::printf(" (%s: %u seeds, %ld ended, %ld epochs)", one.name.c_str(), last, ended, opened);
-            // The schedules do get somewhere: values are read back, changes of the members open.
-            CPPUNIT_ASSERT(ended >= 2 * last);
-            CPPUNIT_ASSERT(opened >= (one.changes > 0 || one.founding ? last * 3 / 2 : last));
+            const auto* limit = std::getenv("REGISTER_SEEDS");
+            const std::uint32_t last = limit ? static_cast<std::uint32_t>(std::stoul(limit)) : 20'000;
+            CPPUNIT_ASSERT_EQUAL(std::string(),
+                                 findViolation(one, Bug::none, 1, last + 1, &completed, &opened));
+            std::printf(" (%s: %u seeds, %ld completed, %ld epochs)", one.name.c_str(), last, completed,
+                        opened);
+            // The schedules make progress: values are read back and new epochs open.
+            CPPUNIT_ASSERT(completed >= 2 * last);
+            CPPUNIT_ASSERT(opened >= (one.membershipChanges > 0 || one.founding ? last * 3 / 2 : last));
         }
     }
 
     void findsEverySeededBug() {
-        for (const auto& [bug, name, where] : kSeededBugs) {
-            const auto found = chance(shape(where), bug, 1, 100'000);
+        for (const auto& [bug, name, scenarioName] : kSeededBugs) {
+            const auto found = findViolation(findScenario(scenarioName), bug, 1, 100'000);
             CPPUNIT_ASSERT_MESSAGE("bug " + name + " was not found", !found.empty());
             std::printf(" (%s: %s)", name.c_str(), found.c_str());
         }
