--- a/src/messages/codec.hpp
+++ b/src/messages/codec.hpp
@@ -45,8 +45,8 @@
     int stage = 0;
     std::int64_t number = 0;  // increases with each change of any rollout other than an update of its ages
     std::int64_t timeLimitMs = 0;
-    // Milliseconds since the request and since the stage began, as of the last write. verdict::Ages adds the
-    // time since then.
+    // Milliseconds since the request and since the stage began, as of the last write. verdict::OrderAges adds
+    // the time since then.
     std::int64_t ageMs = 0, stageAgeMs = 0;
     bool running() const { return state == "in_progress"; }
 };
--- a/src/transport/chunks.cpp
+++ b/src/transport/chunks.cpp
@@ -11,10 +11,10 @@
 namespace lichenlanding::transport {
 namespace {
 
-constexpr char kChunkMark = 'k';  // no other frame begins with it: compress() writes p or z
+constexpr char kChunkMark = 'k';  // first byte of a chunk; frames from compress() begin with p or z
 constexpr std::size_t kHeaderBytes = 1 + 4 * 4;
 
-std::uint32_t checksum(std::string_view bytes) {
+std::uint32_t crc32Of(std::string_view bytes) {
     return static_cast<std::uint32_t>(
         crc32(0, reinterpret_cast<const Bytef*>(bytes.data()), static_cast<uInt>(bytes.size())));
 }
@@ -25,12 +25,12 @@
 
 std::array<std::uint32_t, 4> readHeader(std::string_view frame) {
     std::array<std::uint32_t, 4> header{};
-    for (std::size_t at = 0; at < header.size() * 4; ++at)
-        header[at / 4] |= std::uint32_t{static_cast<unsigned char>(frame[1 + at])} << (8 * (at % 4));
+    for (std::size_t byte = 0; byte < header.size() * 4; ++byte)
+        header[byte / 4] |= std::uint32_t{static_cast<unsigned char>(frame[1 + byte])} << (8 * (byte % 4));
     return header;
 }
 
-PeerError wrongChunk(const char* what) { return PeerError(what, "put chunks together", "", "chunk"); }
+PeerError chunkError(const char* what) { return PeerError(what, "put chunks together", "", "chunk"); }
 
 }  // namespace
 
@@ -54,18 +54,18 @@
 
 EncodedMessage SendQueue::nextChunk() {
     const auto& whole = *large_.front();
-    if (index_ == 0) {
-        ++number_;
-        sum_ = checksum(whole);
+    if (chunkIndex_ == 0) {
+        ++messageNumber_;
+        crc_ = crc32Of(whole);
     }
     const auto count = chunkCount(whole.size());
     std::string frame(1, kChunkMark);
-    for (const auto number : {number_, index_, count, sum_})
+    for (const auto number : {messageNumber_, chunkIndex_, count, crc_})
         for (int byte = 0; byte < 4; ++byte) frame += static_cast<char>(number >> (8 * byte) & 0xff);
-    frame.append(whole, index_ * kChunkBytes, kChunkBytes);
-    if (++index_ == count) {
+    frame.append(whole, chunkIndex_ * kChunkBytes, kChunkBytes);
+    if (++chunkIndex_ == count) {
         bytes_ -= whole.size();
-        index_ = 0;
+        chunkIndex_ = 0;
         large_.pop_front();
     }
     bytesSinceChunk_ = 0;
@@ -74,35 +74,35 @@
 
 std::optional<std::string> ChunkReassembler::addFrame(std::string_view frame) {
     if (frame.empty() || frame.front() != kChunkMark) return std::string(frame);
-    if (frame.size() < kHeaderBytes) throw wrongChunk("chunk: no header");
-    const auto [number, index, count, sum] = readHeader(frame);
+    if (frame.size() < kHeaderBytes) throw chunkError("chunk: frame is shorter than the header");
+    const auto [number, index, count, crc] = readHeader(frame);
     frame.remove_prefix(kHeaderBytes);
-    checkSequence(number, index, count, sum);
+    checkSequence(number, index, count, crc);
     const bool last = index + 1 == count;
     if (last ? frame.empty() || frame.size() > kChunkBytes : frame.size() != kChunkBytes)
-        throw wrongChunk("chunk: of a wrong length");
+        throw chunkError("chunk: wrong payload length");
     bytes_.append(frame);
-    index_ = last ? 0 : index + 1;
+    nextIndex_ = last ? 0 : index + 1;
     if (!last) return std::nullopt;
     auto whole = std::exchange(bytes_, {});
-    if (checksum(whole) != sum_) throw wrongChunk("chunk: the whole message is corrupt");
+    if (crc32Of(whole) != crc_) throw chunkError("chunk: checksum mismatch of the message");
     return whole;
 }
 
-// Takes over a message that begins; any other chunk must be the next of the one at hand.
+// The first chunk of a message sets its header values; any other chunk must continue the current message.
 void ChunkReassembler::checkSequence(std::uint32_t number, std::uint32_t index, std::uint32_t count,
-                                     std::uint32_t sum) {
+                                     std::uint32_t crc) {
     if (index != 0) {
-        if (number != number_ || index != index_ || count != count_ || sum != sum_)
-            throw wrongChunk("chunk: not the next one");
+        if (number != messageNumber_ || index != nextIndex_ || count != chunkCount_ || crc != crc_)
+            throw chunkError("chunk: out of sequence");
         return;
     }
-    if (index_ != 0) throw wrongChunk("chunk: the message before it is not whole");
-    if (number != number_ + 1 || count == 0 || count > chunkCount(kMaxMessageBytes))
-        throw wrongChunk("chunk: of no message that can come");
-    number_ = number;
-    count_ = count;
-    sum_ = sum;
+    if (nextIndex_ != 0) throw chunkError("chunk: the previous message is incomplete");
+    if (number != messageNumber_ + 1 || count == 0 || count > chunkCount(kMaxMessageBytes))
+        throw chunkError("chunk: invalid message number or chunk count");
+    messageNumber_ = number;
+    chunkCount_ = count;
+    crc_ = crc;
 }
 
 }  // namespace lichenlanding::transport
--- a/src/transport/chunks.hpp
+++ b/src/transport/chunks.hpp
@@ -1,11 +1,11 @@
-/// Large messages of a connection go in chunks, so that neither a heartbeat nor a small message waits behind
-/// a megabyte, and each chunk that arrives shows that the other side is there. Small ones go as they are and
-/// may overtake large ones.
+/// Splits large messages into chunks, so that heartbeats and small messages do not wait behind them and each
+/// received chunk proves that the peer is alive. Small messages are sent unchanged and may overtake large
+/// ones.
 ///
-/// A chunk is the letter k, four numbers (32 bits, little end first: the message's number on this connection,
-/// the chunk's index, how many there are, the CRC-32 of the whole message) and its part of the bytes.
+/// Chunk format: the letter k, four 32-bit little-endian numbers (sequence number of the message on this
+/// connection, index of the chunk, number of chunks, CRC-32 of the whole message), then the payload.
 ///
-/// Pure: bytes in, bytes out. One thread.
+/// No I/O. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,22 @@
 
 namespace lichenlanding::transport {
 
-constexpr std::size_t kMaxUnchunkedBytes = 64 << 10;  // a message of at most so many bytes goes as it is
-constexpr std::size_t kChunkBytes = 32 << 10;         // of the message, in each chunk but the last
-constexpr std::size_t kMaxMessageBytes = 80 << 20;    // of any message
+constexpr std::size_t kMaxUnchunkedBytes = 64 << 10;  // larger messages are split into chunks
+constexpr std::size_t kChunkBytes = 32 << 10;         // payload of each chunk but the last
+constexpr std::size_t kMaxMessageBytes = 80 << 20;    // limit for any message
 
-/// Shared, since the same bytes go down many connections.
+/// Shared, since the same bytes are sent on many connections.
 using EncodedMessage = std::shared_ptr<const std::string>;
 
-/// What waits to be written on one connection: small messages in their order before large ones in theirs; but
-/// many small ones leave the large ones half of the bytes.
+/// The messages waiting to be written to one connection. Small messages take precedence over large ones, in
+/// FIFO order each, but under load the large ones still get half of the bytes.
 class SendQueue {
   public:
     void push(EncodedMessage message);
     bool empty() const { return small_.empty() && large_.empty(); }
-    /// The frame to be written now. Only where the queue is not empty.
+    /// Removes and returns the next frame to write. Precondition: !empty().
     EncodedMessage next();
-    /// Of the messages that are not yet written whole.
+    /// The total size of the messages that are not yet completely removed.
     std::size_t bytes() const { return bytes_; }
 
   private:
@@ -41,23 +41,24 @@
 
     std::deque<EncodedMessage> small_, large_;
     std::size_t bytes_ = 0;
-    std::uint32_t number_ = 0, index_ = 0, sum_ = 0;  // of the large message at the front
-    std::size_t bytesSinceChunk_ = 0;                 // of small messages
+    // Of the front large message: sequence number, index of the next chunk, CRC-32.
+    std::uint32_t messageNumber_ = 0, chunkIndex_ = 0, crc_ = 0;
+    std::size_t bytesSinceChunk_ = 0;  // of small messages, since the last chunk
 };
 
-/// Puts chunks together again, in the order in which a SendQueue gives them. Holds no more than what has
-/// come, and no more than kMaxMessageBytes.
+/// Reassembles chunks in the order in which a SendQueue emits them. Uses no more memory than the bytes
+/// received, and at most kMaxMessageBytes.
 class ChunkReassembler {
   public:
-    /// A whole message, or nothing as yet. Throws PeerError where a chunk is missing, doubled or corrupt:
-    /// nothing that came by this connection can be trusted then.
+    /// Returns a message once it is complete. Throws PeerError if a chunk is missing, duplicated or corrupt;
+    /// the connection must be closed then, since its data cannot be trusted.
     std::optional<std::string> addFrame(std::string_view frame);
 
   private:
-    void checkSequence(std::uint32_t number, std::uint32_t index, std::uint32_t count, std::uint32_t sum);
+    void checkSequence(std::uint32_t number, std::uint32_t index, std::uint32_t count, std::uint32_t crc);
 
     std::string bytes_;
-    std::uint32_t number_ = 0, index_ = 0, count_ = 0, sum_ = 0;
+    std::uint32_t messageNumber_ = 0, nextIndex_ = 0, chunkCount_ = 0, crc_ = 0;
 };
 
 }  // namespace lichenlanding::transport
--- a/src/transport/compression.hpp
+++ b/src/transport/compression.hpp
@@ -1,4 +1,4 @@
-/// Compression of bytes that repeat themselves much: configurations, lists of endpoints. Pure; any thread.
+/// Compression of configurations, endpoint lists and messages. No I/O; thread-safe.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 
 namespace lichenlanding::transport {
 
-/// By zlib, quick rather than tight. Short bytes stay as they are, behind a letter that says so.
+/// Compresses with zlib at a low level. Short input is stored uncompressed. The first byte marks the format.
 std::string compress(std::string_view bytes);
-/// Throws PeerError on bytes that compress() did not make, or of more than `most`.
-std::string decompress(std::string_view compressed, std::size_t most = 256 << 20);
+/// Throws PeerError on input that compress() did not produce, or that exceeds `maxBytes` uncompressed.
+std::string decompress(std::string_view compressed, std::size_t maxBytes = 256 << 20);
 
 }  // namespace lichenlanding::transport
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -16,7 +16,7 @@
     ErrorCode code;
     unsigned short port = 0;
     if (colon == std::string::npos || !parse(std::string_view(address).substr(colon + 1), port))
-        throw ParseError("address: no port in " + address, "read address", address, "port");
+        throw ParseError("address: no valid port in " + address, "read address", address, "port");
     const auto ip = asio::ip::make_address(address.substr(0, colon), code);
     if (code) throw ParseError("address: " + address + ": " + code.message(), "read address", address, "ip");
     return {ip, port};
@@ -24,19 +24,19 @@
 
 std::string hostOf(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
-void configureSocket(tcp::socket& socket, Nanos silence) {
+void configureSocket(tcp::socket& socket, Nanos unacknowledgedTimeout) {
     ErrorCode ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     using UserTimeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
-    socket.set_option(UserTimeout(static_cast<int>(silence / kMillisecond)), ignored);
+    socket.set_option(UserTimeout(static_cast<int>(unacknowledgedTimeout / kMillisecond)), ignored);
 }
 
 tcp::acceptor listen(asio::io_context& io, const std::string& address) {
-    const auto at = parseAddress(address);
+    const auto endpoint = parseAddress(address);
     tcp::acceptor acceptor(io);
-    acceptor.open(at.protocol());
+    acceptor.open(endpoint.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
-    acceptor.bind(at);
+    acceptor.bind(endpoint);
     acceptor.listen(1024);
     return acceptor;
 }
@@ -74,11 +74,11 @@
 
 namespace {
 
-void watch(asio::signal_set& set, std::shared_ptr<std::function<void(int)>> call) {
-    set.async_wait([&set, call](ErrorCode code, int number) {
+void waitForSignals(asio::signal_set& set, std::shared_ptr<std::function<void(int)>> handler) {
+    set.async_wait([&set, handler](ErrorCode code, int number) {
         if (code) return;
-        (*call)(number);
-        watch(set, call);
+        (*handler)(number);
+        waitForSignals(set, handler);
     });
 }
 
@@ -88,8 +88,8 @@
     std::signal(SIGPIPE, SIG_IGN);
     static std::unique_ptr<asio::signal_set> set;
     set = std::make_unique<asio::signal_set>(io, SIGTERM, SIGINT, SIGHUP);
-    watch(*set, std::make_shared<std::function<void(int)>>(
-                    [stop, reload](int number) { number == SIGHUP ? reload() : stop(); }));
+    waitForSignals(*set, std::make_shared<std::function<void(int)>>(
+                             [stop, reload](int number) { number == SIGHUP ? reload() : stop(); }));
 }
 
 }  // namespace lichenlanding::transport
--- a/src/transport/event_loop.hpp
+++ b/src/transport/event_loop.hpp
@@ -1,9 +1,9 @@
-/// What the gateway's programs share of Boost.Asio and Beast: names, times, addresses, coroutines. Everything
-/// of one io_context runs on one thread.
+/// Aliases and helpers for Boost.Asio and Beast: time, addresses, sockets, coroutines. Each io_context runs
+/// on a single thread.
 #pragma once
 
 // clang-format off
-#include <utility>  // before Asio 1.74, which uses std::exchange without it
+#include <utility>  // must precede Asio 1.74, which uses std::exchange without including it
 // clang-format on
 
 #include <boost/asio/awaitable.hpp>
@@ -33,44 +33,44 @@
 
 constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
-/// Steady time; of use only within this process.
+/// The steady clock; comparable only within this process.
 inline Nanos now() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
 inline std::chrono::nanoseconds toDuration(Nanos nanos) { return std::chrono::nanoseconds(nanos); }
-inline std::chrono::steady_clock::time_point toTimePoint(Nanos at) {
-    return std::chrono::steady_clock::time_point(std::chrono::nanoseconds(at));
+inline std::chrono::steady_clock::time_point toTimePoint(Nanos time) {
+    return std::chrono::steady_clock::time_point(std::chrono::nanoseconds(time));
 }
 
-/// Completes with an error code in place of an exception.
+/// Completion token that reports errors through `code` instead of an exception.
 inline auto withErrorCode(ErrorCode& code) { return asio::redirect_error(asio::use_awaitable, code); }
 
-/// "10.1.0.13:8161". Throws ParseError.
+/// Parses an address such as "10.1.0.13:8161". Throws ParseError.
 tcp::endpoint parseAddress(const std::string& address);
 /// The part of an address before its port.
 std::string hostOf(const std::string& address);
 
-/// Small writes go at once; the kernel gives the connection up where the peer acknowledges no byte for
-/// `silence`.
-void configureSocket(tcp::socket& socket, Nanos silence);
+/// Sets TCP_NODELAY, and TCP_USER_TIMEOUT to `unacknowledgedTimeout`: the kernel closes the connection if
+/// sent bytes remain unacknowledged for that long.
+void configureSocket(tcp::socket& socket, Nanos unacknowledgedTimeout);
 
-/// Throws ParseError, and boost::system::system_error where the address cannot be had.
+/// Throws ParseError, and boost::system::system_error if the address is not available.
 tcp::acceptor listen(asio::io_context& io, const std::string& address);
 
-/// Waits; an end of the wait by cancel() is no error.
+/// Suspends the coroutine for `duration`. Cancellation ends the wait without an error.
 Task<> sleep(Nanos duration);
 
-/// Runs a coroutine that nobody waits for: what it throws is logged with `step`, which must be a literal.
+/// Runs a detached coroutine. An exception from it is logged with `step`, which must be a string literal.
 void spawn(asio::io_context& io, const char* step, Task<> task);
 
-/// One coroutine waits, others notify it. A notification before the wait is kept.
+/// An event that one coroutine waits for and others notify. A notification before the wait is not lost.
 class AsyncEvent {
   public:
     explicit AsyncEvent(asio::io_context& io) : timer_(io) {}
     void notify();
-    /// False where the time came first.
+    /// Returns false if the time `until` was reached without a notification.
     Task<bool> wait(Nanos until);
 
   private:
@@ -78,7 +78,7 @@
     bool notified_ = false;
 };
 
-/// SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`; SIGPIPE is ignored. Once in a process.
+/// SIGTERM and SIGINT call `stop`, SIGHUP calls `reload`; SIGPIPE is ignored. Call once per process.
 void handleSignals(asio::io_context& io, std::function<void()> stop, std::function<void()> reload);
 
 }  // namespace lichenlanding::transport
--- a/src/transport/peer_connection.cpp
+++ b/src/transport/peer_connection.cpp
@@ -10,28 +10,28 @@
 namespace {
 
 constexpr Nanos kHeartbeatInterval = 600 * kMillisecond;
-constexpr Nanos kSilenceLimit = 2100 * kMillisecond;  // as long as bytes may stay without acknowledgement
+constexpr Nanos kUnacknowledgedTimeout = 2100 * kMillisecond;  // TCP_USER_TIMEOUT
 constexpr Nanos kDialTimeout = 900 * kMillisecond;
-constexpr Nanos kFirstDialPause = 50 * kMillisecond;
-constexpr Nanos kMaxDialPause = 800 * kMillisecond;
-constexpr Nanos kRedialPause = 25 * kMillisecond;  // after a connection that stood
-// A machine that is down drops the opening packet, which is sent again after a second: a short first wait and
-// a new connection find it sooner once it is back.
-constexpr Nanos kFirstDialTimeout = 150 * kMillisecond;
-constexpr Nanos kAcceptPause = 10 * kMillisecond;  // after a failed accept: out of descriptors, say
-// Of bytes on their way in the kernel: what is sent next waits behind them.
+constexpr Nanos kInitialDialBackoff = 50 * kMillisecond;
+constexpr Nanos kMaxDialBackoff = 800 * kMillisecond;
+constexpr Nanos kReconnectDelay = 25 * kMillisecond;  // after an established connection has ended
+// A machine that is down drops the SYN, which the kernel resends only after a second. A short first timeout
+// and a new attempt reach the machine sooner once it is back.
+constexpr Nanos kInitialDialTimeout = 150 * kMillisecond;
+constexpr Nanos kAcceptRetryDelay = 10 * kMillisecond;  // after a failed accept, such as out of descriptors
+// Limits the bytes buffered in the kernel, since later messages cannot overtake them.
 constexpr int kMaxKernelSendBuffer = 128 << 10;
 constexpr std::size_t kMaxQueuedBytes = 2 * kMaxMessageBytes;
 constexpr std::size_t kMaxFrameBytes = kMaxUnchunkedBytes + 1024;
-const std::string kHeartbeatBytes = "p\xf6";  // CBOR null, not compressed; older versions send the same
+const std::string kHeartbeatBytes = "p\xf6";  // CBOR null, uncompressed; same in all versions
 
-// Nothing where the message is not whole yet; a discarded value where it cannot be read.
+// Returns nothing while the message is incomplete, and a discarded value if it cannot be decoded.
 std::optional<Json> decodeFrame(ChunkReassembler& reassembler, std::string_view frame) {
     try {
         const auto compressed = reassembler.addFrame(frame);
         if (!compressed) return std::nullopt;
         return std::make_optional<Json>(Json::from_cbor(decompress(*compressed), true, false));
-    } catch (const std::exception&) {  // nlohmann throws on absurd sizes, even so
+    } catch (const std::exception&) {  // nlohmann throws on excessive sizes even with exceptions disabled
         return std::make_optional<Json>(Json::value_t::discarded);
     }
 }
@@ -46,11 +46,11 @@
         ws.auto_fragment(false);
         ErrorCode ignored;
         tcpSocket().set_option(asio::socket_base::send_buffer_size(kMaxKernelSendBuffer), ignored);
-        configureSocket(tcpSocket(), kSilenceLimit);
+        configureSocket(tcpSocket(), kUnacknowledgedTimeout);
     }
     tcp::socket& tcpSocket() { return beast::get_lowest_layer(ws).socket(); }
-    void limitTime(Nanos limit) { beast::get_lowest_layer(ws).expires_after(toDuration(limit)); }
-    void unlimitTime() { beast::get_lowest_layer(ws).expires_never(); }
+    void setTimeout(Nanos timeout) { beast::get_lowest_layer(ws).expires_after(toDuration(timeout)); }
+    void clearTimeout() { beast::get_lowest_layer(ws).expires_never(); }
 };
 
 PeerConnection::PeerConnection(asio::io_context& io, std::string peer_)
@@ -109,7 +109,7 @@
     }
 }
 
-// From an open WebSocket to its end.
+// Runs a connection from the completed WebSocket handshake until it is closed.
 Task<> PeerConnection::run(std::shared_ptr<PeerConnection> self, std::shared_ptr<Callbacks> callbacks) {
     self->open_ = true;
     self->lastReceived_ = self->lastSent_ = now();
@@ -137,7 +137,7 @@
     }
 }
 
-// False where the connection has to end.
+// Returns false if the connection must be closed.
 bool PeerConnection::deliver(const Callbacks& callbacks, const Json& message) {
     if (message.is_discarded()) {
         log("peer_message_rejected", {{"peer", peer}, {"step", "read"}});
@@ -146,8 +146,8 @@
     if (!message.is_object()) return true;  // a heartbeat
     try {
         callbacks.onMessage(*this, message);
-    } catch (const Json::exception& wrong) {
-        log("peer_message_rejected", {{"peer", peer}, {"step", "message"}, {"error", wrong.what()}});
+    } catch (const Json::exception& error) {
+        log("peer_message_rejected", {{"peer", peer}, {"step", "message"}, {"error", error.what()}});
         return false;
     }
     return true;
@@ -157,11 +157,11 @@
                               std::shared_ptr<Callbacks> callbacks) {
     auto connection = std::make_shared<PeerConnection>(io, "unnamed");
     connection->stream_ = std::make_shared<Stream>(std::move(socket));
-    connection->stream_->limitTime(kDialTimeout);
+    connection->stream_->setTimeout(kDialTimeout);
     ErrorCode code;
     co_await connection->stream_->ws.async_accept(withErrorCode(code));
     if (code) co_return;
-    connection->stream_->unlimitTime();
+    connection->stream_->clearTimeout();
     co_await run(connection, callbacks);
 }
 
@@ -171,14 +171,14 @@
         ErrorCode code;
         auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
-        if (code) co_await sleep(kAcceptPause);
+        if (code) co_await sleep(kAcceptRetryDelay);
         else spawn(io, "accept peer", PeerConnection::accept(io, std::move(socket), callbacks));
     }
 }
 
 Dialer::Dialer(asio::io_context& io, std::string address,
                std::shared_ptr<PeerConnection::Callbacks> callbacks)
-    : io_(io), address_(std::move(address)), callbacks_(std::move(callbacks)), pause_(io) {}
+    : io_(io), address_(std::move(address)), callbacks_(std::move(callbacks)), retryRequested_(io) {}
 
 void Dialer::start() { spawn(io_, "dial peer", run(shared_from_this())); }
 
@@ -188,38 +188,38 @@
 }
 
 Task<> Dialer::run(std::shared_ptr<Dialer> self) {
-    const auto to = parseAddress(self->address_);
-    Nanos pause = kFirstDialPause;
-    Nanos timeout = kFirstDialTimeout;
+    const auto endpoint = parseAddress(self->address_);
+    Nanos backoff = kInitialDialBackoff;
+    Nanos timeout = kInitialDialTimeout;
     while (!self->stopped_) {
-        const auto connection = co_await dial(self, to, timeout);
+        const auto connection = co_await dial(self, endpoint, timeout);
         if (connection) {
-            pause = kRedialPause;
-            timeout = kFirstDialTimeout;
+            backoff = kReconnectDelay;
+            timeout = kInitialDialTimeout;
             self->connection_ = connection;
             co_await PeerConnection::run(connection, self->callbacks_);
         } else {
             timeout = std::min(timeout * 2, kDialTimeout);
         }
-        if (!self->stopped_) co_await self->pause_.wait(now() + pause);
-        pause = std::min(pause * 2, kMaxDialPause);
+        if (!self->stopped_) co_await self->retryRequested_.wait(now() + backoff);
+        backoff = std::min(backoff * 2, kMaxDialBackoff);
     }
 }
 
-// Null where the other side did not take the connection, or the dialer was stopped meanwhile.
-Task<std::shared_ptr<PeerConnection>> Dialer::dial(std::shared_ptr<Dialer> self, tcp::endpoint to,
+// Returns null if the connection or handshake failed, or the dialer was stopped meanwhile.
+Task<std::shared_ptr<PeerConnection>> Dialer::dial(std::shared_ptr<Dialer> self, tcp::endpoint endpoint,
                                                    Nanos timeout) {
-    beast::tcp_stream dialled(self->io_);
-    dialled.expires_after(toDuration(timeout));
+    beast::tcp_stream stream(self->io_);
+    stream.expires_after(toDuration(timeout));
     ErrorCode code;
-    co_await dialled.async_connect(to, withErrorCode(code));
+    co_await stream.async_connect(endpoint, withErrorCode(code));
     if (code) co_return nullptr;
     auto connection = std::make_shared<PeerConnection>(self->io_, self->address_);
-    connection->stream_ = std::make_shared<PeerConnection::Stream>(dialled.release_socket());
-    connection->stream_->limitTime(kDialTimeout);
+    connection->stream_ = std::make_shared<PeerConnection::Stream>(stream.release_socket());
+    connection->stream_->setTimeout(kDialTimeout);
     co_await connection->stream_->ws.async_handshake(self->address_, "/", withErrorCode(code));
     if (code || self->stopped_) co_return nullptr;
-    connection->stream_->unlimitTime();
+    connection->stream_->clearTimeout();
     co_return connection;
 }
 
--- a/src/transport/peer_connection.hpp
+++ b/src/transport/peer_connection.hpp
@@ -1,10 +1,9 @@
-/// A held connection between two processes of the gateway: messages (JSON values, carried as CBOR) both ways
-/// over one WebSocket of Boost.Beast. It sends heartbeats by itself and is given up when the other side falls
-/// silent: a machine without power or behind a cut says nothing at all.
+/// A persistent connection between two processes of the gateway. It exchanges messages (JSON values, encoded
+/// as CBOR) over a Boost.Beast WebSocket. It sends heartbeats and closes when nothing is received for too
+/// long: a machine that lost power or is partitioned does not close its connections.
 ///
-/// Everything runs on the thread of its io_context. A PeerConnection is kept alive by its own coroutines
-/// until it has ended; owners that keep it longer see open() false. It is never opened again: Dialer makes a
-/// new one.
+/// Runs on the thread of its io_context. The connection's own coroutines keep it alive until it is closed.
+/// After that open() is false for good; Dialer creates a new connection.
 #pragma once
 
 #include <any>
@@ -21,37 +20,39 @@
 
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
   public:
-    /// What an owner is told of its connections. All are called on the thread of the io_context.
+    /// The owner's callbacks, called on the thread of the io_context.
     struct Callbacks {
-        std::function<Json(PeerConnection&)> makeHello;               // the first message; may be null
-        std::function<void(PeerConnection&, const Json&)> onMessage;  // each in order, but no heartbeat
-        std::function<void(PeerConnection&)> onClosed;                // once, where makeHello was called
+        std::function<Json(PeerConnection&)> makeHello;  // returns the first message to send, or null
+        std::function<void(PeerConnection&, const Json&)> onMessage;  // in order; not for heartbeats
+        std::function<void(PeerConnection&)> onClosed;                // once, if makeHello was called
     };
 
     PeerConnection(asio::io_context& io, std::string peer);
 
-    /// Queues a message. Nothing happens on a closed connection; a queue that grows too long closes it.
+    /// Queues a message. No effect on a closed connection. Closes the connection if the queue exceeds its
+    /// limit.
     void send(const Json& message);
-    /// A message serialised once, to be sent on many connections.
+    /// Serialises a message once, for sending on many connections.
     static EncodedMessage encode(const Json& message);
     void send(EncodedMessage encoded);
-    /// At once: what is queued is dropped. onClosed is called later, by the connection's own coroutine.
+    /// Closes immediately and drops queued messages. onClosed is called later, by the connection's coroutine.
     void close();
-    /// From now on. The connection is given up after three and a half intervals of silence, so both sides
-    /// have to set the same.
+    /// Applies from the next heartbeat. The connection is closed if nothing is received for three and a half
+    /// intervals, so both sides must use the same interval.
     void setHeartbeatInterval(Nanos interval) { heartbeatInterval_ = interval; }
     bool open() const { return open_; }
-    std::size_t queuedBytes() const { return sendQueue_.bytes(); }  // of messages not yet written whole
+    std::size_t queuedBytes() const { return sendQueue_.bytes(); }  // of messages not yet completely written
 
-    std::string peer;  // address, or the name that the other side has given; the owner may set it
-    std::string kind;  // of the other side (messages/wire_names.hpp); set by the owner
-    std::any data;     // the owner's
+    std::string peer;  // for logs: the address, or the peer's name once the owner has set it
+    std::string kind;  // kind of the peer process (messages/wire_names.hpp); set by the owner
+    std::any data;     // at the owner's disposal
 
   private:
     friend class Dialer;
     friend Task<> servePeerConnections(asio::io_context& /*io*/, tcp::acceptor& /*acceptor*/,
                                        std::shared_ptr<PeerConnection::Callbacks> /*callbacks*/);
-    // Coroutines are handed what keeps them: the first line of one may run after its object's end otherwise.
+    // The coroutines are static and take a shared_ptr: a member coroutine might start only after its object
+    // is destroyed.
     static Task<> accept(asio::io_context& io, tcp::socket socket, std::shared_ptr<Callbacks> callbacks);
     static Task<> run(std::shared_ptr<PeerConnection> self, std::shared_ptr<Callbacks> callbacks);
     static Task<> readMessages(std::shared_ptr<PeerConnection> self, std::shared_ptr<Callbacks> callbacks);
@@ -67,35 +68,36 @@
     Nanos lastReceived_ = 0, lastSent_ = 0, heartbeatInterval_;
 };
 
-/// Takes connections as long as the acceptor is open.
+/// Accepts connections until the acceptor is closed.
 Task<> servePeerConnections(asio::io_context& io, tcp::acceptor& acceptor,
                             std::shared_ptr<PeerConnection::Callbacks> callbacks);
 
-/// Keeps one connection to an address: dials again after each end, with a pause that grows up to a second.
+/// Maintains one connection to an address: reconnects after each close, with exponential backoff up to 800
+/// ms.
 class Dialer : public std::enable_shared_from_this<Dialer> {
   public:
     Dialer(asio::io_context& io, std::string address, std::shared_ptr<PeerConnection::Callbacks> callbacks);
-    /// Throws ParseError, to the log, where the address is none.
+    /// Starts connecting. An invalid address is only logged, as task_failed.
     void start();
     void stop();
-    /// The other side has just been heard of, so it is up: no pause before the next dial.
-    void retryNow() { pause_.notify(); }
+    /// Skips the current backoff. To be called when there is evidence that the peer is up.
+    void retryNow() { retryRequested_.notify(); }
     const std::string& address() const { return address_; }
-    /// Null where there is none that is open.
+    /// Null if there is no open connection.
     std::shared_ptr<PeerConnection> connection() const {
         return connection_ && connection_->open() ? connection_ : nullptr;
     }
 
   private:
     static Task<> run(std::shared_ptr<Dialer> self);
-    static Task<std::shared_ptr<PeerConnection>> dial(std::shared_ptr<Dialer> self, tcp::endpoint to,
+    static Task<std::shared_ptr<PeerConnection>> dial(std::shared_ptr<Dialer> self, tcp::endpoint endpoint,
                                                       Nanos timeout);
 
     asio::io_context& io_;
     std::string address_;
     std::shared_ptr<PeerConnection::Callbacks> callbacks_;
     std::shared_ptr<PeerConnection> connection_;
-    AsyncEvent pause_;
+    AsyncEvent retryRequested_;
     bool stopped_ = false;
 };
 
--- a/tests/transport/chunks.cpp
+++ b/tests/transport/chunks.cpp
@@ -1,5 +1,5 @@
-// Large messages on a connection go in chunks: what arrives, in which order, and what a corrupt or missing
-// chunk does. A slow line in virtual time; then two real connections.
+// Chunking of large messages: what arrives, in which order, and the errors on corrupt or missing chunks. Over
+// a simulated slow link in virtual time, and over real connections.
 #include "transport/chunks.hpp"
 
 #include <random>
@@ -29,19 +29,20 @@
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // 2 Mbit/s, half a megabyte, a small message each tenth of a second. As one frame it would show the
-    // reader no sign of life for longer than a connection is given up after.
+    // A large message on a 2 Mbit/s link, with a small message every 100 ms. Sent as a single frame, the
+    // large message would take longer than the receiver waits before it closes the connection.
     void smallMessagesPassOnSlowLine() {
         constexpr double nanosPerByte = 8 * 1e9 / 2e6;
-        constexpr Nanos silentAfter = 2100 * kMillisecond;  // as in transport/peer_connection.cpp
+        constexpr Nanos silenceTimeout = 2100 * kMillisecond;  // as in transport/peer_connection.cpp
         const auto large = bytes(600'000, 'z');
-        CPPUNIT_ASSERT(static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte) > silentAfter);
+        CPPUNIT_ASSERT(static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte) >
+                       silenceTimeout);
         SendQueue out;
         ChunkReassembler in;
         out.push(large);
         std::map<std::string, Nanos> pushed;
         Nanos time = 0;
-        Nanos lastHeard = 0;
+        Nanos lastReceived = 0;
         Nanos longestGap = 0;
         Nanos longestWait = 0;
         Nanos wholeAt = 0;
@@ -54,7 +55,7 @@
             }
             const auto frame = out.next();
             time += static_cast<Nanos>(static_cast<double>(frame->size()) * nanosPerByte);
-            longestGap = std::max(longestGap, time - std::exchange(lastHeard, time));
+            longestGap = std::max(longestGap, time - std::exchange(lastReceived, time));
             const auto whole = in.addFrame(*frame);
             if (!whole) continue;
             if (const auto at = pushed.find(*whole); at != pushed.end()) {
@@ -64,7 +65,7 @@
                 wholeAt = time;
             }
         }
-        CPPUNIT_ASSERT(longestGap < silentAfter / 10);
+        CPPUNIT_ASSERT(longestGap < silenceTimeout / 10);
         CPPUNIT_ASSERT(longestWait < 300 * kMillisecond);
         CPPUNIT_ASSERT(wholeAt <
                        static_cast<Nanos>(static_cast<double>(large->size()) * nanosPerByte * 1.01));
@@ -76,94 +77,94 @@
               3 * kChunkBytes, 3 * kChunkBytes + 1, std::size_t{5'000'000}}) {
             SendQueue out;
             ChunkReassembler in;
-            // Two large ones in a row, a small one that overtakes them.
+            // Two large messages in a row and a small one that overtakes them.
             for (const char first : {'a', 'b'}) out.push(bytes(size, first));
             out.push(bytes(7, 'p'));
             CPPUNIT_ASSERT_EQUAL(2 * size + 7, out.bytes());
-            std::vector<std::string> came;
+            std::vector<std::string> received;
             std::size_t frames = 0;
             while (!out.empty()) {
                 const auto frame = out.next();
                 ++frames;
                 CPPUNIT_ASSERT(frame->size() <= kMaxUnchunkedBytes);
-                if (auto whole = in.addFrame(*frame)) came.push_back(std::move(*whole));
+                if (auto whole = in.addFrame(*frame)) received.push_back(std::move(*whole));
             }
             CPPUNIT_ASSERT_EQUAL(std::size_t(0), out.bytes());
-            CPPUNIT_ASSERT_EQUAL(std::size_t(3), came.size());
-            const auto place = size > kMaxUnchunkedBytes ? 0 : 2;
-            CPPUNIT_ASSERT_EQUAL(*bytes(7, 'p'), came[static_cast<std::size_t>(place)]);
-            came.erase(came.begin() + place);
-            CPPUNIT_ASSERT(came[0] == *bytes(size, 'a') && came[1] == *bytes(size, 'b'));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(3), received.size());
+            const auto smallIndex = size > kMaxUnchunkedBytes ? 0 : 2;
+            CPPUNIT_ASSERT_EQUAL(*bytes(7, 'p'), received[static_cast<std::size_t>(smallIndex)]);
+            received.erase(received.begin() + smallIndex);
+            CPPUNIT_ASSERT(received[0] == *bytes(size, 'a') && received[1] == *bytes(size, 'b'));
             CPPUNIT_ASSERT_EQUAL(
                 size > kMaxUnchunkedBytes ? 1 + 2 * ((size + kChunkBytes - 1) / kChunkBytes) : 3, frames);
         }
     }
 
-    // Each way to spoil the chunks of a message is found, at the chunk or at the end.
+    // Every corruption of a message's chunks is detected, at the chunk or at the end of the message.
     void corruptChunksAreRefused() {
         std::vector<std::string> good;
         SendQueue out;
         out.push(bytes(4 * kChunkBytes, 'x'));
         while (!out.empty()) good.push_back(*out.next());
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), good.size());
-        const auto refused = [](const std::vector<std::string>& frames) {
+        const auto resultOf = [](const std::vector<std::string>& frames) {
             ChunkReassembler in;
             try {
                 for (const auto& frame : frames)
                     if (in.addFrame(frame)) return std::string("whole");
-            } catch (const std::runtime_error& wrong) {
-                return std::string(wrong.what());
+            } catch (const std::runtime_error& error) {
+                return std::string(error.what());
             }
             return std::string("nothing");
         };
-        CPPUNIT_ASSERT_EQUAL(std::string("whole"), refused(good));
-        std::string seen;
-        const auto spoil = [&](const char* what, std::vector<std::string> frames) {
-            seen += std::string(what) + ": " + refused(frames) + "\n";
+        CPPUNIT_ASSERT_EQUAL(std::string("whole"), resultOf(good));
+        std::string transcript;
+        const auto record = [&](const char* what, std::vector<std::string> frames) {
+            transcript += std::string(what) + ": " + resultOf(frames) + "\n";
         };
-        spoil("the first missing", {good[1], good[2], good[3]});
-        spoil("one missing", {good[0], good[2], good[3]});
-        spoil("the last missing", {good[0], good[1], good[2]});
-        spoil("one twice", {good[0], good[1], good[1]});
-        spoil("begun anew", {good[0], good[1], good[0]});
+        record("the first missing", {good[1], good[2], good[3]});
+        record("one missing", {good[0], good[2], good[3]});
+        record("the last missing", {good[0], good[1], good[2]});
+        record("one twice", {good[0], good[1], good[1]});
+        record("begun anew", {good[0], good[1], good[0]});
         auto frames = good;
         frames[2][500] ^= 1;
-        spoil("a bit of the bytes", frames);
+        record("a bit of the bytes", frames);
         frames = good, frames[2].pop_back();
-        spoil("a byte less", frames);
+        record("a byte less", frames);
         frames = good, frames[3] += 'x';
-        spoil("a byte more", frames);
+        record("a byte more", frames);
         frames = good, frames[0].resize(9);
-        spoil("half a head", frames);
+        record("half a head", frames);
         frames = good;
         for (auto& frame : frames) frame[9] = frame[10] = frame[11] = frame[12] = '\xff';
-        spoil("an absurd count", frames);
+        record("an absurd count", frames);
         frames = good;
         for (auto& frame : frames) frame[9] = 0;
-        spoil("a count of none", frames);
-        for (std::size_t head = 1; head < 17; ++head) {  // any bit of a head
-            frames = good, frames[1][head] ^= 4;
-            CPPUNIT_ASSERT_EQUAL(std::string("chunk: not the next one"), refused(frames));
+        record("a count of none", frames);
+        for (std::size_t offset = 1; offset < 17; ++offset) {  // a changed bit in any header byte
+            frames = good, frames[1][offset] ^= 4;
+            CPPUNIT_ASSERT_EQUAL(std::string("chunk: out of sequence"), resultOf(frames));
         }
-        approve("chunks-corrupt", seen);
+        approve("chunks-corrupt", transcript);
     }
 
-    // Over real connections: small messages overtake megabytes, and all arrive whole.
+    // Over real connections: small messages overtake a large one, and all arrive complete.
     void smallMessagesOvertakeOnConnections() {
         asio::io_context io{1};
-        auto door = listen(io, "127.0.0.1:0");
-        const auto address = "127.0.0.1:" + std::to_string(door.local_endpoint().port());
+        auto acceptor = listen(io, "127.0.0.1:0");
+        const auto address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
         std::string text(3'000'000, 'x');
-        std::mt19937 chance(7);
-        for (auto& letter : text) letter = static_cast<char>(chance());  // what can't be compressed
-        std::vector<std::string> came;
+        std::mt19937 random(7);
+        for (auto& letter : text) letter = static_cast<char>(random());  // incompressible
+        std::vector<std::string> received;
         auto reader = std::make_shared<PeerConnection::Callbacks>();
         auto writer = std::make_shared<PeerConnection::Callbacks>();
         reader->makeHello = [](PeerConnection&) { return Json(); };
         reader->onClosed = writer->onClosed = [](PeerConnection&) {};
         reader->onMessage = [&](PeerConnection&, const Json& message) {
             const auto kind = message.at("t").get<std::string>();
-            came.push_back(kind);
+            received.push_back(kind);
             if (kind == "large") {
                 const auto& bytes = message.at("bytes").get_binary();
                 CPPUNIT_ASSERT(std::equal(bytes.begin(), bytes.end(), text.begin(), text.end(),
@@ -176,11 +177,11 @@
             for (int at = 0; at < 20; ++at) connection.send(Json{{"t", "small"}});
             return Json();
         };
-        spawn(io, "links", servePeerConnections(io, door, reader));
+        spawn(io, "links", servePeerConnections(io, acceptor, reader));
         const auto dialer = std::make_shared<Dialer>(io, address, writer);
         dialer->start();
-        while (came.size() < 21) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
-        CPPUNIT_ASSERT_EQUAL(std::string("large"), came.back());
+        while (received.size() < 21) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
+        CPPUNIT_ASSERT_EQUAL(std::string("large"), received.back());
         dialer->stop();
     }
 };
