--- a/src/storage/replica_store.cpp
+++ b/src/storage/replica_store.cpp
@@ -13,12 +13,12 @@
 namespace lichenlanding::storage {
 namespace {
 
-// How errors have always begun: on-call searches the logs for it, and the directory has this name.
+// Operators search the logs for this prefix; it is also the name of the directory.
 const std::string kErrorPrefix = "promptbook";
 
-// On the disks of running clusters (docs/design/storage-format.md).
+// Stored on the disks of running clusters (docs/design/storage-format.md).
 constexpr char kFormat = 1;
-constexpr char kStateMark = 'c', kNoteMark = 'n';
+constexpr char kStatePrefix = 'c', kNotePrefix = 'n';
 
 void check(int code, const char* step, const std::string& folder) {
     if (code != 0)
@@ -26,7 +26,7 @@
                            step);
 }
 
-// A name in a folder lasts a loss of power once the folder is synced, whatever was synced of the file itself.
+// A directory entry survives a power loss only after the directory is synced, even if the file is.
 void syncFolder(const std::string& folder) {
     const int file = ::open(folder.c_str(), O_RDONLY | O_DIRECTORY);
     if (file < 0) check(errno, "open folder", folder);
@@ -50,7 +50,7 @@
 T consume(std::string_view& bytes) {
     T number{};
     if (bytes.size() < sizeof number)
-        throw StorageError(kErrorPrefix + ": a record is cut short", "record", "read");
+        throw StorageError(kErrorPrefix + ": record is truncated", "record", "read");
     std::memcpy(&number, bytes.data(), sizeof number);
     bytes.remove_prefix(sizeof number);
     return number;
@@ -64,7 +64,7 @@
 
 std::string_view verified(std::string_view bytes, const std::string& key) {
     if (bytes.size() < 5 || bytes.front() != kFormat)
-        throw StorageError(kErrorPrefix + ": record " + key + " is of another format", key, "read");
+        throw StorageError(kErrorPrefix + ": record " + key + " has an unknown format", key, "read");
     auto sum = bytes.substr(bytes.size() - 4);
     bytes.remove_suffix(4);
     if (consume<std::uint32_t>(sum) != checksum(bytes))
@@ -93,16 +93,16 @@
 
 }  // namespace
 
-struct LmdbReplicaStore::Parts {
+struct LmdbReplicaStore::Environment {
     std::string folder;
     MDB_env* env = nullptr;
     MDB_dbi dbi = 0;
 
-    // One transaction, ended whichever way the scope is left.
+    // A transaction that is aborted at the end of the scope unless committed.
     struct Transaction {
         MDB_txn* txn = nullptr;
-        Transaction(const Parts& parts, unsigned flags) {
-            check(mdb_txn_begin(parts.env, nullptr, flags, &txn), "begin", parts.folder);
+        Transaction(const Environment& environment, unsigned flags) {
+            check(mdb_txn_begin(environment.env, nullptr, flags, &txn), "begin", environment.folder);
         }
         ~Transaction() {
             if (txn) mdb_txn_abort(txn);
@@ -110,10 +110,10 @@
         int commit() { return mdb_txn_commit(std::exchange(txn, nullptr)); }
     };
 
-    explicit Parts(std::string folder_, std::size_t bytes) : folder(std::move(folder_)) {
+    explicit Environment(std::string folder_, std::size_t maxBytes) : folder(std::move(folder_)) {
         check(mdb_env_create(&env), "create", folder);
-        mdb_env_set_mapsize(env, bytes);
-        // No lock file: one process has the disk, and locks do nothing there.
+        mdb_env_set_mapsize(env, maxBytes);
+        // No lock file: only one process uses the directory, and locks have no effect on these disks.
         const int code = mdb_env_open(env, folder.c_str(), MDB_NOLOCK | MDB_NOTLS, 0644);
         if (code != 0) mdb_env_close(std::exchange(env, nullptr));
         check(code, "open", folder);
@@ -128,57 +128,58 @@
             throw;
         }
     }
-    ~Parts() {
+    ~Environment() {
         if (env) mdb_env_close(env);
     }
 
-    void put(MDB_txn* txn, char mark, const std::string& name, const std::string& bytes) const {
-        auto key = mark + name;
+    void put(MDB_txn* txn, char prefix, const std::string& name, const std::string& bytes) const {
+        auto key = prefix + name;
         auto record = withChecksum(bytes);
-        MDB_val at{key.size(), key.data()};
-        MDB_val what{record.size(), record.data()};
-        check(mdb_put(txn, dbi, &at, &what, 0), "put", folder);
+        MDB_val keyData{key.size(), key.data()};
+        MDB_val recordData{record.size(), record.data()};
+        check(mdb_put(txn, dbi, &keyData, &recordData, 0), "put", folder);
     }
 
-    void drop(MDB_txn* txn, char mark, const std::string& name) const {
-        auto key = mark + name;
-        MDB_val at{key.size(), key.data()};
-        if (const int code = mdb_del(txn, dbi, &at, nullptr); code != MDB_NOTFOUND)
+    void drop(MDB_txn* txn, char prefix, const std::string& name) const {
+        auto key = prefix + name;
+        MDB_val keyData{key.size(), key.data()};
+        if (const int code = mdb_del(txn, dbi, &keyData, nullptr); code != MDB_NOTFOUND)
             check(code, "drop", folder);
     }
 
-    template <typename Take>
-    void each(char mark, Take take) const {
+    template <typename Visit>
+    void forEach(char prefix, Visit visit) const {
         Transaction transaction(*this, MDB_RDONLY);
         MDB_cursor* cursor = nullptr;
         check(mdb_cursor_open(transaction.txn, dbi, &cursor), "cursor", folder);
         const std::unique_ptr<MDB_cursor, decltype(&mdb_cursor_close)> owned(cursor, &mdb_cursor_close);
-        MDB_val at;
-        MDB_val what;
+        MDB_val keyData;
+        MDB_val recordData;
         int code = 0;
-        while ((code = mdb_cursor_get(cursor, &at, &what, MDB_NEXT)) == 0) {
-            const std::string key(static_cast<const char*>(at.mv_data), at.mv_size);
-            if (key.empty() || key[0] != mark) continue;
-            take(key.substr(1), verified({static_cast<const char*>(what.mv_data), what.mv_size}, key));
+        while ((code = mdb_cursor_get(cursor, &keyData, &recordData, MDB_NEXT)) == 0) {
+            const std::string key(static_cast<const char*>(keyData.mv_data), keyData.mv_size);
+            if (key.empty() || key[0] != prefix) continue;
+            visit(key.substr(1),
+                  verified({static_cast<const char*>(recordData.mv_data), recordData.mv_size}, key));
         }
         if (code != MDB_NOTFOUND) check(code, "read", folder);
     }
 };
 
-LmdbReplicaStore::LmdbReplicaStore(const std::string& folder, std::size_t bytes)
-    : parts_(std::make_unique<Parts>(folder, bytes)) {}
+LmdbReplicaStore::LmdbReplicaStore(const std::string& folder, std::size_t maxBytes)
+    : environment_(std::make_unique<Environment>(folder, maxBytes)) {}
 LmdbReplicaStore::~LmdbReplicaStore() = default;
 
 std::map<std::string, consensus::RegisterState> LmdbReplicaStore::states() const {
     std::map<std::string, consensus::RegisterState> all;
-    parts_->each(kStateMark,
-                 [&](const std::string& key, std::string_view bytes) { all[key] = decodeState(bytes); });
+    environment_->forEach(
+        kStatePrefix, [&](const std::string& key, std::string_view bytes) { all[key] = decodeState(bytes); });
     return all;
 }
 
 std::string LmdbReplicaStore::note(const std::string& name) const {
     std::string text;
-    parts_->each(kNoteMark, [&](const std::string& key, std::string_view bytes) {
+    environment_->forEach(kNotePrefix, [&](const std::string& key, std::string_view bytes) {
         if (key == name) text = bytes;
     });
     return text;
@@ -186,17 +187,17 @@
 
 void LmdbReplicaStore::write(const std::map<std::string, consensus::RegisterState>& states,
                              const std::map<std::string, std::string>& notes) {
-    Parts::Transaction transaction(*parts_, 0);
+    Environment::Transaction transaction(*environment_, 0);
     for (const auto& [key, state] : states)
-        if (state == consensus::RegisterState{}) parts_->drop(transaction.txn, kStateMark, key);
-        else parts_->put(transaction.txn, kStateMark, key, encodeState(state));
-    for (const auto& [key, text] : notes) parts_->put(transaction.txn, kNoteMark, key, text);
-    check(transaction.commit(), "commit", parts_->folder);
-    // LMDB writes its last page through a descriptor that is opened for synchronous writing. Where that means
-    // nothing, only a sync of the file makes the commit last.
+        if (state == consensus::RegisterState{}) environment_->drop(transaction.txn, kStatePrefix, key);
+        else environment_->put(transaction.txn, kStatePrefix, key, encodeState(state));
+    for (const auto& [key, text] : notes) environment_->put(transaction.txn, kNotePrefix, key, text);
+    check(transaction.commit(), "commit", environment_->folder);
+    // LMDB writes its meta page through a descriptor opened with O_DSYNC. On file systems that ignore the
+    // flag, only a sync of the file makes the commit durable.
     mdb_filehandle_t file;
-    check(mdb_env_get_fd(parts_->env, &file), "file", parts_->folder);
-    if (fdatasync(file) != 0) check(errno, "sync", parts_->folder);
+    check(mdb_env_get_fd(environment_->env, &file), "file", environment_->folder);
+    if (fdatasync(file) != 0) check(errno, "sync", environment_->folder);
 }
 
 }  // namespace lichenlanding::storage
--- a/src/storage/replica_store.hpp
+++ b/src/storage/replica_store.hpp
@@ -1,9 +1,9 @@
-/// The control node's store: states of the register by key, in LMDB. docs/design/storage-format.md has the
-/// records.
+/// A control node's persistent store: register states by key, and named notes, in LMDB.
+/// docs/design/storage-format.md describes the records.
 ///
-/// Each record carries its format's number and a checksum (CRC-32), since LMDB keeps none. A store that
-/// cannot be read is told as corrupt; its owner then starts as on a new disk and never guesses. One thread at
-/// a time.
+/// Each record has a format number and a CRC-32 checksum, since LMDB has no checksums. A store that cannot be
+/// read is reported as corrupt; its owner then starts as with a new disk and never works with partial data.
+/// Use from one thread at a time.
 #pragma once
 
 #include <map>
@@ -15,37 +15,38 @@
 
 namespace lichenlanding::storage {
 
-// Names of notes beside the states. They are on the disks of running clusters, so they stay.
-inline const std::string kDiskIdentityNote = "disk";    // the identity of the disk
-inline const std::string kEpochStateNote = "standing";  // its place among the epochs, as JSON
-inline const std::string kLegacyMembersNote =
-    "members";  // in stores from before there were epochs: addresses
+// Names of notes, the text entries beside the register states. They are stored on the disks of running
+// clusters and must not change.
+inline const std::string kDiskIdentityNote = "disk";    // identity of the disk
+inline const std::string kEpochStateNote = "standing";  // consensus::EpochState, as JSON
+// The member addresses, in stores of versions without epochs.
+inline const std::string kLegacyMembersNote = "members";
 
-/// The disk refused, or a record cannot be read. `subject` is the directory or the record.
+/// An I/O error or an unreadable record. `subject` is the directory or the key of the record.
 struct StorageError : Error {
     explicit StorageError(const std::string& what, std::string subject = "", std::string step = "")
         : Error(what, "use the store", std::move(subject), std::move(step)) {}
 };
 
-/// What a control node needs of its disk; tests have one that hangs, fails and forgets.
+/// Interface to the store. Tests have an implementation that can hang, fail and lose data.
 class ReplicaStore {
   public:
     virtual ~ReplicaStore() = default;
-    /// Throws StorageError where a record is corrupt.
+    /// All register states by key. Throws StorageError if a record is corrupt.
     virtual std::map<std::string, consensus::RegisterState> states() const = 0;
-    /// "" if there is none. Throws StorageError where a record is corrupt.
+    /// The text of a note; "" if absent. Throws StorageError if a record is corrupt.
     virtual std::string note(const std::string& name) const = 0;
-    /// All of it is synced on return; on a throw (StorageError) nothing of it counts. A state that is as when
-    /// new is deleted.
+    /// Writes the entries atomically and syncs them before it returns. On StorageError the store must be
+    /// treated as unchanged. A state that equals the default is deleted.
     virtual void write(const std::map<std::string, consensus::RegisterState>& states,
                        const std::map<std::string, std::string>& notes) = 0;
 };
 
-/// The store on a real disk. Owns its directory: no other process may have it open.
+/// The store on disk. Owns its directory: no other process may have it open.
 class LmdbReplicaStore final : public ReplicaStore {
   public:
-    /// Opens or makes the store in `folder`, which may grow to `bytes`. Throws StorageError.
-    LmdbReplicaStore(const std::string& folder, std::size_t bytes);
+    /// Opens or creates the store in `folder`, with a maximum size of `maxBytes`. Throws StorageError.
+    LmdbReplicaStore(const std::string& folder, std::size_t maxBytes);
     ~LmdbReplicaStore() override;
 
     std::map<std::string, consensus::RegisterState> states() const override;
@@ -54,8 +55,8 @@
                const std::map<std::string, std::string>& notes) override;
 
   private:
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Environment;
+    std::unique_ptr<Environment> environment_;
 };
 
 }  // namespace lichenlanding::storage
--- a/tests/storage/replica_store.cpp
+++ b/tests/storage/replica_store.cpp
@@ -1,5 +1,5 @@
-// The control node's disk: what is written is there again; damage and fullness are told and never guessed
-// over.
+// The store of a control node: written data is read back, and corruption and a full disk are reported as
+// errors.
 #include "storage/replica_store.hpp"
 
 #include <sys/resource.h>
@@ -32,9 +32,9 @@
 
   public:
     void setUp() override {
-        auto made = (std::filesystem::temp_directory_path() / "replica-store-XXXXXX").string();
-        CPPUNIT_ASSERT(mkdtemp(made.data()));
-        folder_ = made;
+        auto path = (std::filesystem::temp_directory_path() / "replica-store-XXXXXX").string();
+        CPPUNIT_ASSERT(mkdtemp(path.data()));
+        folder_ = path;
     }
     void tearDown() override { std::filesystem::remove_all(folder_); }
 
@@ -50,7 +50,7 @@
         CPPUNIT_ASSERT(store.states() == oneState(std::string(200'000, 'x'), 2));
     }
 
-    // A byte of the value changed on disk: the checksum tells, whoever opens it.
+    // A changed byte of a value on disk is detected by the checksum.
     void changedByteFailsChecksum() {
         {
             LmdbReplicaStore store(folder_, 8 << 20);
@@ -73,26 +73,26 @@
         CPPUNIT_ASSERT_THROW(store.states(), StorageError);
     }
 
-    // The disk takes no more: the write is refused whole, what was there stays, and it goes on when there is
-    // room.
+    // On a full disk the write fails as a whole and the earlier data remains. Writes succeed again once there
+    // is room.
     void fullDiskRefusesWholeWrite() {
         auto store = std::make_unique<LmdbReplicaStore>(folder_, 8 << 20);
         store->write(oneState("kept", 1), {});
-        rlimit before{};
-        getrlimit(RLIMIT_FSIZE, &before);
+        rlimit original{};
+        getrlimit(RLIMIT_FSIZE, &original);
         std::signal(SIGXFSZ, SIG_IGN);
-        const rlimit little{static_cast<rlim_t>(std::filesystem::file_size(folder_ + "/data.mdb")),
-                            before.rlim_max};
-        setrlimit(RLIMIT_FSIZE, &little);
+        const rlimit currentSize{static_cast<rlim_t>(std::filesystem::file_size(folder_ + "/data.mdb")),
+                                 original.rlim_max};
+        setrlimit(RLIMIT_FSIZE, &currentSize);
         CPPUNIT_ASSERT_THROW(store->write(oneState(std::string(300'000, 'y'), 2), {}), StorageError);
-        setrlimit(RLIMIT_FSIZE, &before);
+        setrlimit(RLIMIT_FSIZE, &original);
         store = std::make_unique<LmdbReplicaStore>(folder_, 8 << 20);
         CPPUNIT_ASSERT(store->states() == oneState("kept", 1));
         store->write(oneState(std::string(300'000, 'y'), 2), {});
         CPPUNIT_ASSERT(store->states() == oneState(std::string(300'000, 'y'), 2));
     }
 
-    // Three hundred configurations leave no more on disk than a few of them.
+    // The file does not grow with the number of rewrites: 300 configurations need no more space than a few.
     void rewritesDoNotGrowTheFile() {
         LmdbReplicaStore store(folder_, 8 << 20);
         for (int at = 1; at <= 300; ++at)
