--- a/src/config/bootstrap_settings.hpp
+++ b/src/config/bootstrap_settings.hpp
@@ -1,8 +1,8 @@
-/// What a process of the gateway is told at its start: the operators' settings file (DEPLOY, "What a process
-/// is told"). Fields that are not named here are ignored. Pure but for fromEnvironment(); any thread.
+/// The settings of a gateway process, read at start from the operators' settings file (DEPLOY, "What a
+/// process is told"). Unknown fields are ignored. No I/O except in fromEnvironment(). Thread-safe.
 ///
-/// Each setting is declared once, in the two lists below, since it has three uses: the member, the reading,
-/// and its name in errors. Names in the file are the operators' and stay.
+/// Each setting is declared once, in the two lists below, which generate the member, the parser and the name
+/// in errors. The names in the file belong to the operators' interface and must not change.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 
 #include "state.hpp"
 
-// Member, type, place in the file (a JSON pointer), needed or not.
+// X(member, type, JSON pointer in the file, required)
 #define BOOT_SETTINGS(X)                                                          \
     X(name, std::string, "/node_name", true)                                      \
     X(ip, std::string, "/ip_address", true)                                       \
@@ -33,9 +33,8 @@
     X(platformAddress, std::string, "/cloud_api/address", true)                   \
     X(platformCallsPerSecond, double, "/cloud_api/rate_per_s", false)
 
-// Member, name in `bounds`, kind, value where it is not told. control_contact: for how long the answer of a
-// member counts; control_replace: after how long without a message a member's seat goes to a standby (0: six
-// tenths of sync_time).
+// X(member, name in `bounds`, kind, default). control_contact: how long a member's reply counts as contact.
+// control_replace: how long a member may be silent before a standby replaces it (0: 0.6 * sync_time).
 #define BOOT_BOUNDS(X)                                                     \
     X(drainTime, "drain", duration, 2500 * 1'000'000LL)                    \
     X(shutdownGrace, "grace", duration, 6000 * 1'000'000LL)                \
@@ -52,25 +51,26 @@
 
 namespace lichenlanding::config {
 
-/// Values as told. Durations are Nanos; ratios and counts a second are numbers.
+/// The settings as configured. Durations are in nanoseconds; ratios and rates per second are doubles.
 struct BootstrapSettings {
-#define X(member, type, place, needed) type member{};
+#define X(member, type, pointer, required) type member{};
     BOOT_SETTINGS(X)
 #undef X
     using duration = Nanos;
     using number = double;
-#define X(member, name, kind, otherwise) kind member = otherwise;
+#define X(member, name, kind, fallback) kind member = fallback;
     BOOT_BOUNDS(X)
 #undef X
 
-    Nanos heartbeat = 1500 * 1'000'000LL;  // between two digests of proxies that watch each other; above 0
+    // The interval of digests between proxies that monitor each other; above 0.
+    Nanos heartbeat = 1500 * 1'000'000LL;
 
-    /// Where the process of the machine with this IP takes peer connections: its first internal port.
+    /// The address for peer connections to the process on the machine with this IP: its first internal port.
     std::string peerAddress(const std::string& ip) const;
 
-    /// Throws ParseError with the field as its subject.
+    /// Parses the content of a settings file. Throws ParseError with the field as its subject.
     static BootstrapSettings parse(std::string_view bytes);
-    /// Reads the file that LICHENLANDING_SETTINGS names. Throws ParseError.
+    /// Parses the file named by LICHENLANDING_SETTINGS. Throws ParseError.
     static BootstrapSettings fromEnvironment();
 };
 
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -1,8 +1,8 @@
-/// A configuration of the gateway: read whole or refused, and asked for routes.
+/// A configuration of the gateway: parsed and validated as a whole, then queried for routes.
 ///
-/// The format is the operators' (PROTOCOL, "The operator"). Each setting is declared once, in the lists of
-/// configuration.cpp. Pure: bytes in, values out. A Configuration does not change once it is read, so it may
-/// be shared by threads.
+/// The format is the operators' interface (PROTOCOL, "The operator"). Each setting is declared once, in the
+/// lists of configuration.cpp. No I/O. A Configuration is immutable after parsing and may be shared between
+/// threads.
 #pragma once
 
 #include <cstdint>
@@ -16,40 +16,41 @@
 
 namespace lichenlanding::config {
 
-/// What is wrong: each mistake with the path of its field and what is allowed there. what() holds them all.
+/// All validation errors of a configuration, each with the path of its field and what is allowed there.
+/// what() joins them.
 struct ValidationError : std::runtime_error {
     explicit ValidationError(std::vector<std::string> errors);
     std::vector<std::string> errors;
 };
 
-/// One part of a route's traffic.
+/// A service that receives a share of a route's traffic.
 struct WeightedService {
     std::string service;
     std::int64_t weight = 1;  // 0 or more
 };
 
-/// Where requests for a host and a path prefix go.
+/// Routing of the requests for a host and a path prefix.
 struct Route {
     std::string name, host, prefix;
-    std::size_t resourceIndex = 0;         // its place in the list of resources
-    bool idempotent = false;               // route_class idempotent
+    std::size_t resourceIndex = 0;         // index in `resources`
+    bool idempotent = false;               // whether route_class is idempotent
     Nanos timeout = 0, targetLatency = 0;  // above 0
-    std::int64_t priority = 0;             // 0 the highest
-    std::int64_t maxAttempts = 1;          // pods that one try may be sent to; 1 or more
-    std::vector<WeightedService> shares;   // one, or as traffic_split says; weights sum to above 0
-    std::int64_t totalWeight = 1;          // their sum
+    std::int64_t priority = 0;             // 0 is the highest
+    std::int64_t maxAttempts = 1;          // endpoints that a request may be sent to; at least 1
+    std::vector<WeightedService> shares;   // from service_name or traffic_split
+    std::int64_t totalWeight = 1;          // sum of the weights; above 0
 
-    /// The service for a draw of 0 <= draw < totalWeight.
+    /// The service for a random number 0 <= draw < totalWeight.
     const std::string& serviceForDraw(std::int64_t draw) const;
 };
 
-/// A service that routes send to; its endpoints come from the platform's list.
+/// A service that routes refer to. Its endpoints come from the platform's instance list.
 struct Service {
     std::string name, healthCheckPath = "/";
-    std::int64_t maxConnections = 1024;  // that a pod takes from all callers
+    std::int64_t maxConnections = 1024;  // per endpoint, from all proxies together
 };
 
-/// What a client may send, and how long it may take.
+/// Limits on the size and the duration of client requests.
 struct ClientLimits {
     std::int64_t headerBytes = 16384, bodyBytes = 64 << 20;
     Nanos headerTimeout = 3'000'000'000, idleTimeout = 15'000'000'000;
@@ -57,33 +58,33 @@
 
 class Configuration {
   public:
-    /// Throws ValidationError with all mistakes found.
+    /// Throws ValidationError with all errors found.
     static Configuration parse(std::string_view bytes);
 
-    /// The route of the longest prefix; null where there is none. `host` may carry a port, `path` a query.
-    /// The route lives as long as the Configuration.
+    /// The route with the longest matching prefix, or null. `host` may include a port, `path` a query. The
+    /// route is valid as long as the Configuration.
     const Route* findRoute(std::string_view host, std::string_view path) const;
-    /// Null where there is none.
+    /// The service with this name, or null.
     const Service* findService(const std::string& name) const;
 
     std::uint32_t version = 0;
-    std::vector<Route> routes;  // in the order sent
+    std::vector<Route> routes;  // in the order of `resources`
     std::vector<Service> services;
     ClientLimits clientLimits;
 
   private:
-    std::unordered_map<std::string, std::size_t>
-        routeIndex_;  // host and prefix; looked up, never walked through
+    // Index in `routes` by host and prefix. Only for lookup, never iterated.
+    std::unordered_map<std::string, std::size_t> routeIndex_;
 };
 
-/// Why a request goes where it goes: the route, and each setting with its place in the file or "default".
-/// Throws ValidationError where the configuration is wrong.
+/// Explains the routing of a request: the matching route, and each setting with its JSON pointer or
+/// "default". Throws ValidationError if the configuration is invalid.
 std::string explain(std::string_view bytes, std::string_view host, std::string_view path);
 
-/// Eight hexadecimal digits.
+/// A version as eight hexadecimal digits.
 std::string formatVersion(std::uint32_t version);
 
-/// "1500ms", "2.5s". Throws ParseError.
+/// Parses a duration such as "1500ms" or "2.5s". Throws ParseError.
 Nanos parseDuration(std::string_view text);
 
 }  // namespace lichenlanding::config
