--- a/src/policy/policy_state.hpp
+++ b/src/policy/policy_state.hpp
@@ -178,7 +178,7 @@
         silenceTimeout = kSecond;
         baseline.resize(settings.groups.size());
         settleTime = settings.slowStartTime + kPoolingInterval;
-        const auto queuedVotes = std::max(settings.onVotesNeeded - settings.votesPerSecond, 0.0);
+        const auto queuedVotes = std::max(settings.advanceVotesNeeded - settings.votesPerSecond, 0.0);
         queueTime = static_cast<Nanos>(queuedVotes / settings.votesPerSecond * kSecond);
         for (const auto& group : settings.groups) {
             silenceTimeout = std::min(silenceTimeout, group.target / kSilenceDivisor);
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -51,14 +51,15 @@
 
 /// The settings of a sidecar; readSettings() names the keys they are read from.
 struct Settings {
-    int index = 0, sidecarCount = 1, zone = 0;  ///< own index among `sidecarCount`; own zone in zones
+    /// The sidecar's index among `sidecarCount` sidecars, and its zone's index in `zones`.
+    int index = 0, sidecarCount = 1, zone = 0;
     std::vector<std::string> zones;
     std::vector<PathGroup> groups;
     bool peerMessages = false, cancellationAllowed = false, probesAllowed = false, hedgingAllowed = false;
     bool pullEndpoints = false;    ///< the endpoint list is not pushed
     bool reportsOnProbes = false;  ///< load reports come only in answers to probes
-    bool sendRetryAfter = false;
-    int maxAttempts = 1;  ///< of one request, the first included
+    bool sendRetryAfter = false;   ///< rejections say when to retry
+    int maxAttempts = 1;           ///< of one request, the first included
     Nanos maxRetryAfter = 0;
     Nanos drainGrace = 0, slowStartTime = 0, overloadTime = 0;
     double slowStartFloor = 1;    ///< capacity of a pod at its start, as a share of a warm pod's
@@ -66,10 +67,11 @@
     VoteMode voteMode = VoteMode::majority;
     std::vector<double> caps;  ///< by stage: the share of requests that a build on trial may get
     double freeAttempts = 0;   ///< attempts at a build on trial beyond the cap
+    /// exposureWindow: no free attempts for so long after a start. voteTtl: a vote expires unless renewed.
     Nanos exposureWindow = 0, voteTtl = 0, voteTimeout = 0;
     int restrictedStages = 0;  ///< number of initial stages that admit idempotent requests only
-    int backVotesNeeded = 1;
-    int onVotesNeeded = 0;       ///< 0: unknown
+    int rollBackVotesNeeded = 1;
+    int advanceVotesNeeded = 0;  ///< 0: unknown
     bool perGroup = false;       ///< exposure is counted by path group
     bool monotonicKeys = false;  ///< requests of a routing key never return to an earlier build
     double votesPerSecond = 1;   ///< rate limit of the platform for all sidecars together
@@ -79,6 +81,7 @@
     int maxInFlight = 0;
 };
 
+/// A version of the service, with the policy's state of it.
 struct Build {
     int number = 0;
     std::vector<double> allowance;  ///< attempts left under the exposure rule; one, or one per path group
@@ -107,7 +110,7 @@
     Availability availability = Availability::removed;
     Nanos startedAt = std::numeric_limits<Nanos>::min() / 4;  ///< from the endpoint list
     int inFlight = 0;                                         ///< attempts of this sidecar
-    Nanos lastResponseAt = 0;     ///< or, if later, when the first of those in flight was sent
+    Nanos lastResponseAt = 0;     ///< last end of an attempt, or send of the first in flight
     double slowStartCredit = 0;   ///< cost that may be sent while warming up; never above 0
     Nanos slowStartFilledAt = 0;  ///< when the credit was last refilled
     Nanos backoffUntil = 0;       ///< no requests until then, after a rejection
@@ -123,7 +126,7 @@
 
 struct Request;
 
-/// One attempt to send a request to a pod.
+/// One attempt of a request, at one pod.
 struct Attempt {
     Request* request = nullptr;
     Pod* pod = nullptr;
@@ -133,6 +136,7 @@
     bool inFlight = true, mayHaveRun = true;
 };
 
+/// A client's request and its attempts. The host fills in all but `ended` and `attempts`.
 struct Request {
     std::string id, key;  ///< key: for Settings::monotonicKeys; may be empty
     const PathGroup* group = nullptr;
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -130,8 +130,8 @@
     settings.voteTimeout = values.time("extra.answerWaitMs");
     settings.votesPerSecond = std::max(values.number("extra.callsPerS"), kMinVotesPerSecond);
     settings.restrictedStages = values.integer("extra.closedStages", 0);
-    settings.backVotesNeeded = values.integer("extra.noesNeeded", 1);
-    settings.onVotesNeeded = values.integer("extra.votesToGo", 0);
+    settings.rollBackVotesNeeded = values.integer("extra.noesNeeded", 1);
+    settings.advanceVotesNeeded = values.integer("extra.votesToGo", 0);
     settings.perGroup = values.text("extra.counts", "all") == "per_lane";
     settings.monotonicKeys = values.boolean("extra.oneWay", false);
 }
--- a/tests/policy/fleet.cpp
+++ b/tests/policy/fleet.cpp
@@ -8,7 +8,7 @@
         auto custom = testSettings();
         custom.sidecarCount = 100;
         custom.votesPerSecond = 16;
-        custom.onVotesNeeded = 50;
+        custom.advanceVotesNeeded = 50;
         for (custom.index = 0; custom.index < 100; ++custom.index)
             sidecars.emplace_back(custom).notesOnly = true;
     }
