--- a/src/proxy/request_handler.cpp
+++ b/src/proxy/request_handler.cpp
@@ -175,9 +175,9 @@
 // The client has disconnected. Cancels attempts that are unsent or idempotent. Others continue: the host may
 // be executing the request, and a client that only half-closed its connection still gets the response.
 void RequestHandler::cancelAttempts() {
-    const bool repeatable = request_->routed.route->repeatable;
+    const bool idempotent = request_->routed.route->idempotent;
     for (const auto& [call, _] : attempts_)
-        if (repeatable || isUnsent(*call)) call->cancel();
+        if (idempotent || isUnsent(*call)) call->cancel();
     nextHedgeCheck_ = request_->routed.deadline;
 }
 
@@ -190,7 +190,7 @@
         endProcessed = true;
         ++endsProcessed_;
         if (call->end == AttemptEvent::answered) {
-            if (call->response.result_int() < 500 || !routed.route->repeatable) return call;
+            if (call->response.result_int() < 500 || !routed.route->idempotent) return call;
             fallback_ = call;
         }
         if (routing::inFlight(routed.attempts) == 0) attemptWanted_ = true;
@@ -225,7 +225,7 @@
         writeBody = [self](tcp::socket& to) {
             return relayRequestBody(self->connection_, self->request_, to);
         };
-    const bool nonIdempotent = !routed.route->repeatable;
+    const bool nonIdempotent = !routed.route->idempotent;
     const int maxConnections = server.router.maxConnections(host);
     try {
         co_await server.upstream.call(call, sent, routed.deadline, nonIdempotent, maxConnections, writeBody);
