--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -41,7 +41,7 @@
     config.discovery = addressOf("discovery", raw.discovery);
     config.platform = addressOf("deployer.address", raw.platform);
     if (!raw.peerListen.empty()) config.peerListen = addressOf("peer_listen", raw.peerListen);
-    if (!raw.peersAll.empty()) config.peersAll = addressOf("peers_all", raw.peersAll);
+    if (!raw.peersAll.empty()) config.peerBroadcast = addressOf("peers_all", raw.peersAll);
     for (const auto& peer : raw.peers) config.peers.push_back(addressOf("peers", peer));
     config.seed = raw.seed;
     config.sockets = raw.sockets;
--- a/src/sidecar/config.hpp
+++ b/src/sidecar/config.hpp
@@ -9,8 +9,8 @@
 struct Config {
     std::string name;
     Address listen, discovery, platform;
-    std::optional<Address> peerListen, peersAll;  ///< none where sidecars send each other no messages
-    std::vector<Address> peers;                   ///< by index
+    std::optional<Address> peerListen, peerBroadcast;  ///< none where sidecars send each other no messages
+    std::vector<Address> peers;                        ///< by index
     std::uint64_t seed = 0;
     int sockets = 0;  ///< file descriptors for connections
     Settings settings;
--- a/src/sidecar/connection.cpp
+++ b/src/sidecar/connection.cpp
@@ -59,10 +59,12 @@
     setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     bufferevent_setcb(
         stream_.get(),
-        [](bufferevent*, void* self) { guarded([&] { static_cast<Connection*>(self)->onReadable(); }); },
+        [](bufferevent*, void* self) {
+            logExceptions([&] { static_cast<Connection*>(self)->onReadable(); });
+        },
         nullptr,
         [](bufferevent*, short what, void* self) {
-            guarded([&] { static_cast<Connection*>(self)->onEvent(what); });
+            logExceptions([&] { static_cast<Connection*>(self)->onEvent(what); });
         },
         this);
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
--- a/src/sidecar/event_loop.cpp
+++ b/src/sidecar/event_loop.cpp
@@ -28,7 +28,7 @@
 EventLoop::EventLoop() {
     std::signal(SIGPIPE, SIG_IGN);  // a peer that is gone ends a call, not the process
     event_set_log_callback([](int severity, const char* text) {
-        if (severity >= EVENT_LOG_WARN) guarded([&] { log(LogEvent::failure, text); });
+        if (severity >= EVENT_LOG_WARN) logExceptions([&] { log(LogEvent::failure, text); });
     });
     auto* config = checked(event_config_new(), "cannot make an event configuration");
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);  // epoll alone counts in milliseconds
@@ -58,7 +58,7 @@
 void EventLoop::runPosted() {
     std::vector<std::function<void()>> calls;
     calls.swap(posted_);
-    for (auto& call : calls) guarded(call);
+    for (auto& call : calls) logExceptions(call);
 }
 
 void EventLoop::run() { event_base_dispatch(base_.get()); }
@@ -72,7 +72,7 @@
 
 Timer::Timer(EventLoop& loop, std::function<void()> callback) : loop_(loop), callback_(std::move(callback)) {
     const auto onTimeout = [](evutil_socket_t, short, void* self) {
-        guarded([&] { static_cast<Timer*>(self)->onEvent(); });
+        logExceptions([&] { static_cast<Timer*>(self)->onEvent(); });
     };
     event_.reset(checked(evtimer_new(loop.base(), onTimeout, this), "cannot make a timer"));
 }
@@ -97,7 +97,7 @@
 EventWatch::EventWatch(EventLoop& loop, int descriptorOrSignal, short what, std::function<void()> callback)
     : callback_(std::move(callback)) {
     const auto onEvent = [](evutil_socket_t, short, void* self) {
-        guarded(static_cast<EventWatch*>(self)->callback_);
+        logExceptions(static_cast<EventWatch*>(self)->callback_);
     };
     event_.reset(checked(event_new(loop.base(), descriptorOrSignal, what, onEvent, this),
                          "cannot make an event watch"));
--- a/src/sidecar/event_loop.hpp
+++ b/src/sidecar/event_loop.hpp
@@ -30,7 +30,7 @@
 
 /// Logs what `call` throws: no exception may leave a callback that C code has called.
 template <typename Call>
-void guarded(Call&& call) noexcept {
+void logExceptions(Call&& call) noexcept {
     try {
         call();
     } catch (const std::exception& failure) {
--- a/src/sidecar/http_server.cpp
+++ b/src/sidecar/http_server.cpp
@@ -39,7 +39,7 @@
     evhttp_set_gencb(
         server_.get(),
         [](evhttp_request* request, void* self) {
-            guarded([&] { static_cast<HttpServer*>(self)->onRequest(request); });
+            logExceptions([&] { static_cast<HttpServer*>(self)->onRequest(request); });
         },
         this);
     evhttp_set_bevcb(
@@ -49,7 +49,7 @@
             auto& self = *static_cast<HttpServer*>(context);
             if (!stream) return stream;
             bufferevent_incref(stream);
-            guarded([&] { self.loop_.post([&self, stream] { self.onAccepted(stream); }); });
+            logExceptions([&] { self.loop_.post([&self, stream] { self.onAccepted(stream); }); });
             return stream;
         },
         this);
@@ -74,7 +74,7 @@
     // The listener is evhttp's, and so is the callback's context: it is no HttpServer.
     evconnlistener_set_error_cb(listener_, [](evconnlistener* listener, void*) {
         evconnlistener_disable(listener);
-        guarded([] {
+        logExceptions([] {
             log(LogEvent::overload, "cannot accept a connection: " + std::string(std::strerror(errno)));
         });
     });
@@ -116,7 +116,7 @@
         connection,
         [](evhttp_connection*, void* context) {
             auto& client = *static_cast<Client*>(context);
-            guarded([&] { client.server.onDisconnect(client); });
+            logExceptions([&] { client.server.onDisconnect(client); });
         },
         &*client);
 }
--- a/src/sidecar/json_fields.hpp
+++ b/src/sidecar/json_fields.hpp
@@ -46,17 +46,18 @@
 }
 
 template <typename Value>
-struct Word {
-    const char* word;
+struct WireName {
+    const char* spelling;
     Value value;
 };
 
 template <typename Value, std::size_t Count>
-bool readWord(const Json& object, const char* name, const Word<Value> (&words)[Count], Value& value) {
+bool readNamedValue(const Json& object, const char* name, const WireName<Value> (&names)[Count],
+                    Value& value) {
     std::string text;
     if (!read(object, name, text)) return false;
-    for (const auto& known : words) {
-        if (text != known.word) continue;
+    for (const auto& known : names) {
+        if (text != known.spelling) continue;
         value = known.value;
         return true;
     }
@@ -64,6 +65,6 @@
 }
 
 /// Discarded, which no reader accepts, if `text` is no JSON.
-inline Json parsed(std::string_view text) { return Json::parse(text.begin(), text.end(), nullptr, false); }
+inline Json parseJson(std::string_view text) { return Json::parse(text.begin(), text.end(), nullptr, false); }
 
 }  // namespace lichenlanding::sidecar::json_fields
--- a/src/sidecar/messages.cpp
+++ b/src/sidecar/messages.cpp
@@ -13,11 +13,11 @@
 namespace {
 
 using json_fields::Json;
-using json_fields::parsed;
+using json_fields::parseJson;
 using json_fields::read;
 using json_fields::readInteger;
-using json_fields::readWord;
-using json_fields::Word;
+using json_fields::readNamedValue;
+using json_fields::WireName;
 
 constexpr double kMaxWait = 3600e9;  // nanoseconds that a client may wait, or be told to: an hour
 
@@ -29,12 +29,12 @@
 }
 
 std::optional<EndpointEntry> endpointEntry(const Json& json) {
-    static constexpr Word<Availability> kPhases[] = {
+    static constexpr WireName<Availability> kPhases[] = {
         {"up", Availability::up}, {"draining", Availability::draining}, {"removed", Availability::removed}};
     EndpointEntry entry;
     const bool complete = read(json, "id", entry.name) && read(json, "host_port", entry.address) &&
                           read(json, "locality", entry.zone) &&
-                          readWord(json, "phase", kPhases, entry.availability) &&
+                          readNamedValue(json, "phase", kPhases, entry.availability) &&
                           readInteger(json, "image_id", 0, 65535, entry.build);
     if (!complete) return {};
     if (json_fields::find(json, "cell") && !readInteger(json, "cell", -1, 1 << 30, entry.cell)) return {};
@@ -61,14 +61,14 @@
 }
 
 std::optional<RolloutUpdate> rolloutUpdate(const Json& json) {
-    static constexpr Word<RolloutState> kStates[] = {{"testing", RolloutState::testing},
-                                                     {"recalling", RolloutState::rollingBack},
-                                                     {"live", RolloutState::released},
-                                                     {"recalled", RolloutState::rolledBack}};
+    static constexpr WireName<RolloutState> kStates[] = {{"testing", RolloutState::testing},
+                                                         {"recalling", RolloutState::rollingBack},
+                                                         {"live", RolloutState::released},
+                                                         {"recalled", RolloutState::rolledBack}};
     RolloutUpdate update;
     const bool complete = readInteger(json, "image", 0, 65535, update.build) &&
                           readInteger(json, "ring", 0, 1 << 20, update.stage) &&
-                          readWord(json, "progress", kStates, update.state) &&
+                          readNamedValue(json, "progress", kStates, update.state) &&
                           read(json, "ceiling", update.cap) && update.cap >= 0 && update.cap <= 1 &&
                           readAge(json, update.age);
     if (!complete) return {};
@@ -175,11 +175,13 @@
     return -1;
 }
 
-std::optional<EndpointList> parseEndpointList(std::string_view json) { return endpointList(parsed(json)); }
-std::optional<RolloutUpdate> parseRolloutUpdate(std::string_view json) { return rolloutUpdate(parsed(json)); }
+std::optional<EndpointList> parseEndpointList(std::string_view json) { return endpointList(parseJson(json)); }
+std::optional<RolloutUpdate> parseRolloutUpdate(std::string_view json) {
+    return rolloutUpdate(parseJson(json));
+}
 
 std::optional<PlatformMessage> parsePlatformLine(std::string_view text) {
-    const auto json = parsed(text);
+    const auto json = parseJson(text);
     if (!json.is_object()) return {};
     std::string type;
     if (!read(json, "type", type)) {
@@ -208,7 +210,7 @@
 }
 
 RawConfig parseConfig(std::string_view text) {
-    const auto json = parsed(text);
+    const auto json = parseJson(text);
     if (!json.is_object()) throw std::invalid_argument("configuration: not a JSON object");
     RawConfig config;
     require(read(json, "name", config.name), "name");
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -61,7 +61,7 @@
               onRolloutUpdate(update, answer, answered);
           },
           [this](const Dispute& dispute) { onDispute(dispute); }),
-      peers_(loop_, config_.peerListen, config_.peers, config_.peersAll,
+      peers_(loop_, config_.peerListen, config_.peers, config_.peerBroadcast,
              [this](int peer, const std::string& bytes) {
                  callPolicy([&](PolicyEngine& policy) { policy.onPeerMessage(peer, bytes); });
              }),
--- a/src/sidecar/worker_thread.cpp
+++ b/src/sidecar/worker_thread.cpp
@@ -49,7 +49,7 @@
         auto job = std::move(queued_.front());
         queued_.pop_front();
         lock.unlock();
-        guarded(job.work);
+        logExceptions(job.work);
         lock.lock();
         done_.push_back(std::move(job));
         lock.unlock();
@@ -66,7 +66,7 @@
         const std::lock_guard lock(mutex_);
         done.swap(done_);
     }
-    for (auto& job : done) guarded(job.continuation);
+    for (auto& job : done) logExceptions(job.continuation);
 }
 
 }  // namespace lichenlanding::sidecar
