--- a/src/sidecar/connection.cpp
+++ b/src/sidecar/connection.cpp
@@ -27,7 +27,7 @@
     in_addr parsed{};
     if (colon == std::string_view::npos || !parse(text.substr(colon + 1), address.port) ||
         address.port == 0 || inet_pton(AF_INET, address.host.c_str(), &parsed) != 1)
-        throw std::invalid_argument("not an address: " + std::string(text.substr(0, 60)));
+        throw std::invalid_argument("not an IPv4 address with a port: " + std::string(text.substr(0, 60)));
     return address;
 }
 
@@ -41,7 +41,7 @@
                     }),
       responseTimer_(loop, [this] { closeWith(CallResult::timedOut); }) {}
 
-// The socket is made here, since libevent does not tell a full table of descriptors from a refusal.
+// The socket is created here because libevent reports a lack of file descriptors like a refused connection.
 bool Connection::connect() {
     const int descriptor = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (descriptor < 0) return false;
@@ -55,16 +55,16 @@
 }
 
 void Connection::openStream(int descriptor) {
-    const int on = 1;
-    setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    const int enable = 1;
+    setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
     bufferevent_setcb(
         stream_.get(),
         [](bufferevent*, void* self) {
             logExceptions([&] { static_cast<Connection*>(self)->onReadable(); });
         },
         nullptr,
-        [](bufferevent*, short what, void* self) {
-            logExceptions([&] { static_cast<Connection*>(self)->onEvent(what); });
+        [](bufferevent*, short events, void* self) {
+            logExceptions([&] { static_cast<Connection*>(self)->onEvent(events); });
         },
         this);
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
@@ -128,13 +128,13 @@
     stream_.reset();
 }
 
-// Whether a call's last byte was written decides between 'not executed' and 'may have been executed'.
+// A request whose last byte was not written was not executed; after that it may have been.
 bool Connection::allWritten() const {
     return evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
 }
 
 void Connection::onReadable() {
-    if (!onDone_) {  // unasked bytes cannot belong to the next call's response
+    if (!onDone_) {  // unexpected bytes are not part of the next call's response
         usable_ = false;
         if (onClose_) onClose_();
         return;
@@ -143,19 +143,20 @@
     const auto state = parser_.consume(input);
     if (!onDone_ || state == ResponseParser::State::incomplete) return;  // onBody may have ended the call
     if (state == ResponseParser::State::malformed) return closeWith(CallResult::malformedResponse);
-    // Bytes behind a response, or a response before the call was written, leave no connection for another.
+    // After bytes that follow a response, or a response that precedes the end of the request, the connection
+    // cannot be reused.
     const bool clean = allWritten() && evbuffer_get_length(input) == 0;
     if (parser_.closesConnection || !clean || !reusable()) usable_ = false;
     finish(takeResponse());
 }
 
-void Connection::onEvent(short what) {
-    if (what & BEV_EVENT_CONNECTED) {
+void Connection::onEvent(short events) {
+    if (events & BEV_EVENT_CONNECTED) {
         connected_ = true;
         return connectTimer_.stop();
     }
     usable_ = false;
-    const bool ended = connected_ && (what & BEV_EVENT_EOF);
+    const bool ended = connected_ && (events & BEV_EVENT_EOF);
     if (onDone_ && ended && parser_.stateAtClose() == ResponseParser::State::complete)
         return finish(takeResponse());
     if (onDone_) {
--- a/src/sidecar/connection.hpp
+++ b/src/sidecar/connection.hpp
@@ -1,5 +1,4 @@
-// One HTTP/1.1 connection of this sidecar to another party, carrying one call at a time. Nothing is ever
-// retried by it.
+// A client connection over HTTP/1.1 that carries one call at a time. It never retries a call.
 #pragma once
 
 #include <string>
@@ -21,7 +20,7 @@
     std::string text() const { return host + ":" + std::to_string(port); }
 };
 
-/// Parses "127.0.0.1:7070"; throws std::invalid_argument.
+/// Parses an address such as "127.0.0.1:7070". Throws std::invalid_argument.
 Address parseAddress(std::string_view text);
 
 struct HttpHeader {
@@ -35,40 +34,44 @@
     std::string body;
 };
 
-/// How a call ended and what came back.
+/// The result of a call and the response to it.
 struct CallResponse {
     CallResult result = CallResult::cancelled;
-    int statusCode = 0;  ///< 0: no complete response
+    int statusCode = 0;  ///< 0 if no complete response was received
     std::string body = {}, contentType = {};
-    std::string loadReport = {};  ///< the pod's, where the response carries one
-    Nanos retryAfter = 0;         ///< 0: no advice
+    std::string loadReport = {};  ///< value of the X-Load-Report header; empty if there is none
+    Nanos retryAfter = 0;         ///< from the Retry-After header; 0 if there is none
 };
 
 class Connection {
   public:
     using ResponseHandler = std::function<void(CallResponse)>;
 
-    /// Connects at the first call. `maxBodyBytes` limits collected bodies.
+    /// The connection is established by the first call. `maxBodyBytes` limits the size of response bodies
+    /// that are collected in memory.
     Connection(EventLoop& loop, Address address, std::size_t maxBodyBytes);
     ~Connection() { releaseStream(); }
 
-    /// `onDone` is called once, from the loop, unless the connection is destroyed or discarded first. A
-    /// `timeout` of 0 is no limit. With `onBody` the response's body is passed on as it comes.
+    /// Sends a request. `onDone` is called once, from the event loop, unless the connection is destroyed or
+    /// discarded first. A `timeout` of 0 means no limit. If `onBody` is given, it receives the parts of the
+    /// response body as they arrive, and the body is not collected.
     void call(const HttpRequest& request, Nanos connectTimeout, Nanos timeout, ResponseHandler onDone,
               BodyHandler onBody = nullptr,
               ResponseParser::Framing framing = ResponseParser::Framing::declared);
-    /// Closes it; a call in flight ends with `result`.
+    /// Closes the connection; a call in flight ends with `result`.
     void closeWith(CallResult result);
-    /// Closes it; a call in flight is not told.
+    /// Closes the connection; the handler of a call in flight is dropped without being called.
     void discard();
-    /// No call is in flight, and it is open or not yet connected.
+    /// Whether no call is in flight and the connection is open or not yet established.
     bool available() const { return usable_ && !onDone_; }
-    /// It can carry another call: no bytes have come unasked, not even unread ones, and it has not ended.
+    /// Whether the connection can carry another call: it is open, and its socket has no unexpected bytes to
+    /// read.
     bool reusable() const;
     const Address& address() const { return address_; }
-    /// Of the response that is coming in.
+    /// The status code of the response that is being received.
     int statusCode() const { return parser_.statusCode; }
-    /// Called when the other side closes it while no call is in flight.
+    /// Sets a callback for the remote side closing the connection, or sending bytes on it, while no call is
+    /// in flight.
     void onClose(std::function<void()> callback) { onClose_ = std::move(callback); }
 
   private:
@@ -76,7 +79,7 @@
     void openStream(int descriptor);
     void write(const HttpRequest& request);
     void onReadable();
-    void onEvent(short what);
+    void onEvent(short events);
     void finish(CallResponse response);
     CallResponse takeResponse();
     bool allWritten() const;
@@ -90,7 +93,7 @@
     ResponseParser parser_;
     ResponseHandler onDone_;
     std::function<void()> onClose_;
-    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with it, for posted calls
+    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // lets posted callbacks detect destruction
     bool usable_ = true, connected_ = false;
 };
 
