--- a/src/sidecar/event_loop.hpp
+++ b/src/sidecar/event_loop.hpp
@@ -1,4 +1,4 @@
-// The event loop, and owners of libevent's objects. All callbacks run on the thread that runs the loop.
+// The event loop, and RAII owners of libevent objects. All callbacks run on the thread that runs the loop.
 #pragma once
 
 #include <event2/buffer.h>
@@ -28,37 +28,37 @@
 template <typename T>
 using LibeventPtr = std::unique_ptr<T, LibeventDeleter>;
 
-/// Logs what `call` throws: no exception may leave a callback that C code has called.
-template <typename Call>
-void logExceptions(Call&& call) noexcept {
+/// Calls `function` and logs an exception that it throws: exceptions must not propagate into C code.
+template <typename Function>
+void logExceptions(Function&& function) noexcept {
     try {
-        call();
-    } catch (const std::exception& failure) {
-        log(LogEvent::failure, failure.what());
+        function();
+    } catch (const std::exception& error) {
+        log(LogEvent::failure, error.what());
     }
 }
 
 class EventLoop {
   public:
-    /// Ignores SIGPIPE for the process. Throws std::runtime_error.
+    /// Sets SIGPIPE to be ignored in the whole process. Throws std::runtime_error.
     EventLoop();
     ~EventLoop();
     EventLoop(const EventLoop&) = delete;
 
     event_base* base() const { return base_.get(); }
-    /// Monotonic.
+    /// The monotonic clock's time.
     Nanos now() const;
-    /// The monotonic time of a Unix time in milliseconds, by the offset of both clocks at construction.
+    /// Converts a Unix time in milliseconds to monotonic time, by the offset of the clocks at construction.
     Nanos fromUnixMillis(std::int64_t unixMillis) const;
-    /// Runs `call` on the next turn of the loop, in the order of the posts.
-    void post(std::function<void()> call);
-    /// Frees `object` on the next turn, when no callback is inside it any more.
+    /// Runs `callback` in the next iteration of the loop, in the order in which callbacks were posted.
+    void post(std::function<void()> callback);
+    /// Releases `object` in the next iteration, when none of its callbacks is running any more.
     void releaseLater(std::shared_ptr<void> object) {
         post([object = std::move(object)] {});
     }
-    /// Until stop().
+    /// Runs until stop() is called.
     void run();
-    /// One pass over what is due now, without waiting.
+    /// Processes the events that are due now, without waiting.
     void runOnce();
     void stop();
     bool stopped() const { return stopped_; }
@@ -68,21 +68,21 @@
 
     LibeventPtr<event_base> base_;
     LibeventPtr<event> postEvent_;
-    std::vector<std::function<void()>> posted_;
-    Nanos unixOffset_ = 0;
+    std::vector<std::function<void()>> postedCallbacks_;
+    Nanos unixToMonotonicOffset_ = 0;
     bool stopped_ = false;
 };
 
-/// Calls once after a span. It never fires early: the loop counts from the start of its turn, and a policy
-/// that is woken early would not ask for another timer.
+/// A one-shot timer that never fires early. libevent's own timers can, since it measures a delay from the
+/// start of the loop iteration; and a policy that is called early would not start another timer.
 class Timer {
   public:
     Timer(EventLoop& loop, std::function<void()> callback);
     Timer(const Timer&) = delete;
 
     void setCallback(std::function<void()> callback) { callback_ = std::move(callback); }
-    /// Starts it, or starts it anew; a span below 0 counts as 0.
-    void start(Nanos span);
+    /// Starts or restarts the timer; a negative `delay` counts as 0.
+    void start(Nanos delay);
     void stop();
     bool running() const;
 
@@ -95,13 +95,13 @@
     Nanos dueAt_ = 0;
 };
 
-/// Calls whenever a descriptor is readable, or a signal has come.
+/// Calls back whenever a descriptor is readable, or a signal is received.
 class EventWatch {
   public:
     static constexpr short kReadable = EV_READ | EV_PERSIST, kSignal = EV_SIGNAL | EV_PERSIST;
 
-    /// `what` is one of the constants above.
-    EventWatch(EventLoop& loop, int descriptorOrSignal, short what, std::function<void()> callback);
+    /// `events` is one of the constants above.
+    EventWatch(EventLoop& loop, int descriptorOrSignal, short events, std::function<void()> callback);
     EventWatch(const EventWatch&) = delete;
 
   private:
--- a/tests/sidecar/event_loop.cpp
+++ b/tests/sidecar/event_loop.cpp
@@ -2,23 +2,23 @@
 
 using namespace lichenlanding::sidecar;
 
-// Seen on sockets: after a long turn of the loop the policy's timer fired early and was the last one, so that
-// a sidecar pooled and voted no more.
-TEST_CASE("a timer never fires early, however long the turn that started it") {
+// libevent measures a timer's delay from the start of the loop iteration. After a long iteration the policy's
+// timer fired early, the policy started no other, and the sidecar stopped pooling counts and voting.
+TEST_CASE("a timer never fires early, however long the loop iteration that started it") {
     SidecarFixture fixture;
     int fired = 0;
-    Nanos set = 0;
+    Nanos startedAt = 0;
     Timer timer(fixture.loop, [&] {
-        CHECK(fixture.loop.now() - set >= 5 * kMs);
+        CHECK(fixture.loop.now() - startedAt >= 5 * kMs);
         ++fired;
     });
-    for (int turn = 1; turn <= 3; ++turn) {
+    for (int iteration = 1; iteration <= 3; ++iteration) {
         fixture.loop.post([&] {
-            const auto begun = fixture.loop.now();
-            while (fixture.loop.now() - begun < 8 * kMs) continue;
-            set = fixture.loop.now();
+            const auto busySince = fixture.loop.now();
+            while (fixture.loop.now() - busySince < 8 * kMs) continue;
+            startedAt = fixture.loop.now();
             timer.start(5 * kMs);
         });
-        fixture.runUntil([&] { return fired == turn; });
+        fixture.runUntil([&] { return fired == iteration; });
     }
 }
