--- a/src/sidecar/client_request.cpp
+++ b/src/sidecar/client_request.cpp
@@ -27,7 +27,7 @@
 
 bool ClientRequest::beginResponse(const std::string& contentType, Nanos retryAfter) {
     if (std::exchange(responded_, true)) return false;
-    if (connection_) server_.onResponse(connection_);
+    if (connection_) server_.onResponseStarting(connection_);
     auto* headers = evhttp_request_get_output_headers(request_);
     const char* type = contentType.empty() ? "application/octet-stream" : contentType.c_str();
     evhttp_add_header(headers, "Content-Type", type);
@@ -45,7 +45,8 @@
     if (!beginResponse(contentType, retryAfter)) return;
     auto* output = evhttp_request_get_output_buffer(request_);
     if (!body.empty()) evbuffer_add(output, body.data(), body.size());
-    evhttp_send_reply(request_, statusCode, nullptr, nullptr);  // frees the request if the client has left
+    evhttp_send_reply(request_, statusCode, nullptr,
+                      nullptr);  // frees the request if the client has disconnected
 }
 
 void ClientRequest::respond(int statusCode, std::shared_ptr<const std::string> body,
--- a/src/sidecar/client_request.hpp
+++ b/src/sidecar/client_request.hpp
@@ -1,4 +1,4 @@
-// One client's request on the HttpServer, and the one response to it.
+// A request that a client sent to the HttpServer, and its response.
 #pragma once
 
 #include <memory>
@@ -11,37 +11,37 @@
 
 class HttpServer;
 
-/// Responds with 500 if it is destroyed before a response was given.
+/// Responds with 500 if it is destroyed before respond() or refuse() was called.
 class ClientRequest {
   public:
     ClientRequest(HttpServer& server, evhttp_request* request);
     ~ClientRequest();
     ClientRequest(const ClientRequest&) = delete;
 
-    /// Nothing if there is no such header, or it is empty.
+    /// The value of a header; nothing if it is missing or empty.
     std::optional<std::string> header(const char* name) const;
     evhttp_cmd_type method() const { return evhttp_request_get_command(request_); }
-    /// With its query.
+    /// The path with its query string.
     std::string path() const { return evhttp_request_get_uri(request_); }
     const std::string& body() const { return body_; }
-    /// Called if the client leaves before its response.
+    /// Sets a callback for a client that disconnects before its response.
     void onDisconnect(std::function<void()> callback) { onDisconnect_ = std::move(callback); }
 
-    /// Sends the response at once; only the first one counts. retryAfter 0: no advice.
+    /// Sends the response at once; further calls have no effect. A `retryAfter` of 0 sends no Retry-After.
     void respond(int statusCode, const std::string& body = {}, const std::string& contentType = {},
                  Nanos retryAfter = 0);
-    /// With a large body, which is kept alive instead of copied.
+    /// Sends a large body without copying it; the body is kept alive until it has been written.
     void respond(int statusCode, std::shared_ptr<const std::string> body, const std::string& contentType);
-    /// Responds and ends the connection, on which nothing can be trusted after an invalid request.
+    /// Responds and closes the connection: after an invalid request, request boundaries are unreliable.
     void refuse(int statusCode);
 
   private:
     friend class HttpServer;
-    bool beginResponse(const std::string& contentType, Nanos retryAfter);  // false: there was one already
+    bool beginResponse(const std::string& contentType, Nanos retryAfter);  // false: already responded
     void disconnected();
 
     HttpServer& server_;
-    evhttp_request* request_;  // owned by evhttp, until the response is given
+    evhttp_request* request_;  // owned by evhttp until the response is sent
     evhttp_connection* connection_;
     std::string body_;
     std::function<void()> onDisconnect_;
--- a/src/sidecar/http_server.cpp
+++ b/src/sidecar/http_server.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr Nanos kSweepInterval = 20'000'000;
-constexpr Nanos kSilenceAllowed = 200'000'000;    // a client with a request to send has begun by then
-constexpr Nanos kRequestTimeout = 2'400'000'000;  // from the connection's start, or the request's first byte
+constexpr Nanos kMinSilenceForEviction = 200'000'000;  // a client with a request sends its first byte sooner
+constexpr Nanos kRequestTimeout = 2'400'000'000;       // since the accept or the request's first byte
 constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
-constexpr std::size_t kMaxReadAhead = 4 * 1024;  // of what a client sends before it has its response
-constexpr auto kEveryMethod = 0xffff;            // wrong ones are answered here, not by evhttp
+constexpr std::size_t kMaxReadAheadBytes = 4 * 1024;  // received while a request is in flight
+constexpr auto kAllMethods = 0xffff;                  // this program, not evhttp, rejects other methods
 
 }  // namespace
 
@@ -32,10 +32,10 @@
       limits_(limits),
       server_(evhttp_new(loop.base())),
       sweepTimer_(loop, [this] { sweep(); }) {
-    if (!server_) throw std::runtime_error("cannot make a server");
+    if (!server_) throw std::runtime_error("cannot create the HTTP server");
     evhttp_set_max_body_size(server_.get(), kMaxBodyBytes);
     evhttp_set_max_headers_size(server_.get(), kMaxHeaderBytes);
-    evhttp_set_allowed_methods(server_.get(), kEveryMethod);
+    evhttp_set_allowed_methods(server_.get(), kAllMethods);
     evhttp_set_gencb(
         server_.get(),
         [](evhttp_request* request, void* self) {
@@ -67,11 +67,11 @@
                                         SOMAXCONN, reinterpret_cast<sockaddr*>(&local), sizeof local);
     if (!listener_)
         throw std::runtime_error("cannot listen on " + address.text() + ": " + std::strerror(errno));
-    const int on = 1;  // accepted connections inherit it
-    setsockopt(evconnlistener_get_fd(listener_), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+    const int enable = 1;  // accepted connections inherit it
+    setsockopt(evconnlistener_get_fd(listener_), IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
     evhttp_bind_listener(server_.get(), listener_);
-    // Guards against a loop that spins on accept() while there are no descriptors; sweep() enables it again.
-    // The listener is evhttp's, and so is the callback's context: it is no HttpServer.
+    // Disabling the listener prevents a busy loop on accept() while there are no descriptors; sweep() enables
+    // it again. The callback's context belongs to evhttp: it is not this HttpServer.
     evconnlistener_set_error_cb(listener_, [](evconnlistener* listener, void*) {
         evconnlistener_disable(listener);
         logExceptions([] {
@@ -97,7 +97,8 @@
     return {host, ntohs(local.sin_port)};
 }
 
-// evhttp does not announce the connections it accepts; they are the context of its streams' callbacks.
+// evhttp has no callback for accepted connections; the connection is found as the context of the stream's
+// callbacks.
 void HttpServer::onAccepted(bufferevent* stream) {
     void* context = nullptr;
     bufferevent_getcb(stream, nullptr, nullptr, nullptr, &context);
@@ -111,7 +112,7 @@
     }
     const auto client = clients_.insert(clients_.end(), {*this, connection, loop_.now()});
     byConnection_.emplace(connection, client);
-    evbuffer_add_cb(bufferevent_get_input(stream), onBytes, &*client);
+    evbuffer_add_cb(bufferevent_get_input(stream), onInputAdded, &*client);
     evhttp_connection_set_closecb(
         connection,
         [](evhttp_connection*, void* context) {
@@ -127,7 +128,7 @@
     if (clientRequest->connection_) {
         auto& client = *find(clientRequest->connection_);
         auto* stream = evhttp_connection_get_bufferevent(client.connection);
-        // Clients send one request at a time: bytes behind it belong to it, and its length is wrong.
+        // Clients must not pipeline: bytes after the request mean that its declared length is wrong.
         valid = valid && evbuffer_get_length(bufferevent_get_input(stream)) == 0;
         client.request = clientRequest.get();
         client.receiving = false;
@@ -145,7 +146,7 @@
     return byConnection_.at(connection);
 }
 
-void HttpServer::onResponse(evhttp_connection* connection) {
+void HttpServer::onResponseStarting(evhttp_connection* connection) {
     auto& client = *find(connection);
     auto* stream = evhttp_connection_get_bufferevent(client.connection);
     client.request = nullptr;
@@ -155,20 +156,20 @@
 }
 
 void HttpServer::beginPhase(Client& client) {
-    client.since = loop_.now();
+    client.phaseStartedAt = loop_.now();
     clients_.splice(clients_.end(), clients_, find(client.connection));
 }
 
-void HttpServer::onBytes(evbuffer* /*unused*/, const evbuffer_cb_info* info, void* context) {
+void HttpServer::onInputAdded(evbuffer* /*unused*/, const evbuffer_cb_info* info, void* context) {
     auto& client = *static_cast<Client*>(context);
     if (info->n_added == 0 || client.receiving) return;
     client.receiving = true;
-    // The request time-out counts from the request's first byte, but the first one's from the start.
+    // The request timeout starts at the request's first byte; for the first request, at the accept.
     if (!std::exchange(client.silent, false) && !client.request) client.server.beginPhase(client);
 }
 
-// The connection is read while a request is in flight, to see the client leave. evhttp's own reader would
-// abort the program over bytes that come then, from a client that does not wait for its response.
+// Reads the connection while a request is in flight, to detect that the client disconnects. evhttp's own read
+// callback is removed: it would abort the process if a client sent bytes before it had its response.
 void HttpServer::watchForDisconnect(Client& client) {
     auto* stream = evhttp_connection_get_bufferevent(client.connection);
     bufferevent_data_cb onWritten = nullptr;
@@ -176,7 +177,7 @@
     void* context = nullptr;
     bufferevent_getcb(stream, nullptr, &onWritten, &onEvent, &context);
     bufferevent_setcb(stream, nullptr, onWritten, onEvent, context);
-    bufferevent_setwatermark(stream, EV_READ, 0, kMaxReadAhead);
+    bufferevent_setwatermark(stream, EV_READ, 0, kMaxReadAheadBytes);
     bufferevent_enable(stream, EV_READ);
 }
 
@@ -184,14 +185,14 @@
     auto* request = client.request;
     const auto found = byConnection_.find(client.connection);
     auto* stream = evhttp_connection_get_bufferevent(client.connection);
-    evbuffer_remove_cb(bufferevent_get_input(stream), onBytes, &client);
+    evbuffer_remove_cb(bufferevent_get_input(stream), onInputAdded, &client);
     clients_.erase(found->second);
     byConnection_.erase(found);
     if (request) request->disconnected();
 }
 
-// Between requests, with nothing unread on it, nor part of a request read by evhttp: what a client is writing
-// may be complete by the time a close reaches it.
+// Whether the connection is between requests, with no unread bytes and no part of a request received by
+// evhttp: otherwise the client's request might be complete by the time that it sees the close.
 bool HttpServer::isIdle(const Client& client) const {
     auto* stream = evhttp_connection_get_bufferevent(client.connection);
     if (client.request || client.receiving) return false;
@@ -200,13 +201,13 @@
            evbuffer_get_length(bufferevent_get_output(stream)) == 0;
 }
 
-// First the longest silent of those that have never sent a byte, then the longest idle. Guards against
-// clients that connect and send nothing, and those that send one request and stay. Harm: the client connects
-// anew.
+// Closes the connection that has been open longest without sending a byte or, if there is none, the one idle
+// for longest. Protects against clients that connect and send nothing, and those that send one request and
+// stay connected. The cost is that an evicted client has to reconnect.
 bool HttpServer::evictIdle() {
     const auto now = loop_.now();
     auto evicted = std::find_if(clients_.begin(), clients_.end(), [&](auto& client) {
-        return client.silent && now - client.since > kSilenceAllowed && isIdle(client);
+        return client.silent && now - client.phaseStartedAt > kMinSilenceForEviction && isIdle(client);
     });
     if (evicted == clients_.end())
         evicted =
@@ -222,9 +223,9 @@
     const auto now = loop_.now();
     std::vector<evhttp_connection*> expired;
     for (auto& client : clients_) {
-        // While draining, a client that does not read its response must not hold the process up either.
+        // While draining, a client that does not read its response must not delay the shutdown either.
         const bool unfinished = !client.request && (client.silent || client.receiving || draining_);
-        if ((unfinished && now - client.since > kRequestTimeout) || (draining_ && isIdle(client)))
+        if ((unfinished && now - client.phaseStartedAt > kRequestTimeout) || (draining_ && isIdle(client)))
             expired.push_back(client.connection);
     }
     for (auto* connection : expired) evhttp_connection_free(connection);
--- a/src/sidecar/http_server.hpp
+++ b/src/sidecar/http_server.hpp
@@ -1,5 +1,6 @@
-// The server that clients see: an evhttp server, and one ClientRequest for each complete request. Connections
-// are followed from their first byte or silence on, so that no client can hold more than its share.
+// The HTTP server for clients: an evhttp server that yields a ClientRequest for each complete request. It
+// tracks every connection from its acceptance on, so that idle and slow clients cannot use up the
+// descriptors.
 #pragma once
 
 #include <list>
@@ -13,8 +14,8 @@
 
 namespace lichenlanding::sidecar {
 
-/// From the soft limit on a new connection evicts an idle one if there is one; at the hard limit it is closed
-/// if there is none.
+/// At or above the soft limit a new connection evicts an idle one. If there is none, it is accepted below the
+/// hard limit, and closed otherwise.
 struct ConnectionLimits {
     std::size_t soft, hard;
 };
@@ -23,16 +24,16 @@
   public:
     using RequestCallback = std::function<void(std::unique_ptr<ClientRequest>)>;
 
-    /// Requests for readiness are answered here, by `isReady`; all others go to `onRequest`. Throws
-    /// std::runtime_error if it cannot listen.
+    /// The server responds to readiness requests itself, according to `isReady`; all others are passed to
+    /// `onRequest`. Throws std::runtime_error if it cannot listen.
     HttpServer(EventLoop& loop, const Address& listen, ConnectionLimits limits, RequestCallback onRequest,
                std::function<bool()> isReady);
     ~HttpServer();
 
-    /// Graceful shutdown: each connection gets one more response, and idle ones are closed.
+    /// Begins a graceful shutdown: idle connections are closed, the others after their next response.
     void drain() { draining_ = true; }
     bool draining() const { return draining_; }
-    /// Whether a client has connected that is not accepted yet.
+    /// Whether a connection is waiting to be accepted.
     bool hasPendingConnection() const;
     Address address() const;
     std::size_t connections() const { return clients_.size(); }
@@ -42,19 +43,19 @@
     struct Client {
         HttpServer& server;
         evhttp_connection* connection;
-        Nanos since;                       // when its present phase began: silent, sending, responded
-        ClientRequest* request = nullptr;  // the one in flight
-        bool receiving = false;            // part of a next request may have come
-        bool silent = true;                // no byte has ever come
+        Nanos phaseStartedAt;  // start of the current phase: connected, sending a request, response
+        ClientRequest* request = nullptr;  // in flight; null if there is none
+        bool receiving = false;            // part of the next request may have been received
+        bool silent = true;                // no byte was ever received
     };
     using Clients = std::list<Client>;
 
     void listen(const Address& address);
     void onAccepted(bufferevent* stream);
     void onRequest(evhttp_request* request);
-    void onResponse(evhttp_connection* connection);  // is about to be sent
+    void onResponseStarting(evhttp_connection* connection);  // before a response is sent
     void onDisconnect(Client& client);
-    static void onBytes(evbuffer* input, const evbuffer_cb_info* info, void* client);
+    static void onInputAdded(evbuffer* input, const evbuffer_cb_info* info, void* client);
     Clients::iterator find(evhttp_connection* connection);
     void beginPhase(Client& client);
     void watchForDisconnect(Client& client);
@@ -68,9 +69,9 @@
     ConnectionLimits limits_;
     bool draining_ = false;
     LibeventPtr<evhttp> server_;
-    evconnlistener* listener_ = nullptr;  // the server's
+    evconnlistener* listener_ = nullptr;  // owned by server_
     Timer sweepTimer_;
-    Clients clients_;  // the one longest in its phase first
+    Clients clients_;  // ordered by the start of the phase, earliest first
     std::unordered_map<evhttp_connection*, Clients::iterator> byConnection_;  // never iterated
 };
 
