--- a/src/sidecar/discovery_client.cpp
+++ b/src/sidecar/discovery_client.cpp
@@ -17,9 +17,9 @@
           loop, address, LogEvent::discovery, connectTimeout, kIdleTimeout, reconnectBackoff,
           [this] { return watchPath(); }, [this](std::string_view json) { return onLine(json); }) {}
 
-void DiscoveryClient::start(const std::optional<EndpointList>& known) {
-    if (known) apply(*known);
-    watch_.start(!hasEndpoints_);  // with a list to route by it can wait for its turn in the fleet
+void DiscoveryClient::start(const std::optional<EndpointList>& initialList) {
+    if (initialList) apply(*initialList);
+    watch_.start(!hasEndpoints_);  // without urgency its start is spread over the fleet
 }
 
 void DiscoveryClient::setAddress(const Address& address) {
@@ -32,7 +32,7 @@
     return std::string(paths::kEndpoints) + "?stream=1&index=" + std::to_string(revision_);
 }
 
-// The changes of a malformed line are missing: the complete list is requested, then the watch again.
+// After a malformed line the list may lack changes: requests the complete list, then resumes the watch.
 bool DiscoveryClient::onLine(std::string_view json) {
     const auto list = parseEndpointList(json);
     if (!list) {
@@ -56,7 +56,8 @@
     auto& host = upstreams_.host(entry.name);
     EndpointUpdate update{&host, entry.build, -1, entry.cell, entry.availability};
     if (entry.startedMs > 0) update.startedAt = loop_.fromUnixMillis(entry.startedMs);
-    // Another process: open connections lead to the one before, which may have vanished silently.
+    // The pod's process was replaced or removed: open connections lead to the old one, which may have ended
+    // without closing them.
     const bool replaced = update.startedAt != host.startedAt || entry.availability == Availability::removed ||
                           (host.build && host.build->number != entry.build);
     if (replaced) upstreams_.closeIdle(host);
@@ -64,8 +65,8 @@
     if (zone != zones_.end()) update.zone = static_cast<int>(zone - zones_.begin());
     try {
         upstreams_.setAddress(host, parseAddress(entry.address));
-    } catch (const std::invalid_argument& failure) {
-        log(LogEvent::discovery, entry.name + ": " + failure.what());
+    } catch (const std::invalid_argument& error) {
+        log(LogEvent::discovery, entry.name + ": " + error.what());
         update.availability = Availability::removed;
     }
     return update;
--- a/src/sidecar/discovery_client.hpp
+++ b/src/sidecar/discovery_client.hpp
@@ -1,4 +1,5 @@
-// The client of discovery: the endpoint list that was known at start, then a watch from its revision on.
+// The client of service discovery: starts from a configured endpoint list, if there is one, and watches for
+// changes from its revision on.
 #pragma once
 
 #include "sidecar/messages.hpp"
@@ -9,20 +10,22 @@
 
 class DiscoveryClient {
   public:
-    /// Of the watch: three of the empty lines that come while nothing changes.
+    /// Idle timeout of the watch: three intervals of the empty lines that are sent while nothing changes.
     static constexpr Nanos kIdleTimeout = 6'000'000'000;
 
     using EndpointHandler = std::function<void(bool complete, std::vector<EndpointUpdate> updates)>;
 
-    /// `zones`: names, by the index that updates carry. Must outlive this, as must `upstreams`.
+    /// `zones`: the zone names, at the indices that EndpointUpdate::zone refers to. `zones` and `upstreams`
+    /// must outlive the client.
     DiscoveryClient(EventLoop& loop, const Address& address, Nanos connectTimeout,
                     limits::ReconnectBackoff reconnectBackoff, const std::vector<std::string>& zones,
                     UpstreamPool& upstreams, EndpointHandler onEndpoints);
 
-    void start(const std::optional<EndpointList>& known);
-    /// The complete list is requested there.
+    /// Applies `initialList`, if there is one, and opens the watch.
+    void start(const std::optional<EndpointList>& initialList);
+    /// Switches to another discovery server, from which the complete list is requested.
     void setAddress(const Address& address);
-    /// Whether a complete list has ever come.
+    /// Whether a complete list has ever been received.
     bool hasEndpoints() const { return hasEndpoints_; }
 
   private:
@@ -36,7 +39,7 @@
     UpstreamPool& upstreams_;
     EndpointHandler onEndpoints_;
     WatchStream watch_;
-    std::int64_t revision_ = -1;  // below 0: none to resume the watch from
+    std::int64_t revision_ = -1;  // below 0: request the complete list before the watch
     bool hasEndpoints_ = false;
 };
 
--- a/tests/sidecar/discovery_client.cpp
+++ b/tests/sidecar/discovery_client.cpp
@@ -12,12 +12,12 @@
     const std::vector<std::string> zones = {"a", "b"};
     DiscoveryClient discovery(fixture.loop, registry.address, 5000 * kMs,
                               limits::ReconnectBackoff(DiscoveryClient::kIdleTimeout, 1), zones, pool,
-                              [&](bool whole, std::vector<EndpointUpdate> lines) {
-                                  fixture.trace << (whole ? "whole:" : "changes:");
-                                  for (const auto& line : lines)
-                                      fixture.trace << ' ' << static_cast<UpstreamHost*>(line.pod)->name
-                                                    << " zone " << line.zone << " build " << line.build
-                                                    << " state " << static_cast<int>(line.availability);
+                              [&](bool complete, std::vector<EndpointUpdate> updates) {
+                                  fixture.trace << (complete ? "complete:" : "changes:");
+                                  for (const auto& update : updates)
+                                      fixture.trace << ' ' << static_cast<UpstreamHost*>(update.pod)->name
+                                                    << " zone " << update.zone << " build " << update.build
+                                                    << " state " << static_cast<int>(update.availability);
                                   fixture.trace << '\n';
                               });
     const auto entry = [](const char* id, const char* zone, const char* phase) {
@@ -26,31 +26,31 @@
     };
     discovery.start(
         parseEndpointList(R"({"revision":41,"complete":true,"members":[)" + entry("s-1", "a", "up") + "]}"));
-    const auto opened = [&](std::size_t count) {
+    const auto acceptWatch = [&](std::size_t count) {
         fixture.runUntil([&] { return registry.requestPaths.size() == count; });
-        fixture.trace << "asked: " << registry.requestPaths.back() << '\n';
+        fixture.trace << "requested: " << registry.requestPaths.back() << '\n';
         registry.beginStream(registry.pending.back());
     };
-    opened(1);
+    acceptWatch(1);
     const auto change =
         R"({"revision":43,"complete":false,"members":[)" + entry("s-2", "b", "draining") + "]}\n";
-    for (const char letter : change) registry.sendChunk(registry.pending.back(), {&letter, 1});
+    for (const char character : change) registry.sendChunk(registry.pending.back(), {&character, 1});
     fixture.runUntil([&] { return fixture.trace.str().find("s-2") != std::string::npos; });
     registry.closeAll();
-    opened(2);
+    acceptWatch(2);
     registry.sendChunk(registry.pending.back(), "\n{\"revision\":44,\"members\":\"all\"}\n");
     fixture.runUntil([&] { return registry.requestPaths.size() == 3; });
-    fixture.trace << "asked: " << registry.requestPaths.back() << '\n';
+    fixture.trace << "requested: " << registry.requestPaths.back() << '\n';
     registry.respond(registry.pending.back(), 200,
                      R"({"revision":50,"complete":true,"members":[)" + entry("s-2", "b", "up") + "]}");
-    opened(4);
-    // The body of an error response is no line, and its Retry-After is kept.
+    acceptWatch(4);
+    // The body of an error response is not parsed as a line, and its Retry-After delays the next request.
     registry.closeAll();
     fixture.runUntil([&] { return registry.requestPaths.size() == 5; });
-    const auto refused = fixture.loop.now();
+    const auto rejectedAt = fixture.loop.now();
     registry.respond(registry.pending.back(), 429, "{\"error\":\"BUSY\"}\n", {{"Retry-After", "0.3"}});
-    opened(6);
-    CHECK(fixture.loop.now() - refused >= 300 * kMs);
+    acceptWatch(6);
+    CHECK(fixture.loop.now() - rejectedAt >= 300 * kMs);
     matchesTrace("endpoint-list", fixture.trace.str());
     CHECK(pool.host("s-1").id == podId("s-1"));
 }
