--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -16,19 +16,19 @@
     return parseConfig(text.str());
 }
 
-Address addressOf(const char* field, const std::string& text) {
+Address parseAddressField(const char* field, const std::string& text) {
     try {
         return parseAddress(text);
-    } catch (const std::invalid_argument& failure) {
-        throw std::invalid_argument(std::string("configuration: field ") + field + ": " + failure.what());
+    } catch (const std::invalid_argument& error) {
+        throw std::invalid_argument(std::string("configuration: field ") + field + ": " + error.what());
     }
 }
 
-void require(bool present, const char* name) {
+void requireSetting(bool present, const char* name) {
     if (!present) throw SettingError(std::string("missing setting ") + name);
 }
 
-void overrideFrom(const char* variable, std::string& field) {
+void overrideFromEnvironment(const char* variable, std::string& field) {
     if (const auto* value = std::getenv(variable); value && *value) field = value;
 }
 
@@ -37,21 +37,21 @@
 Config configOf(const RawConfig& raw) {
     Config config;
     config.name = raw.name;
-    config.listen = addressOf("listen", raw.listen);
-    config.discovery = addressOf("discovery", raw.discovery);
-    config.platform = addressOf("deployer.address", raw.platform);
-    if (!raw.peerListen.empty()) config.peerListen = addressOf("peer_listen", raw.peerListen);
-    if (!raw.peersAll.empty()) config.peerBroadcast = addressOf("peers_all", raw.peersAll);
-    for (const auto& peer : raw.peers) config.peers.push_back(addressOf("peers", peer));
+    config.listen = parseAddressField("listen", raw.listen);
+    config.discovery = parseAddressField("discovery", raw.discovery);
+    config.platform = parseAddressField("deployer.address", raw.platform);
+    if (!raw.peerListen.empty()) config.peerListen = parseAddressField("peer_listen", raw.peerListen);
+    if (!raw.peersAll.empty()) config.peerBroadcast = parseAddressField("peers_all", raw.peersAll);
+    for (const auto& peer : raw.peers) config.peers.push_back(parseAddressField("peers", peer));
     config.seed = raw.seed;
     config.sockets = raw.sockets;
     config.rollout = raw.rollout;
     config.endpoints = raw.endpoints;
     config.settings = readSettings(raw.settings);
-    require(config.settings.connectTimeout > 0, "limits.connectTimeoutMs");
-    require(config.settings.idleTimeout > 0, "limits.keepaliveMs");
-    require(config.settings.maxInFlight > 0, "limits.maxOpen");
-    require(!config.settings.groups.empty(), "classes");
+    requireSetting(config.settings.connectTimeout > 0, "limits.connectTimeoutMs");
+    requireSetting(config.settings.idleTimeout > 0, "limits.keepaliveMs");
+    requireSetting(config.settings.maxInFlight > 0, "limits.maxOpen");
+    requireSetting(!config.settings.groups.empty(), "classes");
     return config;
 }
 
@@ -61,9 +61,9 @@
     const auto* path = std::getenv("RELAY_CONFIG");
     if (!path || !*path) throw std::invalid_argument("environment: RELAY_CONFIG is missing");
     auto raw = readRawConfig(path);
-    overrideFrom("RELAY_NAME", raw.name);
-    overrideFrom("RELAY_LISTEN", raw.listen);
-    overrideFrom("RELAY_DISCOVERY", raw.discovery);
+    overrideFromEnvironment("RELAY_NAME", raw.name);
+    overrideFromEnvironment("RELAY_LISTEN", raw.listen);
+    overrideFromEnvironment("RELAY_DISCOVERY", raw.discovery);
     return configOf(raw);
 }
 
@@ -71,8 +71,8 @@
     try {
         const auto* path = std::getenv("RELAY_CONFIG");
         return readConfig(path ? path : "");
-    } catch (const std::exception& failure) {
-        log(LogEvent::start, std::string("reload failed, configuration unchanged: ") + failure.what());
+    } catch (const std::exception& error) {
+        log(LogEvent::start, std::string("reload failed, configuration unchanged: ") + error.what());
         return {};
     }
 }
--- a/src/sidecar/http_fetch.cpp
+++ b/src/sidecar/http_fetch.cpp
@@ -13,17 +13,19 @@
 
 Url parseUrl(std::string_view text) {
     constexpr std::string_view scheme = "http://";
-    constexpr std::string_view local = "localhost:";
+    constexpr std::string_view localhost = "localhost:";
     if (text.substr(0, scheme.size()) != scheme)
         throw std::invalid_argument("not an http URL: " + std::string(text.substr(0, 100)));
     text.remove_prefix(scheme.size());
     const auto slash = std::min(text.find('/'), text.size());
     std::string address(text.substr(0, slash));
-    if (address.compare(0, local.size(), local) == 0) address = "127.0.0.1:" + address.substr(local.size());
+    if (address.compare(0, localhost.size(), localhost) == 0)
+        address = "127.0.0.1:" + address.substr(localhost.size());
     Url url{parseAddress(address), slash == text.size() ? "/" : std::string(text.substr(slash))};
-    for (const char letter : url.path)
-        if (letter <= ' ' || letter == 127)
-            throw std::invalid_argument("not a URL's path: " + url.path.substr(0, 100));
+    for (const char character : url.path)
+        if (character <= ' ' || character == 127)
+            throw std::invalid_argument("URL path contains a space or a control character: " +
+                                        url.path.substr(0, 100));
     return url;
 }
 
@@ -38,18 +40,18 @@
     connection_->call(
         request, connectTimeout, timeout,
         [this](CallResponse response) {
-            const auto onDone = std::exchange(onDone_, nullptr);  // which may destroy this
+            const auto onDone = std::exchange(onDone_, nullptr);  // onDone may destroy this object
             onDone({response.result, response.statusCode, std::move(body_), tooLarge_, response.retryAfter});
         },
-        [this](std::string_view part) { onBody(part); }, ResponseParser::Framing::untilClose);
+        [this](std::string_view chunk) { onBody(chunk); }, ResponseParser::Framing::untilClose);
 }
 
-// Nothing is done with what is over the limit, not even to read it.
-void HttpFetch::onBody(std::string_view part) {
+// Beyond the limit nothing more is read: the connection is closed.
+void HttpFetch::onBody(std::string_view chunk) {
     if (tooLarge_) return;
-    tooLarge_ = body_.size() + part.size() > maxBytes_;
+    tooLarge_ = body_.size() + chunk.size() > maxBytes_;
     if (!tooLarge_) {
-        body_ += part;
+        body_ += chunk;
         return;
     }
     loop_.post([connection = std::weak_ptr<Connection>(connection_)] {
--- a/src/sidecar/http_fetch.hpp
+++ b/src/sidecar/http_fetch.hpp
@@ -1,4 +1,5 @@
-// One GET of a document by its URL, over a connection of its own: bounded in bytes and time, never retried.
+// Fetches one document by its URL with a GET request on a connection of its own, with limits of size and
+// time and without retries.
 #pragma once
 
 #include "sidecar/connection.hpp"
@@ -10,35 +11,35 @@
     std::string path;  ///< begins with '/'
 
     std::string text() const { return "http://" + address.text() + path; }
-    /// Of `name` below this path, with one '/' between them.
+    /// The URL of `name` below this path, with exactly one '/' between them.
     Url below(const std::string& name) const;
 };
 
-/// Parses "http://127.0.0.1:8001/metadata". Only http, and an IPv4 address or "localhost": names are not
-/// looked up. Throws std::invalid_argument.
+/// Parses a URL such as "http://127.0.0.1:8001/metadata". The scheme must be http and the host an IPv4
+/// address or "localhost", since there is no DNS lookup. Throws std::invalid_argument.
 Url parseUrl(std::string_view text);
 
 struct FetchResponse {
     CallResult result = CallResult::cancelled;
     int statusCode = 0;
     std::string body;
-    bool tooLarge = false;  ///< more bytes came than are allowed; the rest was not read
-    Nanos retryAfter = 0;   ///< of a 429 or 503, at most an hour; 0: none
+    bool tooLarge = false;  ///< the body exceeded the limit; the rest was not read
+    Nanos retryAfter = 0;   ///< from the Retry-After of a 429 or 503, at most one hour; 0 if there is none
 };
 
 class HttpFetch {
   public:
     using ResponseHandler = std::function<void(FetchResponse)>;
 
-    /// Starts it. `onDone` is called once, from the loop, unless this is destroyed first; it may destroy
-    /// this. `timeout` is for the whole response.
+    /// Starts the request. `onDone` is called once, from the event loop, unless this object is destroyed
+    /// first; it may destroy this object. `timeout` limits the time until the response is complete.
     HttpFetch(EventLoop& loop, const Url& url, std::size_t maxBytes, Nanos connectTimeout, Nanos timeout,
               ResponseHandler onDone);
     ~HttpFetch();
     HttpFetch(const HttpFetch&) = delete;
 
   private:
-    void onBody(std::string_view part);
+    void onBody(std::string_view chunk);
 
     EventLoop& loop_;
     std::shared_ptr<Connection> connection_;
--- a/src/sidecar/json_fields.hpp
+++ b/src/sidecar/json_fields.hpp
@@ -1,4 +1,4 @@
-// Typed access to the fields of a JSON object, for messages that come from outside.
+// Typed access to the fields of a JSON object, for untrusted input.
 #pragma once
 
 #include <cmath>
@@ -9,42 +9,43 @@
 
 using Json = nlohmann::json;
 
-constexpr double kMaxMagnitude = 1e15;  ///< of a number that stands for a time or a count
+constexpr double kMaxMagnitude = 1e15;  ///< largest magnitude of a number, which is a time or a count
 
-/// The field, unless `object` is none, or has no such field, or it is null.
+/// The field; a null pointer if `object` is not a JSON object, or the field is missing or null.
 inline const Json* find(const Json& object, const char* name) {
     if (!object.is_object()) return nullptr;
-    const auto found = object.find(name);
-    return found == object.end() || found->is_null() ? nullptr : &*found;
+    const auto field = object.find(name);
+    return field == object.end() || field->is_null() ? nullptr : &*field;
 }
 
-// Each reads one field into `value`; false, with an unspecified value, if it is missing, of another type or
-// out of range.
+// Each of these reads a field into `value`. They return false, with an unspecified value, if the field is
+// missing, has another type or is out of range.
 
 inline bool read(const Json& object, const char* name, double& value) {
-    const auto* found = find(object, name);
-    if (!found || !found->is_number()) return false;
-    value = found->get<double>();
+    const auto* field = find(object, name);
+    if (!field || !field->is_number()) return false;
+    value = field->get<double>();
     return std::isfinite(value) && std::abs(value) <= kMaxMagnitude;
 }
 
 template <typename Integer>
-bool readInteger(const Json& object, const char* name, Integer least, Integer most, Integer& value) {
+bool readInteger(const Json& object, const char* name, Integer min, Integer max, Integer& value) {
     double number = 0;
     if (!read(object, name, number) || number != std::floor(number)) return false;
-    if (number < static_cast<double>(least) || number > static_cast<double>(most)) return false;
+    if (number < static_cast<double>(min) || number > static_cast<double>(max)) return false;
     value = static_cast<Integer>(number);
     return true;
 }
 
-/// An empty text counts as missing.
+/// An empty string counts as missing.
 inline bool read(const Json& object, const char* name, std::string& value) {
-    const auto* found = find(object, name);
-    if (!found || !found->is_string()) return false;
-    value = found->get<std::string>();
+    const auto* field = find(object, name);
+    if (!field || !field->is_string()) return false;
+    value = field->get<std::string>();
     return !value.empty();
 }
 
+/// The name of an enum value in JSON.
 template <typename Value>
 struct WireName {
     const char* spelling;
@@ -56,15 +57,15 @@
                     Value& value) {
     std::string text;
     if (!read(object, name, text)) return false;
-    for (const auto& known : names) {
-        if (text != known.spelling) continue;
-        value = known.value;
+    for (const auto& candidate : names) {
+        if (text != candidate.spelling) continue;
+        value = candidate.value;
         return true;
     }
     return false;
 }
 
-/// Discarded, which no reader accepts, if `text` is no JSON.
+/// Parses JSON. If `text` is not valid JSON, returns a discarded value, in which find() finds no field.
 inline Json parseJson(std::string_view text) { return Json::parse(text.begin(), text.end(), nullptr, false); }
 
 }  // namespace lichenlanding::sidecar::json_fields
--- a/src/sidecar/log.cpp
+++ b/src/sidecar/log.cpp
@@ -15,14 +15,14 @@
                                        "failure", "metadata", "memory"};
 static_assert(std::size(kEventNames) == static_cast<std::size_t>(LogEvent::count));
 
-constexpr double kBurst = 10;  // lines at once; then one a second
+constexpr double kBurstLines = 10;  // refilled at one per second
 
 class RateLimit {
   public:
     bool take() {
         const auto now = std::chrono::steady_clock::now();
-        const std::chrono::duration<double> since = now - filledAt_;
-        tokens_ = std::min(kBurst, tokens_ + since.count());
+        const std::chrono::duration<double> elapsed = now - filledAt_;
+        tokens_ = std::min(kBurstLines, tokens_ + elapsed.count());
         filledAt_ = now;
         if (tokens_ < 1) {
             ++suppressed_;
@@ -34,7 +34,7 @@
     int takeSuppressed() { return std::exchange(suppressed_, 0); }
 
   private:
-    double tokens_ = kBurst;
+    double tokens_ = kBurstLines;
     std::chrono::steady_clock::time_point filledAt_ = std::chrono::steady_clock::now();
     int suppressed_ = 0;
 };
@@ -48,8 +48,9 @@
     if (!rateLimit.take()) return;
     const std::chrono::duration<double> unixTime = std::chrono::system_clock::now().time_since_epoch();
     const int suppressed = rateLimit.takeSuppressed();
-    const auto note = suppressed > 0 ? " (" + std::to_string(suppressed) + " more suppressed)" : "";
-    std::fprintf(stderr, "%.3f %s: %s%s\n", unixTime.count(), kEventNames[index], text.c_str(), note.c_str());
+    const auto suffix = suppressed > 0 ? " (" + std::to_string(suppressed) + " more suppressed)" : "";
+    std::fprintf(stderr, "%.3f %s: %s%s\n", unixTime.count(), kEventNames[index], text.c_str(),
+                 suffix.c_str());
 }
 
 }  // namespace lichenlanding::sidecar
--- a/src/sidecar/log.hpp
+++ b/src/sidecar/log.hpp
@@ -1,4 +1,4 @@
-// The sidecar's log: one line for each event on standard error, "UNIXTIME EVENT: TEXT".
+// The sidecar's log: one line per event on standard error, in the format "UNIXTIME EVENT: TEXT".
 // docs/operate/sidecar-log-events.md lists all lines.
 #pragma once
 
@@ -6,7 +6,8 @@
 
 namespace lichenlanding::sidecar {
 
-/// The event that a line begins with. Each has its own rate limit, so that a flood of one hides no other.
+/// The kind of a log line. Each has its own rate limit, so that many lines of one kind do not suppress
+/// others.
 enum class LogEvent {
     start,
     stop,
@@ -24,8 +25,9 @@
     count
 };
 
-/// Writes one line, unless the event's rate limit suppresses it: ten lines at once and one a second. The next
-/// line of the event says how many were suppressed. For the event loop's thread.
+/// Writes one line, unless the rate limit of its event suppresses it: a burst of ten lines, refilled at one
+/// per second. The event's next line contains the number of suppressed lines. Not thread-safe: to be called
+/// from the event loop's thread.
 void log(LogEvent event, const std::string& text);
 
 }  // namespace lichenlanding::sidecar
