--- a/src/sidecar/client_request.cpp
+++ b/src/sidecar/client_request.cpp
@@ -45,8 +45,8 @@
     if (!beginResponse(contentType, retryAfter)) return;
     auto* output = evhttp_request_get_output_buffer(request_);
     if (!body.empty()) evbuffer_add(output, body.data(), body.size());
-    evhttp_send_reply(request_, statusCode, nullptr,
-                      nullptr);  // frees the request if the client has disconnected
+    // Frees the request if the client has disconnected.
+    evhttp_send_reply(request_, statusCode, nullptr, nullptr);
 }
 
 void ClientRequest::respond(int statusCode, std::shared_ptr<const std::string> body,
--- a/src/sidecar/discovery_client.cpp
+++ b/src/sidecar/discovery_client.cpp
@@ -19,7 +19,7 @@
 
 void DiscoveryClient::start(const std::optional<EndpointList>& initialList) {
     if (initialList) apply(*initialList);
-    watch_.start(!hasEndpoints_);  // without urgency its start is spread over the fleet
+    watch_.start(!hasEndpoints_);  // with a list, its start is spread over the fleet
 }
 
 void DiscoveryClient::setAddress(const Address& address) {
