--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -86,13 +86,13 @@
           server(io, api, limits) {}
     template <typename Done>
     void until(Done done) {
-        event_loop_fixture::until(io, 200'000, done);
+        event_loop_fixture::runUntil(io, 200'000, done);
     }
     control_plane::AdminResponse ask(const std::string& target, const std::string& body,
                                      http::verb method = http::verb::post) {
         control_plane::AdminRequest request(method, target, 11);
         request.body() = body;
-        return event_loop_fixture::result(io, api.answer(request), [&](auto done) { until(done); });
+        return event_loop_fixture::runTask(io, api.answer(request), [&](auto done) { until(done); });
     }
     control_plane::AdminResponse call(const std::string& name, const std::string& body = "") {
         return ask("/api/rpc?call=" + name, body);
--- a/tests/support/event_loop_fixture.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -11,16 +11,16 @@
 using namespace lichenlanding::transport;
 
 template <typename Done>
-void until(asio::io_context& io, int turnsAtMost, Done done) {
+void runUntil(asio::io_context& io, int maxTurns, Done done) {
     for (int turns = 0; !done(); ++turns) {
         CPPUNIT_ASSERT_MESSAGE("nothing happens any more", io.run_one_for(std::chrono::seconds(8)) > 0);
-        CPPUNIT_ASSERT(turns < turnsAtMost);
+        CPPUNIT_ASSERT(turns < maxTurns);
     }
 }
 
-// What a task comes to; `until` drives the loop.
+// What a task comes to; `until` runs the loop.
 template <typename Result, typename Until>
-Result result(asio::io_context& io, Task<Result> task, Until until) {
+Result runTask(asio::io_context& io, Task<Result> task, Until until) {
     std::optional<Result> ended;
     spawn(io, "task", [](Task<Result> task_, std::optional<Result>& ended_) -> Task<> {
         ended_ = co_await std::move(task_);
--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -84,7 +84,7 @@
     }
     template <typename Done>
     void until(Done done) {
-        event_loop_fixture::until(io, 100'000, done);
+        event_loop_fixture::runUntil(io, 100'000, done);
     }
     void settle() {
         while (io.poll() > 0) {
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -209,7 +209,7 @@
             at, [](const std::string& held) { return held; }, kSecond);
     }
     std::string change(int at, const consensus::Change& change, Nanos within) {
-        const auto result = event_loop_fixture::result(
+        const auto result = event_loop_fixture::runTask(
             io, replica(at).update(control_plane::kConfigurationKey, change, within),
             [&](auto done) { until("a change ends", done); });
         return result.value_or("-");
