--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -28,7 +28,7 @@
 Config withTrust(Config config, const std::optional<TrustConfig>& trust) {
     if (!trust) return config;
     config.settings.attestationRequired = true;
-    if (trust->serve) config.sockets -= static_cast<int>(trust->serveConnections);
+    if (trust->serveAddress) config.sockets -= static_cast<int>(trust->maxServeConnections);
     if (config.sockets < 2 * kReservedDescriptors)
         throw std::invalid_argument("serve.connections: too many for limits.sockets");
     return config;
--- a/src/sidecar/trust_config.cpp
+++ b/src/sidecar/trust_config.cpp
@@ -111,7 +111,7 @@
 }
 
 void readIntervals(ObjectReader& fields, TrustConfig& config) {
-    auto& rhythm = config.rhythm;
+    auto& rhythm = config.refreshIntervals;
     rhythm.regular =
         fields.integer("refreshMs", 100, 86'400'000, rhythm.regular / kMillisecond) * kMillisecond;
     rhythm.minBackoff = std::min(rhythm.minBackoff, rhythm.regular);
@@ -124,12 +124,12 @@
 void readServe(const Json& json, const std::string& path, TrustConfig& config) {
     ObjectReader fields(json, path + ": serve.");
     try {
-        config.serve = parseAddress(fields.text("listen", true));
+        config.serveAddress = parseAddress(fields.text("listen", true));
     } catch (const std::invalid_argument& failure) {
         fields.fail("listen", failure.what());
     }
-    config.serveConnections = static_cast<std::size_t>(fields.integer("connections", 1, 4096, 64));
-    config.serveBytes = static_cast<std::size_t>(fields.integer("megabytes", 1, 4096, 32)) << 20;
+    config.maxServeConnections = static_cast<std::size_t>(fields.integer("connections", 1, 4096, 64));
+    config.serveCacheBytes = static_cast<std::size_t>(fields.integer("megabytes", 1, 4096, 32)) << 20;
     fields.end();
 }
 
@@ -146,18 +146,18 @@
     const auto json = parseJson(path);
     TrustConfig config;
     ObjectReader fields(json, path + ": ");
-    config.root = fields.text("root", true);
+    config.rootFile = fields.text("root", true);
     config.directory = fields.text("folder", false);
     config.metadata = fields.mirrors("metadata", true);
     config.targets = fields.mirrors("targets", false);
-    config.builds = fields.text("builds", true);
+    config.buildPathPattern = fields.text("builds", true);
     try {
-        metadata::AttestedBuilds{config.builds};
+        metadata::AttestedBuilds{config.buildPathPattern};
     } catch (const std::invalid_argument& failure) {
         fields.fail("builds", failure.what());
     }
     readIntervals(fields, config);
-    config.thread = fields.boolean("thread", config.thread);
+    config.verifyOnWorker = fields.boolean("thread", config.verifyOnWorker);
     if (const auto* serve = fields.find("serve")) readServe(*serve, path, config);
     if (const auto* director = fields.find("director")) config.director = readDirector(*director, path);
     fields.end();
--- a/src/sidecar/trust_config.hpp
+++ b/src/sidecar/trust_config.hpp
@@ -18,20 +18,20 @@
 
 struct TrustConfig {
     struct Director {
-        std::string root;
+        std::string rootFile;
         std::vector<MirrorUrl> metadata;
     };
 
-    std::string root;       ///< file of the shipped root
+    std::string rootFile;   ///< file of the shipped root
     std::string directory;  ///< of the store; empty: no disk lasts
     std::vector<MirrorUrl> metadata, targets;
-    std::string builds;  ///< "releases/{build}"
-    metadata::RefreshSchedule::Intervals rhythm;
+    std::string buildPathPattern;  ///< "releases/{build}"
+    metadata::RefreshSchedule::Intervals refreshIntervals;
     metadata::Sizes sizes = metadata::Sizes::small();  ///< limits of documents
-    bool thread = true;                                ///< verify on a WorkerThread
+    bool verifyOnWorker = true;                        ///< verify on a WorkerThread
     metadata::FetchTimeouts timeouts;
-    std::optional<Address> serve;  ///< as a mirror for others
-    std::size_t serveConnections = 64, serveBytes = 32U << 20;
+    std::optional<Address> serveAddress;  ///< as a mirror for others
+    std::size_t maxServeConnections = 64, serveCacheBytes = 32U << 20;
     std::optional<Director> director;
 };
 
--- a/src/sidecar/trust_manager.cpp
+++ b/src/sidecar/trust_manager.cpp
@@ -70,29 +70,29 @@
     : loop_(loop),
       onAttestation_(std::move(onAttestation)),
       wallOffset_(wallClock() - loop.now()),
-      builds_(config.builds),
-      rhythm_(config.rhythm, seed),
+      builds_(config.buildPathPattern),
+      refreshSchedule_(config.refreshIntervals, seed),
       seed_(seed),
       images_(repositoryOf(config.metadata, seed)),
       targetBases_(urlsOf(config.targets)),
       targetMirrors_(mirrorsOf(config.targets, seed + 1)),
-      maxTargetBytes_(config.serveBytes / 4),
+      maxTargetBytes_(config.serveCacheBytes / 4),
       sizes_(config.sizes),
       timeouts_(config.timeouts),
       refreshTimer_(loop, [this] { refresh(); }),
       expiryTimer_(loop, [this] { expire(); }) {
-    if (config.thread) worker_.emplace(loop);
-    open(images_, config.root, config.directory);
+    if (config.verifyOnWorker) worker_.emplace(loop);
+    open(images_, config.rootFile, config.directory);
     restoreClock();
     if (config.director) {
         director_ = repositoryOf(config.director->metadata, seed + 2);
         const auto directory = config.directory.empty() ? "" : config.directory + "/director";
-        open(*director_, config.director->root, directory);
+        open(*director_, config.director->rootFile, directory);
     }
     if (const auto stored = images_.store->read(kBuildsFile)) builds_.restore(*stored);
-    if (config.serve) {
-        const MirrorServer::Limits limits{config.serveConnections, config.serveBytes};
-        mirror_ = std::make_unique<MirrorServer>(loop, *config.serve, limits);
+    if (config.serveAddress) {
+        const MirrorServer::Limits limits{config.maxServeConnections, config.serveCacheBytes};
+        mirror_ = std::make_unique<MirrorServer>(loop, *config.serveAddress, limits);
     }
 }
 
@@ -159,7 +159,7 @@
 void TrustManager::applyPendingConfig() {
     if (!pendingConfig_ || refresh_ || download_ || stopped_) return;
     const auto config = *std::exchange(pendingConfig_, std::nullopt);
-    rhythm_ = RefreshSchedule(config.rhythm, seed_ + 3);
+    refreshSchedule_ = RefreshSchedule(config.refreshIntervals, seed_ + 3);
     images_.mirrors = mirrorsOf(config.metadata, seed_);
     images_.bases = urlsOf(config.metadata);
     targetMirrors_ = mirrorsOf(config.targets, seed_ + 1);
@@ -260,7 +260,8 @@
     }
     if (stopped_) return;
     const auto validFor = std::max<Nanos>(0, (expires_ - clock()) * kSecond);
-    const auto wait = refusal ? rhythm_.afterFailure(validFor) : rhythm_.afterSuccess(validFor);
+    const auto wait =
+        refusal ? refreshSchedule_.afterFailure(validFor) : refreshSchedule_.afterSuccess(validFor);
     refreshTimer_.start(refreshSoon_ && !refusal ? 0 : wait);
     applyPendingConfig();
 }
--- a/src/sidecar/trust_manager.hpp
+++ b/src/sidecar/trust_manager.hpp
@@ -77,7 +77,7 @@
     Nanos wallOffset_;  // from the monotonic to the wall clock
     metadata::UnixSeconds clockStoredAt_ = 0;
     metadata::AttestedBuilds builds_;
-    metadata::RefreshSchedule rhythm_;
+    metadata::RefreshSchedule refreshSchedule_;
     std::uint32_t seed_;
     Repository images_;
     std::optional<Repository> director_;
--- a/tests/metadata/rhythm.cpp
+++ b/tests/metadata/rhythm.cpp
@@ -91,9 +91,9 @@
         std::ofstream(path) << text;
         try {
             const auto read = sidecar::readTrustConfig(path);
-            trace << "accepted: " << read.metadata.size() << " mirrors, every " << read.rhythm.regular / kMs
-                  << " ms, draining " << read.metadata.back().draining << ", documents to "
-                  << read.sizes.targets << '\n';
+            trace << "accepted: " << read.metadata.size() << " mirrors, every "
+                  << read.refreshIntervals.regular / kMs << " ms, draining " << read.metadata.back().draining
+                  << ", documents to " << read.sizes.targets << '\n';
         } catch (const std::invalid_argument& wrong) {
             std::string said = wrong.what();
             trace << (said.compare(0, path.size(), path) == 0 ? "FILE" + said.substr(path.size()) : said)
--- a/tests/sidecar/metadata_mirrors.cpp
+++ b/tests/sidecar/metadata_mirrors.cpp
@@ -156,9 +156,9 @@
 
 TEST_CASE("a sidecar serves complete sets that it has verified, within limits, beside requests") {
     TrustFixture fixture;
-    fixture.trust->serve = sidecar::Address{"127.0.0.1", 0};
-    fixture.trust->serveConnections = 8;
-    fixture.trust->serveBytes = 100'000;
+    fixture.trust->serveAddress = sidecar::Address{"127.0.0.1", 0};
+    fixture.trust->maxServeConnections = 8;
+    fixture.trust->serveCacheBytes = 100'000;
     for (int build = 6; build < 12; ++build)
         fixture.repository.target("targets", "releases/" + std::to_string(build),
                                   std::string(20'000, static_cast<char>('a' + build)));
--- a/tests/support/trust_fixture.hpp
+++ b/tests/support/trust_fixture.hpp
@@ -37,9 +37,9 @@
         std::ofstream(folder + ".root") << repository.firstRoot();
         scripts.resize(static_cast<std::size_t>(count));
         trust.emplace();
-        trust->root = folder + ".root";
-        trust->builds = "releases/{build}";
-        trust->rhythm = {100 * kMs, 50 * kMs, 200 * kMs};
+        trust->rootFile = folder + ".root";
+        trust->buildPathPattern = "releases/{build}";
+        trust->refreshIntervals = {100 * kMs, 50 * kMs, 200 * kMs};
         for (int one = 0; one < count; ++one) {
             mirrors.push_back(std::make_unique<HttpStandIn>(loop, [this, one](auto& at, auto* call) {
                 const std::string uri = evhttp_request_get_uri(call);
