--- a/src/sidecar/messages.cpp
+++ b/src/sidecar/messages.cpp
@@ -19,7 +19,7 @@
 using json_fields::readWord;
 using json_fields::Word;
 
-constexpr double kMaxWait = 3600e9;  // nanoseconds that a client may wait, or be told to: an hour
+constexpr double kMaxDuration = 3600e9;  // one hour in ns: the limit for budgets and Retry-After
 
 bool readAge(const Json& object, Nanos& age) {
     double ms = 0;
@@ -32,11 +32,11 @@
     static constexpr Word<Availability> kPhases[] = {
         {"up", Availability::up}, {"draining", Availability::draining}, {"removed", Availability::removed}};
     EndpointEntry entry;
-    const bool complete = read(json, "id", entry.name) && read(json, "host_port", entry.address) &&
-                          read(json, "locality", entry.zone) &&
-                          readWord(json, "phase", kPhases, entry.availability) &&
-                          readInteger(json, "image_id", 0, 65535, entry.build);
-    if (!complete) return {};
+    const bool valid = read(json, "id", entry.name) && read(json, "host_port", entry.address) &&
+                       read(json, "locality", entry.zone) &&
+                       readWord(json, "phase", kPhases, entry.availability) &&
+                       readInteger(json, "image_id", 0, 65535, entry.build);
+    if (!valid) return {};
     if (json_fields::find(json, "cell") && !readInteger(json, "cell", -1, 1 << 30, entry.cell)) return {};
     if (json_fields::find(json, "up_since_ms") &&
         !readInteger<std::int64_t>(json, "up_since_ms", 0, 1LL << 45, entry.startedMs))
@@ -66,43 +66,45 @@
                                                      {"live", RolloutState::released},
                                                      {"recalled", RolloutState::rolledBack}};
     RolloutUpdate update;
-    const bool complete = readInteger(json, "image", 0, 65535, update.build) &&
-                          readInteger(json, "ring", 0, 1 << 20, update.stage) &&
-                          readWord(json, "progress", kStates, update.state) &&
-                          read(json, "ceiling", update.cap) && update.cap >= 0 && update.cap <= 1 &&
-                          readAge(json, update.age);
-    if (!complete) return {};
+    const bool valid = readInteger(json, "image", 0, 65535, update.build) &&
+                       readInteger(json, "ring", 0, 1 << 20, update.stage) &&
+                       readWord(json, "progress", kStates, update.state) &&
+                       read(json, "ceiling", update.cap) && update.cap >= 0 && update.cap <= 1 &&
+                       readAge(json, update.age);
+    if (!valid) return {};
     return update;
 }
 
-// To the paths of NamedValues (settings.hpp).
+// Flattens nested JSON into the dotted paths of NamedValues (settings.hpp).
 void flatten(const Json& json, const std::string& path, NamedValues& values) {
-    const auto below = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
-    const auto plain = [](const Json& value) {
+    const auto childPath = [&](const std::string& name) { return path.empty() ? name : path + "." + name; };
+    const auto scalarText = [](const Json& value) {
         auto text = value.is_string() ? value.get<std::string>() : value.dump();
-        for (auto& letter : text)
-            if (letter == ' ' || letter == ',') letter = '_';
+        for (auto& character : text)
+            if (character == ' ' || character == ',') character = '_';
         return text;
     };
     if (json.is_object()) {
-        for (const auto& [name, value] : json.items()) flatten(value, below(name), values);
+        for (const auto& [name, value] : json.items()) flatten(value, childPath(name), values);
     } else if (json.is_array() && !json.empty() && json.front().is_object()) {
-        values[below("count")] = std::to_string(json.size());
-        for (std::size_t at = 0; at < json.size(); ++at) flatten(json[at], below(std::to_string(at)), values);
+        values[childPath("count")] = std::to_string(json.size());
+        for (std::size_t index = 0; index < json.size(); ++index)
+            flatten(json[index], childPath(std::to_string(index)), values);
     } else if (json.is_array()) {
         auto& list = values[path];
-        for (const auto& value : json) list += (list.empty() ? "" : ",") + plain(value);
+        for (const auto& value : json) list += (list.empty() ? "" : ",") + scalarText(value);
     } else if (!json.is_null()) {
-        values[path] = plain(json);
+        values[path] = scalarText(json);
     }
 }
 
-void require(bool read, const char* name) {
-    if (!read)
+void require(bool valid, const char* name) {
+    if (!valid)
         throw std::invalid_argument(std::string("configuration: field ") + name +
                                     " is missing or cannot be read");
 }
 
+// The seed is written in hexadecimal.
 bool readSeed(const Json& json, std::uint64_t& seed) {
     std::string text;
     if (!read(json, "seed", text)) return false;
@@ -142,7 +144,7 @@
     const double unit = text.back() == 'm' ? 1e6 : text.back() == 'u' ? 1e3 : 0;
     double number = 0;
     if (unit == 0 || !parse(text.substr(0, text.size() - 1), number)) return {};
-    if (!(number > 0) || !(number * unit <= kMaxWait)) return {};
+    if (!(number > 0) || !(number * unit <= kMaxDuration)) return {};
     return std::llround(number * unit);
 }
 
@@ -150,7 +152,7 @@
 
 Nanos parseRetryAfter(std::string_view seconds) {
     double number = 0;
-    if (!parse(seconds, number) || !(number > 0) || !(number * 1e9 <= kMaxWait)) return 0;
+    if (!parse(seconds, number) || !(number > 0) || !(number * 1e9 <= kMaxDuration)) return 0;
     return std::llround(number * 1e9);
 }
 
@@ -202,8 +204,8 @@
 }
 
 std::string formatVote(Verdict verdict, int build, int stage) {
-    static constexpr const char* kWords[] = {"WITHDRAW", "PROCEED", "HOLD", "ROLLBACK"};
-    const Json vote = {{"image", build}, {"ring", stage}, {"opinion", kWords[static_cast<int>(verdict)]}};
+    static constexpr const char* kOpinions[] = {"WITHDRAW", "PROCEED", "HOLD", "ROLLBACK"};
+    const Json vote = {{"image", build}, {"ring", stage}, {"opinion", kOpinions[static_cast<int>(verdict)]}};
     return vote.dump();
 }
 
--- a/src/sidecar/messages.hpp
+++ b/src/sidecar/messages.hpp
@@ -1,6 +1,6 @@
-// The formats of the sockets: JSON and header values are parsed into small typed values here, and formatted.
-// Nothing else in the sidecar knows these words. A message that cannot be parsed is nothing, never half of
-// one.
+// Wire formats: JSON messages and HTTP header values are parsed into small typed values here, and formatted.
+// No other part of the sidecar depends on the names on the wire. A message that is malformed in any field is
+// rejected as a whole.
 #pragma once
 
 #include <cstdint>
@@ -35,33 +35,34 @@
 constexpr const char* kRolloutWatch = "/v1/watch";
 }  // namespace paths
 
-constexpr std::size_t kMaxBodyBytes = 64 * 1024;  ///< of requests and pods' responses
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;  ///< limit for requests and for pods' responses
 
-/// Whether a second occurrence of a header would contradict the first.
+/// Whether a request may contain the header only once, since two values could conflict.
 bool mustBeUnique(std::string_view header);
 
-/// "480m" (milliseconds) or "250000u" (microseconds); nothing if it is neither, not above 0, or over an hour.
+/// Parses a duration: "480m" (milliseconds) or "250000u" (microseconds). nullopt if the unit is missing or
+/// the value is not above 0 or exceeds one hour.
 std::optional<Nanos> parseBudget(std::string_view text);
 std::string formatBudget(Nanos span);
 
-/// Whole or decimal seconds up to an hour; 0 if it cannot be parsed.
+/// Parses whole or decimal seconds, at most one hour; 0 if malformed.
 Nanos parseRetryAfter(std::string_view seconds);
 
-/// Microseconds; 0 if it cannot be parsed.
+/// Parses a number of microseconds; 0 if malformed.
 Nanos parseCost(std::string_view micros);
 
-/// The requests in flight of a pod's load report ("inflight=3,..."); below 0 if it does not say.
+/// Parses the number of requests in flight from a pod's load report ("inflight=3,..."); negative if missing.
 double parseInFlight(std::string_view report);
 
-/// One pod of the endpoint list.
+/// One pod in the endpoint list.
 struct EndpointEntry {
     std::string name, address, zone;
     int build = 0, cell = -1;
     Availability availability = Availability::up;
-    std::int64_t startedMs = 0;  ///< Unix time in milliseconds; 0: not known
+    std::int64_t startedMs = 0;  ///< Unix time in milliseconds; 0: unknown
 };
 
-/// The endpoint list, or changes of it.
+/// The whole endpoint list (`complete`), or changes to it.
 struct EndpointList {
     std::int64_t revision = 0;
     bool complete = false;
@@ -73,16 +74,16 @@
     int build = 0, stage = 0;
     RolloutState state = RolloutState::testing;
     double cap = 0;  ///< share of requests, from 0 to 1
-    Nanos age = 0;
+    Nanos age = 0;   ///< time since the rollout changed to this state
 };
 
-/// A pod's response of `age` ago was found to be wrong.
+/// A report that a pod's response, given `age` ago, was wrong.
 struct Dispute {
     std::string pod, group;
     Nanos age = 0;
 };
 
-/// The platform's watch is alive; also stands for messages of unknown types, which are skipped.
+/// Shows that the platform's watch is alive; also stands for messages of unknown types, which are ignored.
 struct Heartbeat {};
 
 using PlatformMessage = std::variant<Heartbeat, RolloutUpdate, Dispute>;
@@ -92,7 +93,7 @@
 std::optional<PlatformMessage> parsePlatformLine(std::string_view json);
 std::string formatVote(Verdict verdict, int build, int stage);
 
-/// The configuration file of a sidecar, with its texts as they are.
+/// The configuration file of a sidecar, with addresses and settings not parsed yet.
 struct RawConfig {
     std::string name, listen, discovery, peerListen, peersAll, platform;
     std::vector<std::string> peers;
@@ -103,7 +104,7 @@
     std::optional<EndpointList> endpoints;
 };
 
-/// Throws std::invalid_argument naming the field that is missing or cannot be read.
+/// Throws std::invalid_argument that names the missing or malformed field.
 RawConfig parseConfig(std::string_view json);
 
 }  // namespace lichenlanding::sidecar
