--- a/src/sidecar/metadata_refresh.cpp
+++ b/src/sidecar/metadata_refresh.cpp
@@ -4,7 +4,7 @@
 
 using namespace metadata;
 
-// Waits until the document that the update wants next is accepted, missing or refused.
+// Suspends until the document that the update requests next is accepted, missing or refused.
 struct MetadataRefresh::DocumentAwaiter {
     MetadataRefresh& refresh;
     MirrorFetch::Result result = MirrorFetch::Result::refused;
@@ -14,30 +14,30 @@
     DocumentAwaiter(const DocumentAwaiter&) = delete;
 
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> waiting) {
-        const auto& wanted = refresh.update_.next();
+    void await_suspend(std::coroutine_handle<> coroutine) {
+        const auto& request = refresh.update_.next();
         refresh.fetch_.start(
-            {wanted.path, wanted.maxBytes, wanted.role == "root"},
+            {request.path, request.maxBytes, request.role == "root"},
             [this](std::string bytes, MirrorFetch::OnVerified onVerified) {
                 verify(std::move(bytes), std::move(onVerified));
             },
-            [this, waiting](MirrorFetch::Result fetched, const Refusal& why) {
-                result = fetched;
-                failure = why;
-                waiting.resume();
+            [this, coroutine](MirrorFetch::Result fetchResult, const Refusal& reason) {
+                result = fetchResult;
+                failure = reason;
+                coroutine.resume();
             });
     }
     void await_resume() const {}
 
   private:
     void verify(std::string bytes, MirrorFetch::OnVerified onVerified) {
-        auto& of = refresh;
-        if (!of.worker_) {
-            of.verify(bytes);
-            return onVerified(of.refusal());
+        auto& owner = refresh;
+        if (!owner.worker_) {
+            owner.verify(bytes);
+            return onVerified(owner.refusal());
         }
-        of.worker_->run([&of, held = std::move(bytes)] { of.verify(held); },
-                        [&of, onVerified] { onVerified(of.refusal()); });
+        owner.worker_->run([&owner, content = std::move(bytes)] { owner.verify(content); },
+                           [&owner, onVerified] { onVerified(owner.refusal()); });
     }
 };
 
@@ -54,14 +54,15 @@
 
 void MetadataRefresh::start() { task_ = run(); }
 
-// Before the next document is requested: what is trusted in memory is never ahead of what a restart finds.
+// Called before the next document is requested, so that the trust in memory is never newer than what a
+// restart finds in the store.
 void MetadataRefresh::store() {
     for (const auto& step : update_.takeTransactions())
         if (auto refusal = store_.commit(step)) return update_.abort(*refusal);
 }
 
 void MetadataRefresh::verify(const std::string& bytes) {
-    update_.retry();  // after another mirror's bytes were refused
+    update_.retry();  // in case another mirror's bytes were refused before
     update_.receive(bytes);
     if (!refusal()) store();
 }
@@ -75,7 +76,7 @@
             update_.retry();
             update_.fail(awaiter.failure);
         }
-        store();  // also of what ended without bytes: the end of the root chain
+        store();  // also after a missing document, which ends the root chain
     }
     loop_.post([this, alive = std::weak_ptr<char>(lifetime_), onDone = std::exchange(onDone_, nullptr)] {
         if (!alive.expired()) onDone(*this);
--- a/src/sidecar/metadata_refresh.hpp
+++ b/src/sidecar/metadata_refresh.hpp
@@ -1,4 +1,4 @@
-// Fetching for metadata::Update, and for the targets that it finds.
+// Fetches the documents that a metadata::Update requests, and the targets that it finds.
 #pragma once
 
 #include "sidecar/mirror_fetch.hpp"
@@ -7,21 +7,21 @@
 
 namespace lichenlanding::sidecar {
 
-/// One update of the trusted metadata: fetches, verifies and stores document after document.
+/// One update of the trusted metadata: fetches, verifies and stores one document after another.
 class MetadataRefresh {
   public:
     using ResultHandler = std::function<void(MetadataRefresh&)>;
 
-    /// All references must outlive it, and it the jobs of `worker`, on which documents are verified and
-    /// stored; without one that happens on the loop. `onDone` is called once, from the loop, unless this is
-    /// destroyed first; it may destroy this.
+    /// All references must outlive this object, and this object must outlive its jobs on `worker`, where
+    /// documents are verified and stored. If `worker` is null, that is done on the loop. `onDone` is called
+    /// once, from the loop, unless this object is destroyed first; it may destroy this object.
     MetadataRefresh(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
                     TrustStore& store, metadata::Update update, const metadata::FetchTimeouts& timeouts,
                     FetchCounts& counts, WorkerThread* worker, ResultHandler onDone);
 
     void start();
     metadata::Update& update() { return update_; }
-    /// Why the update was refused; nothing if it was not.
+    /// The reason why the update was refused; nullopt if it was not.
     metadata::Check refusal() const;
 
   private:
@@ -37,20 +37,20 @@
     metadata::Update update_;
     MirrorFetch fetch_;
     ResultHandler onDone_;
-    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with it, for posted calls
+    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // lets posted callbacks detect destruction
     Task task_;
 };
 
-/// The bytes of a listed target, verified by length and hash, from the mirrors' target URLs.
+/// Downloads a listed target from the mirrors' target URLs and verifies its length and hash.
 class TargetDownload {
   public:
     using ResultHandler = std::function<void(metadata::Result<std::string>)>;
 
-    /// All references must outlive it.
+    /// All references must outlive this object.
     TargetDownload(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
                    const metadata::FetchTimeouts& timeouts, FetchCounts& counts);
-    /// `onDone` is called once: from within this call if the target is larger than `maxBytes`, else from the
-    /// loop, unless this is destroyed first.
+    /// Calls `onDone` once: within this call if the target is larger than `maxBytes`, else from the loop,
+    /// unless this object is destroyed first.
     void start(const metadata::Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone);
 
   private:
--- a/src/sidecar/mirror_fetch.cpp
+++ b/src/sidecar/mirror_fetch.cpp
@@ -8,20 +8,20 @@
 using metadata::Reason;
 using metadata::Refusal;
 
-// The failure to report for a document: the last one, but the first that is about a mirror's bytes stays,
-// since it says more than that a mirror did not respond.
+// Selects the failure to report for a document: the first one about a mirror's bytes, else the last one. A
+// bad document is more informative than a mirror that did not respond.
 class FailureRecord {
   public:
-    void add(Refusal failure, bool ofBytes) {
-        if (ofBytes_) return;
+    void add(Refusal failure, bool aboutBytes) {
+        if (aboutBytes_) return;
         failure_ = std::move(failure);
-        ofBytes_ = ofBytes;
+        aboutBytes_ = aboutBytes;
     }
     const Refusal& failure() const { return failure_; }
 
   private:
-    Refusal failure_{Reason::unavailable, {}, 0, "no mirror may be asked: all drain or rest"};
-    bool ofBytes_ = false;
+    Refusal failure_{Reason::unavailable, {}, 0, "no mirror available: all are draining or backing off"};
+    bool aboutBytes_ = false;
 };
 
 Refusal unavailable(std::string text) { return {Reason::unavailable, {}, 0, std::move(text)}; }
@@ -46,12 +46,12 @@
     FetchResponse response;
 
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> waiting) {
+    void await_suspend(std::coroutine_handle<> coroutine) {
         fetch.fetch_ =
             std::make_unique<HttpFetch>(fetch.loop_, url, fetch.document_.maxBytes, fetch.timeouts_.connect,
-                                        fetch.timeouts_.response, [this, waiting](FetchResponse received) {
+                                        fetch.timeouts_.response, [this, coroutine](FetchResponse received) {
                                             response = std::move(received);
-                                            waiting.resume();
+                                            coroutine.resume();
                                         });
     }
     FetchResponse await_resume() {
@@ -70,13 +70,13 @@
     bool verified = false, suspended = false;
 
     bool await_ready() const { return false; }
-    bool await_suspend(std::coroutine_handle<> waiting) {
-        fetch.verifier_(std::move(bytes), [this, waiting](metadata::Check result) {
+    bool await_suspend(std::coroutine_handle<> coroutine) {
+        fetch.verifier_(std::move(bytes), [this, coroutine](metadata::Check result) {
             failure = std::move(result);
             verified = true;
-            if (suspended) waiting.resume();
+            if (suspended) coroutine.resume();
         });
-        suspended = !verified;  // if verified within the call it goes on without suspending
+        suspended = !verified;  // continues at once if verified within the call
         return suspended;
     }
     metadata::Check await_resume() { return std::move(failure); }
@@ -121,11 +121,11 @@
             }
         } else if (response.statusCode == 404 || response.statusCode == 403) {
             record.add(unavailable(name + " has no " + metadata::escaped(document_.name, 100)), false);
-            if (document_.oneMissingSuffices) {
+            if (document_.firstNotFoundIsFinal) {
                 mirrors_.recordSuccess(*mirror);
                 result = Result::missing;
             }
-            continue;  // a mirror that lags behind has not failed
+            continue;  // a mirror that lags behind is not counted as failed
         } else {
             record.add(noResponse(name, response), false);
         }
@@ -135,7 +135,7 @@
     finish(result, record.failure());
 }
 
-// On a turn of its own, since the handler may destroy this.
+// Posted to the loop, since the handler may destroy this object.
 void MirrorFetch::finish(Result result, const Refusal& failure) {
     ++counts_.completed;
     const auto onDone = std::exchange(onDone_, nullptr);
--- a/src/sidecar/mirror_fetch.hpp
+++ b/src/sidecar/mirror_fetch.hpp
@@ -1,5 +1,5 @@
-// One document from any of several mirrors: requested from one at a time, from each once, until one gives
-// what is accepted.
+// Fetches one document from several mirrors: from one at a time, and from each at most once, until a response
+// is accepted.
 #pragma once
 
 #include "metadata/mirror_selection.hpp"
@@ -9,7 +9,7 @@
 
 namespace lichenlanding::sidecar {
 
-/// Counts of a client of mirrors, for logs and tests: every document requested is completed once.
+/// Counters of a client of mirrors, for logs and tests. Every requested document is completed once.
 struct FetchCounts {
     std::size_t requested = 0, completed = 0, attempts = 0, retries = 0;
 };
@@ -19,19 +19,19 @@
     struct Document {
         std::string name;
         std::size_t maxBytes = 0;
-        bool oneMissingSuffices = false;  ///< one mirror's 404 settles it: the end of the root chain
+        bool firstNotFoundIsFinal = false;  ///< one 404 is conclusive: the end of the root chain
     };
     enum class Result { accepted, missing, refused };
-    /// Verifies the bytes of a response, which are its own, and calls `onVerified` once, now or later.
+    /// Takes the body of a response, verifies it and calls `onVerified` once, during the call or later.
     using OnVerified = std::function<void(metadata::Check)>;
     using Verifier = std::function<void(std::string bytes, OnVerified onVerified)>;
-    /// The error explains a `refused`.
+    /// The refusal is meaningful only with Result::refused.
     using ResultHandler = std::function<void(Result, const metadata::Refusal&)>;
 
-    /// All references must outlive it. `bases` are the mirrors' URLs, by their index in `mirrors`.
+    /// All references must outlive this object. `bases` are the mirrors' URLs, by their index in `mirrors`.
     MirrorFetch(EventLoop& loop, metadata::Mirrors& mirrors, const std::vector<Url>& bases,
                 metadata::RetryBudget& budget, const metadata::FetchTimeouts& timeouts, FetchCounts& counts);
-    /// `onDone` is called once, from the loop, unless this is destroyed first; it may destroy this.
+    /// Calls `onDone` once, from the loop, unless this object is destroyed first; it may destroy this object.
     void start(Document document, Verifier verifier, ResultHandler onDone);
 
   private:
@@ -50,7 +50,7 @@
     Verifier verifier_;
     ResultHandler onDone_;
     std::unique_ptr<HttpFetch> fetch_;
-    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // expires with it, for posted calls
+    std::shared_ptr<char> lifetime_ = std::make_shared<char>();  // lets posted callbacks detect destruction
     Task task_;
 };
 
--- a/src/sidecar/mirror_server.cpp
+++ b/src/sidecar/mirror_server.cpp
@@ -52,11 +52,11 @@
 }
 
 void MirrorServer::evictTargets(std::size_t bytesNeeded) {
-    while (!targetUses_.empty() && cachedBytes() + bytesNeeded > limits_.cachedBytes) {
-        const auto oldest = targets_.find(targetUses_.front());
+    while (!targetLru_.empty() && cachedBytes() + bytesNeeded > limits_.cachedBytes) {
+        const auto oldest = targets_.find(targetLru_.front());
         targetBytes_ -= oldest->second.bytes->size();
         targets_.erase(oldest);
-        targetUses_.pop_front();
+        targetLru_.pop_front();
     }
 }
 
@@ -65,9 +65,9 @@
     evictTargets(bytes.size());
     if (cachedBytes() + bytes.size() > limits_.cachedBytes) return;
     targetBytes_ += bytes.size();
-    targetUses_.push_back(name);
+    targetLru_.push_back(name);
     const auto shared = std::make_shared<const std::string>(std::move(bytes));
-    targets_.emplace(name, CachedTarget{shared, std::prev(targetUses_.end())});
+    targets_.emplace(name, CachedTarget{shared, std::prev(targetLru_.end())});
 }
 
 MirrorServer::Bytes MirrorServer::find(const std::string& path) {
@@ -81,7 +81,7 @@
     if (path.compare(0, targets.size(), targets) == 0) {
         const auto found = targets_.find(path.substr(targets.size()));
         if (found == targets_.end()) return nullptr;
-        targetUses_.splice(targetUses_.end(), targetUses_, found->second.use);
+        targetLru_.splice(targetLru_.end(), targetLru_, found->second.lruPosition);
         return found->second.bytes;
     }
     return nullptr;
--- a/src/sidecar/mirror_server.hpp
+++ b/src/sidecar/mirror_server.hpp
@@ -1,4 +1,4 @@
-// This sidecar as a metadata mirror for others: it serves what it has verified itself, and nothing else.
+// Serves metadata and targets to others, as a mirror: only what this sidecar has verified itself.
 #pragma once
 
 #include <list>
@@ -8,8 +8,8 @@
 
 namespace lichenlanding::sidecar {
 
-/// A set of documents is published as a whole, once a refresh is complete, so that no client gets half of
-/// one. The set before stays available to clients that are in the middle of it.
+/// A document set is published as a whole once a refresh is complete, so that no client gets an incomplete
+/// one. The previous set stays available to clients that are still fetching it.
 class MirrorServer {
   public:
     using Bytes = std::shared_ptr<const std::string>;
@@ -17,19 +17,20 @@
 
     struct Limits {
         std::size_t connections = 64;
-        std::size_t cachedBytes = 32U << 20;  ///< of all documents and targets
+        std::size_t cachedBytes = 32U << 20;  ///< limit for all documents and targets together
     };
 
     /// Throws std::runtime_error if it cannot listen.
     MirrorServer(EventLoop& loop, const Address& listen, const Limits& limits);
 
-    /// Documents beyond the limit are left out, the largest first, and logged.
+    /// Documents that exceed the byte limit are omitted, the largest first, and logged.
     void publish(DocumentSet documents);
-    /// Caches a target under the name that it has in a consistent repository; evicts the longest unused.
+    /// Caches a target under its name in a consistent repository; evicts the least recently used targets if
+    /// the limit requires it.
     void cacheTarget(const std::string& name, std::string bytes);
     bool hasTarget(const std::string& name) const { return targets_.contains(name); }
 
-    /// Graceful shutdown: it is no longer ready, and each connection gets one more response.
+    /// Graceful shutdown: readiness checks fail, and each connection gets one more response.
     void drain();
     Address address() const { return server_.address(); }
     std::size_t served() const { return served_; }
@@ -41,7 +42,7 @@
   private:
     struct CachedTarget {
         Bytes bytes;
-        std::list<std::string>::iterator use;  // in targetUses_
+        std::list<std::string>::iterator lruPosition;  // in targetLru_
     };
     void onRequest(std::unique_ptr<ClientRequest> request);
     Bytes find(const std::string& path);
@@ -50,7 +51,7 @@
     Limits limits_;
     DocumentSet current_, previous_;
     std::map<std::string, CachedTarget> targets_;
-    std::list<std::string> targetUses_;  // the longest unused first
+    std::list<std::string> targetLru_;  // the least recently used first
     std::size_t documentBytes_ = 0, targetBytes_ = 0, served_ = 0;
     bool draining_ = false;
     HttpServer server_;
--- a/src/sidecar/trust_config.hpp
+++ b/src/sidecar/trust_config.hpp
@@ -1,4 +1,5 @@
-// The file that switches signed metadata on: JSON, with comments. docs/operate/metadata.md shows a full one.
+// The configuration file that enables signed metadata: JSON, with comments. docs/operate/metadata.md shows a
+// complete one.
 #pragma once
 
 #include <optional>
@@ -13,7 +14,7 @@
 
 struct MirrorUrl {
     Url url;
-    bool draining = false;  ///< nothing new is requested from it
+    bool draining = false;  ///< no new requests are sent to it
 };
 
 struct TrustConfig {
@@ -22,22 +23,22 @@
         std::vector<MirrorUrl> metadata;
     };
 
-    std::string rootFile;   ///< file of the shipped root
-    std::string directory;  ///< of the store; empty: no disk lasts
+    std::string rootFile;   ///< path of the shipped root
+    std::string directory;  ///< of the store; empty: trust is kept in memory only
     std::vector<MirrorUrl> metadata, targets;
-    std::string buildPathPattern;  ///< "releases/{build}"
+    std::string buildPathPattern;  ///< of the targets, such as "releases/{build}"
     metadata::RefreshSchedule::Intervals refreshIntervals;
-    metadata::Sizes sizes = metadata::Sizes::small();  ///< limits of documents
+    metadata::Sizes sizes = metadata::Sizes::small();  ///< size limits of documents
     bool verifyOnWorker = true;                        ///< verify on a WorkerThread
     metadata::FetchTimeouts timeouts;
-    std::optional<Address> serveAddress;  ///< as a mirror for others
+    std::optional<Address> serveAddress;  ///< serve as a mirror for others
     std::size_t maxServeConnections = 64, serveCacheBytes = 32U << 20;
     std::optional<Director> director;
 };
 
-/// Throws std::invalid_argument with one line that names the field: "FILE: metadata.0.url: ...".
+/// Throws std::invalid_argument with one line that names file and field: "FILE: metadata.0.url: ...".
 TrustConfig readTrustConfig(const std::string& path);
-/// The same file again; nothing, and a log line, if it cannot be read.
+/// Reads the same file again. If that fails, logs the reason and returns nullopt.
 std::optional<TrustConfig> reloadTrustConfig(const std::string& path);
 
 }  // namespace lichenlanding::sidecar
--- a/src/sidecar/trust_manager.cpp
+++ b/src/sidecar/trust_manager.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr Nanos kSecond = 1'000'000'000;
-constexpr const char* kBuildsFile = "state/builds";  // no role's file: those end in ".json"
-constexpr const char* kClockFile = "state/clock";    // when a refresh was last accepted
+constexpr const char* kBuildsFile = "state/builds";  // distinct from the files of roles, which end in ".json"
+constexpr const char* kClockFile = "state/clock";    // the time of the last accepted refresh
 constexpr UnixSeconds kClockStoreInterval = 60;
 
 std::string readFile(const std::string& path) {
@@ -40,29 +40,31 @@
     return urls;
 }
 
-Mirrors mirrorsOf(const std::vector<MirrorUrl>& urls, std::uint32_t seed) {
+Mirrors makeMirrors(const std::vector<MirrorUrl>& urls, std::uint32_t seed) {
     std::vector<std::string> names;
     for (const auto& url : urls) names.push_back(url.url.address.text());
     Mirrors mirrors(std::move(names), seed);
-    for (std::size_t at = 0; at < urls.size(); ++at) mirrors.setDraining(at, urls[at].draining);
+    for (std::size_t index = 0; index < urls.size(); ++index)
+        mirrors.setDraining(index, urls[index].draining);
     return mirrors;
 }
 
-// Nothing new is requested from a mirror that drains, or that the configuration names no more.
-void drainOthers(Mirrors& mirrors, const std::vector<Url>& bases, const std::vector<MirrorUrl>& configured) {
-    for (std::size_t at = 0; at < bases.size(); ++at) {
-        const auto stays = [&](auto& mirror) {
-            return mirror.url.text() == bases[at].text() && !mirror.draining;
+// Drains the mirrors that drain in the new configuration or are missing from it: no new requests are sent to
+// them.
+void drainUnused(Mirrors& mirrors, const std::vector<Url>& bases, const std::vector<MirrorUrl>& configured) {
+    for (std::size_t index = 0; index < bases.size(); ++index) {
+        const auto remainsInUse = [&](auto& mirror) {
+            return mirror.url.text() == bases[index].text() && !mirror.draining;
         };
-        mirrors.setDraining(at, std::none_of(configured.begin(), configured.end(), stays));
+        mirrors.setDraining(index, std::none_of(configured.begin(), configured.end(), remainsInUse));
     }
 }
 
 }  // namespace
 
-TrustManager::Repository TrustManager::repositoryOf(const std::vector<MirrorUrl>& mirrors,
-                                                    std::uint32_t seed) {
-    return {{}, urlsOf(mirrors), mirrorsOf(mirrors, seed), nullptr, 0};
+TrustManager::Repository TrustManager::makeRepository(const std::vector<MirrorUrl>& mirrors,
+                                                      std::uint32_t seed) {
+    return {{}, urlsOf(mirrors), makeMirrors(mirrors, seed), nullptr, 0};
 }
 
 TrustManager::TrustManager(EventLoop& loop, const TrustConfig& config, std::uint32_t seed,
@@ -73,23 +75,23 @@
       builds_(config.buildPathPattern),
       refreshSchedule_(config.refreshIntervals, seed),
       seed_(seed),
-      images_(repositoryOf(config.metadata, seed)),
+      imageRepository_(makeRepository(config.metadata, seed)),
       targetBases_(urlsOf(config.targets)),
-      targetMirrors_(mirrorsOf(config.targets, seed + 1)),
+      targetMirrors_(makeMirrors(config.targets, seed + 1)),
       maxTargetBytes_(config.serveCacheBytes / 4),
       sizes_(config.sizes),
       timeouts_(config.timeouts),
       refreshTimer_(loop, [this] { refresh(); }),
       expiryTimer_(loop, [this] { expire(); }) {
     if (config.verifyOnWorker) worker_.emplace(loop);
-    open(images_, config.rootFile, config.directory);
+    openRepository(imageRepository_, config.rootFile, config.directory);
     restoreClock();
     if (config.director) {
-        director_ = repositoryOf(config.director->metadata, seed + 2);
+        director_ = makeRepository(config.director->metadata, seed + 2);
         const auto directory = config.directory.empty() ? "" : config.directory + "/director";
-        open(*director_, config.director->rootFile, directory);
+        openRepository(*director_, config.director->rootFile, directory);
     }
-    if (const auto stored = images_.store->read(kBuildsFile)) builds_.restore(*stored);
+    if (const auto stored = imageRepository_.store->read(kBuildsFile)) builds_.restore(*stored);
     if (config.serveAddress) {
         const MirrorServer::Limits limits{config.maxServeConnections, config.serveCacheBytes};
         mirror_ = std::make_unique<MirrorServer>(loop, *config.serveAddress, limits);
@@ -98,7 +100,8 @@
 
 TrustManager::~TrustManager() = default;
 
-void TrustManager::open(Repository& repository, const std::string& rootFile, const std::string& directory) {
+void TrustManager::openRepository(Repository& repository, const std::string& rootFile,
+                                  const std::string& directory) {
     repository.shippedRoot = readFile(rootFile);
     if (!directory.empty()) {
         auto opened = TrustStore::open(directory);
@@ -108,51 +111,55 @@
         log(LogEvent::metadata, "no directory configured: trust is kept in memory only");
     }
     if (!repository.store) repository.store = TrustStore::inMemory();
-    std::string choice;
-    const auto set = repository.store->start(repository.shippedRoot, clock(), choice, sizes_);
-    if (!set) throw std::runtime_error("the root of " + rootFile + ": " + set.refusal().text());
-    log(LogEvent::metadata, choice);
+    std::string rootChoice;
+    const auto set = repository.store->start(repository.shippedRoot, wallClockNow(), rootChoice, sizes_);
+    if (!set)
+        throw std::runtime_error("cannot start with the shipped root " + rootFile + ": " +
+                                 set.refusal().text());
+    log(LogEvent::metadata, rootChoice);
 }
 
-// Steps of the wall clock while the sidecar runs change nothing: what has expired stays expired.
-UnixSeconds TrustManager::clock() const { return (loop_.now() + wallOffset_) / kSecond; }
+// Steps of the wall clock while the sidecar runs have no effect: expired metadata stay expired.
+UnixSeconds TrustManager::wallClockNow() const { return (loop_.now() + wallOffset_) / kSecond; }
 
-// Nor does a clock that was set back while it did not run: time goes on from the last accepted refresh. That
-// time was before the expiry of a timestamp that was valid then, so a wrong clock does no lasting harm.
+// Nor does a clock that was set back while the sidecar was stopped: time continues from the last
+// accepted refresh. That time was before the expiry of a timestamp that was valid then, so a wrong
+// clock has no lasting effect.
 void TrustManager::restoreClock() {
-    const auto stored = images_.store->read(kClockFile);
+    const auto stored = imageRepository_.store->read(kClockFile);
     const auto last = stored ? parseTime(*stored) : std::nullopt;
     clockStoredAt_ = last.value_or(0);
-    if (!last || *last <= clock()) return;
-    log(LogEvent::metadata, "the wall clock is " + std::to_string(*last - clock()) +
-                                " s behind the last refresh, whose time is used");
+    if (!last || *last <= wallClockNow()) return;
+    log(LogEvent::metadata, "the wall clock is " + std::to_string(*last - wallClockNow()) +
+                                " s behind the last refresh; using the time of that refresh");
     wallOffset_ = *last * kSecond - loop_.now();
 }
 
 void TrustManager::storeClock() {
-    if (clock() < clockStoredAt_ + kClockStoreInterval) return;
+    if (wallClockNow() < clockStoredAt_ + kClockStoreInterval) return;
     StoreTransaction step;
-    step.files.emplace_back(kClockFile, formatTime(clock()));
-    if (const auto refusal = images_.store->commit(step)) return log(LogEvent::metadata, refusal->text());
-    clockStoredAt_ = clock();
+    step.files.emplace_back(kClockFile, formatTime(wallClockNow()));
+    if (const auto refusal = imageRepository_.store->commit(step))
+        return log(LogEvent::metadata, refusal->text());
+    clockStoredAt_ = wallClockNow();
 }
 
 void TrustManager::start() { refreshTimer_.start(0); }
 
 void TrustManager::track(int build) {
     if (!builds_.track(build) || stopped_) return;
-    if (refresh_) refreshSoon_ = true;
+    if (refresh_) refreshAgain_ = true;
     else if (counts_.refreshes > 0) refreshTimer_.start(0);
 }
 
-// What is in flight refers to the old mirrors, and ends first.
+// Fetches in flight refer to the old mirrors, so the configuration is applied once they have ended.
 void TrustManager::reload(const TrustConfig& config) {
-    drainOthers(images_.mirrors, images_.bases, config.metadata);
-    drainOthers(targetMirrors_, targetBases_, config.targets);
+    drainUnused(imageRepository_.mirrors, imageRepository_.bases, config.metadata);
+    drainUnused(targetMirrors_, targetBases_, config.targets);
     if (director_ && config.director)
-        drainOthers(director_->mirrors, director_->bases, config.director->metadata);
+        drainUnused(director_->mirrors, director_->bases, config.director->metadata);
     pendingConfig_ = config;
-    refreshSoon_ = true;
+    refreshAgain_ = true;
     applyPendingConfig();
 }
 
@@ -160,15 +167,15 @@
     if (!pendingConfig_ || refresh_ || download_ || stopped_) return;
     const auto config = *std::exchange(pendingConfig_, std::nullopt);
     refreshSchedule_ = RefreshSchedule(config.refreshIntervals, seed_ + 3);
-    images_.mirrors = mirrorsOf(config.metadata, seed_);
-    images_.bases = urlsOf(config.metadata);
-    targetMirrors_ = mirrorsOf(config.targets, seed_ + 1);
+    imageRepository_.mirrors = makeMirrors(config.metadata, seed_);
+    imageRepository_.bases = urlsOf(config.metadata);
+    targetMirrors_ = makeMirrors(config.targets, seed_ + 1);
     targetBases_ = urlsOf(config.targets);
     if (director_ && config.director) {
-        director_->mirrors = mirrorsOf(config.director->metadata, seed_ + 2);
+        director_->mirrors = makeMirrors(config.director->metadata, seed_ + 2);
         director_->bases = urlsOf(config.director->metadata);
     }
-    log(LogEvent::metadata, "reloaded: " + std::to_string(images_.bases.size()) + " mirrors");
+    log(LogEvent::metadata, "reloaded: " + std::to_string(imageRepository_.bases.size()) + " mirrors");
     refreshTimer_.start(0);
 }
 
@@ -180,21 +187,21 @@
 
 void TrustManager::refresh() {
     if (refresh_ || stopped_) return;
-    refreshSoon_ = false;
+    refreshAgain_ = false;
     ++counts_.refreshes;
     directives_.reset();
     if (director_) {
         refreshRepository(*director_, {}, [this](MetadataRefresh& done) { onDirectorRefreshed(done); });
     } else {
-        refreshRepository(images_, builds_.paths(),
+        refreshRepository(imageRepository_, builds_.paths(),
                           [this](MetadataRefresh& done) { onImagesRefreshed(done); });
     }
 }
 
 void TrustManager::refreshRepository(Repository& repository, const std::vector<std::string>& paths,
                                      std::function<void(MetadataRefresh&)> onDone) {
-    std::string choice;
-    auto set = repository.store->start(repository.shippedRoot, clock(), choice, sizes_);
+    std::string rootChoice;
+    auto set = repository.store->start(repository.shippedRoot, wallClockNow(), rootChoice, sizes_);
     if (!set) return finishRefresh(set.refusal(), 0);
     Update update(std::move(*set), *repository.store);
     for (const auto& path : paths) update.search(path);
@@ -204,7 +211,7 @@
     refresh_->start();
 }
 
-// The director's targets speak for themselves; the image repository must list what they name.
+// The director's directives are read first; the image repository must list the targets that they name.
 void TrustManager::onDirectorRefreshed(MetadataRefresh& refresh) {
     const auto refusal = refresh.refusal();
     auto directives = refusal ? Result<std::map<std::string, uptane::Directive>>(*refusal)
@@ -217,7 +224,8 @@
         return finishRefresh(failure, 0);
     }
     directives_ = std::move(*directives);
-    refreshRepository(images_, builds_.paths(), [this](MetadataRefresh& done) { onImagesRefreshed(done); });
+    refreshRepository(imageRepository_, builds_.paths(),
+                      [this](MetadataRefresh& done) { onImagesRefreshed(done); });
 }
 
 void TrustManager::onImagesRefreshed(MetadataRefresh& refresh) {
@@ -234,9 +242,10 @@
     if (!changes.empty()) {
         StoreTransaction step;
         step.files.emplace_back(kBuildsFile, builds_.serialize());
-        if (const auto failure = images_.store->commit(step)) log(LogEvent::metadata, failure->text());
+        if (const auto failure = imageRepository_.store->commit(step))
+            log(LogEvent::metadata, failure->text());
     }
-    report(changes);
+    reportChanges(changes);
     if (mirror_) {
         publish(update);
         for (const auto& [path, found] : update.found())
@@ -256,17 +265,17 @@
         lastRefusal_.clear();
         expires_ = expires;
         storeClock();
-        expiryTimer_.start(std::max<Nanos>(0, (expires - clock()) * kSecond));
+        expiryTimer_.start(std::max<Nanos>(0, (expires - wallClockNow()) * kSecond));
     }
     if (stopped_) return;
-    const auto validFor = std::max<Nanos>(0, (expires_ - clock()) * kSecond);
+    const auto timeToExpiry = std::max<Nanos>(0, (expires_ - wallClockNow()) * kSecond);
     const auto wait =
-        refusal ? refreshSchedule_.afterFailure(validFor) : refreshSchedule_.afterSuccess(validFor);
-    refreshTimer_.start(refreshSoon_ && !refusal ? 0 : wait);
+        refusal ? refreshSchedule_.afterFailure(timeToExpiry) : refreshSchedule_.afterSuccess(timeToExpiry);
+    refreshTimer_.start(refreshAgain_ && !refusal ? 0 : wait);
     applyPendingConfig();
 }
 
-void TrustManager::report(const std::vector<AttestedBuilds::Change>& attestations) {
+void TrustManager::reportChanges(const std::vector<AttestedBuilds::Change>& attestations) {
     for (const auto& [build, attestation] : attestations) {
         log(LogEvent::metadata, "build " + std::to_string(build) + " attestation: " + nameOf(attestation));
         onAttestation_(build, attestation);
@@ -274,18 +283,18 @@
 }
 
 void TrustManager::expire() {
-    if (clock() < expires_) return expiryTimer_.start(kSecond);
-    const auto changes = builds_.expire(clock());
+    if (wallClockNow() < expires_) return expiryTimer_.start(kSecond);
+    const auto changes = builds_.expire(wallClockNow());
     if (!changes.empty()) log(LogEvent::metadata, "trusted metadata expired at " + formatTime(expires_));
-    report(changes);
+    reportChanges(changes);
 }
 
-// What this update has verified: the chain of roots, and each role that it has visited.
+// Publishes what this update has verified: the chain of roots, and each role that it has visited.
 void TrustManager::publish(const Update& update) {
     const auto& set = update.set();
     MirrorServer::DocumentSet documents;
     const auto add = [&](const std::string& name, const std::string& storedName) {
-        if (const auto bytes = images_.store->read(storedName))
+        if (const auto bytes = imageRepository_.store->read(storedName))
             documents[name] = std::make_shared<const std::string>(*bytes);
     };
     for (auto version = set.root().version; version > 0; --version) {
--- a/src/sidecar/trust_manager.hpp
+++ b/src/sidecar/trust_manager.hpp
@@ -1,4 +1,4 @@
-// The sidecar's trust in signed metadata.
+// Maintains the sidecar's trust in signed metadata.
 #pragma once
 
 #include "metadata/attested_builds.hpp"
@@ -8,24 +8,24 @@
 
 namespace lichenlanding::sidecar {
 
-/// Refreshes trusted metadata ahead of their expiry, tells the policy which builds are attested, and serves
-/// what it has verified to others. A refused refresh leaves the old trust in force until it expires.
+/// Refreshes trusted metadata before they expire, reports to the policy which builds are attested, and serves
+/// verified metadata to others. After a refused refresh the previous metadata stay trusted until they expire.
 class TrustManager {
   public:
     using AttestationHandler = std::function<void(int build, Attestation attestation)>;
 
-    /// Throws std::runtime_error if a shipped root cannot be read or verified, or the mirror cannot listen. A
-    /// directory that cannot be used is logged, and trust is kept in memory.
+    /// Throws std::runtime_error if a shipped root cannot be read or verified, or the mirror cannot listen.
+    /// If the directory cannot be used, that is logged and trust is kept in memory only.
     TrustManager(EventLoop& loop, const TrustConfig& config, std::uint32_t seed,
                  AttestationHandler onAttestation);
     ~TrustManager();
 
     void start();
-    /// A build that is on trial or has pods, whose attestation is to be looked up.
+    /// Looks up the attestation of a build, which is on trial or has pods.
     void track(int build);
-    /// Takes mirrors, draining ones, and intervals; directories and roots stay.
+    /// Applies mirrors, their draining marks, and intervals; directories and roots do not change.
     void reload(const TrustConfig& config);
-    /// No new request to a mirror; serving drains.
+    /// Sends no new request to a mirror, and drains the own mirror server.
     void stop();
 
     struct Counts {
@@ -39,7 +39,7 @@
     const std::string& lastRefusal() const { return lastRefusal_; }
 
   private:
-    // One repository: its mirrors, its store, and when what is trusted of it expires.
+    // One repository: its mirrors, its store, and the expiry of its trusted metadata.
     struct Repository {
         std::string shippedRoot;
         std::vector<Url> bases;
@@ -51,10 +51,10 @@
         metadata::Found found;
         bool consistent;
     };
-    static Repository repositoryOf(const std::vector<MirrorUrl>& mirrors, std::uint32_t seed);
-    void open(Repository& repository, const std::string& rootFile, const std::string& directory);
+    static Repository makeRepository(const std::vector<MirrorUrl>& mirrors, std::uint32_t seed);
+    void openRepository(Repository& repository, const std::string& rootFile, const std::string& directory);
 
-    metadata::UnixSeconds clock() const;
+    metadata::UnixSeconds wallClockNow() const;
     void restoreClock();
     void storeClock();
 
@@ -64,7 +64,7 @@
     void onDirectorRefreshed(MetadataRefresh& refresh);
     void onImagesRefreshed(MetadataRefresh& refresh);
     void finishRefresh(const metadata::Check& refusal, metadata::UnixSeconds expires);
-    void report(const std::vector<metadata::AttestedBuilds::Change>& attestations);
+    void reportChanges(const std::vector<metadata::AttestedBuilds::Change>& attestations);
     void expire();
 
     void publish(const metadata::Update& update);
@@ -74,12 +74,12 @@
 
     EventLoop& loop_;
     AttestationHandler onAttestation_;
-    Nanos wallOffset_;  // from the monotonic to the wall clock
+    Nanos wallOffset_;  // difference of the wall clock from the monotonic clock
     metadata::UnixSeconds clockStoredAt_ = 0;
     metadata::AttestedBuilds builds_;
     metadata::RefreshSchedule refreshSchedule_;
     std::uint32_t seed_;
-    Repository images_;
+    Repository imageRepository_;
     std::optional<Repository> director_;
     std::optional<std::map<std::string, metadata::uptane::Directive>> directives_;
     std::vector<Url> targetBases_;
@@ -90,14 +90,14 @@
     Counts counts_;
     std::string lastRefusal_;
     Timer refreshTimer_, expiryTimer_;
-    bool stopped_ = false, refreshSoon_ = false;
-    metadata::UnixSeconds expires_ = 0;  // of what is trusted
+    bool stopped_ = false, refreshAgain_ = false;
+    metadata::UnixSeconds expires_ = 0;  // of the trusted metadata
     std::unique_ptr<MirrorServer> mirror_;
     std::unique_ptr<MetadataRefresh> refresh_;
     std::unique_ptr<TargetDownload> download_;
     std::deque<PendingDownload> downloads_;
-    std::optional<TrustConfig> pendingConfig_;  // applied once nothing is in flight
-    std::optional<WorkerThread> worker_;        // last: its job touches what is above
+    std::optional<TrustConfig> pendingConfig_;  // applied once no fetch is in flight
+    std::optional<WorkerThread> worker_;        // destroyed first, since its job uses the members above
 };
 
 }  // namespace lichenlanding::sidecar
--- a/src/sidecar/trust_store.cpp
+++ b/src/sidecar/trust_store.cpp
@@ -33,39 +33,39 @@
     return found == memory_.end() ? std::nullopt : std::optional(found->second);
 }
 
-Check TrustStore::commit(const StoreTransaction& step) {
+Check TrustStore::commit(const StoreTransaction& transaction) {
     if (folder_) {
-        const auto error = folder_->commit(step.files);
+        const auto error = folder_->commit(transaction.files);
         return error ? Check(Refusal{Reason::folder, {}, 0, error->text}) : std::nullopt;
     }
-    for (const auto& [name, bytes] : step.files) {
+    for (const auto& [name, bytes] : transaction.files) {
         if (bytes) memory_[name] = *bytes;
         else memory_.erase(name);
     }
     return {};
 }
 
-Result<TrustedSet> TrustStore::start(const std::string& shippedRoot, UnixSeconds now, std::string& choice,
+Result<TrustedSet> TrustStore::start(const std::string& shippedRoot, UnixSeconds now, std::string& rootChoice,
                                      const Sizes& sizes) {
     const auto bytes = read(kRootFile);
     auto stored = bytes ? TrustedSet::start(*bytes, now, sizes)
                         : Result<TrustedSet>(Refusal{Reason::notFound, "root", 0, {}});
     auto shipped = shippedRoot.empty()
-                       ? Result<TrustedSet>(Refusal{Reason::notFound, "root", 0, "none is shipped"})
+                       ? Result<TrustedSet>(Refusal{Reason::notFound, "root", 0, "no shipped root"})
                        : TrustedSet::start(shippedRoot, now, sizes);
     if (stored && (!shipped || shipped->root().version <= stored->root().version)) {
-        choice = "starting from the stored root, version " + versionOf(stored);
+        rootChoice = "starting from the stored root, version " + versionOf(stored);
         return stored;
     }
     if (!shipped) return bytes ? stored.refusal() : shipped.refusal();
-    const auto cause = !bytes   ? std::string("none is stored")
-                       : stored ? std::string("the stored one is older")
-                                : "the stored one is refused, " + stored.refusal().text();
-    choice = "starting from the shipped root, version " + versionOf(shipped) + ": " + cause;
-    StoreTransaction step;
-    step.files.emplace_back(kRootFile, shippedRoot);
-    step.files.emplace_back("root_history/" + versionOf(shipped) + ".root.json", shippedRoot);
-    if (auto refusal = commit(step)) return *refusal;
+    const auto cause = !bytes   ? std::string("no stored root")
+                       : stored ? std::string("the stored root is older")
+                                : "the stored root is refused, " + stored.refusal().text();
+    rootChoice = "starting from the shipped root, version " + versionOf(shipped) + ": " + cause;
+    StoreTransaction transaction;
+    transaction.files.emplace_back(kRootFile, shippedRoot);
+    transaction.files.emplace_back("root_history/" + versionOf(shipped) + ".root.json", shippedRoot);
+    if (auto refusal = commit(transaction)) return *refusal;
     return shipped;
 }
 
--- a/src/sidecar/trust_store.hpp
+++ b/src/sidecar/trust_store.hpp
@@ -1,4 +1,4 @@
-// The store of trusted metadata: a directory, or memory alone where no disk lasts.
+// The store of trusted metadata: a directory, or memory only where there is no persistent disk.
 #pragma once
 
 #include "metadata/update.hpp"
@@ -8,18 +8,19 @@
 
 class TrustStore final : public metadata::StoredMetadata {
   public:
-    /// Recovers a commit that a kill has interrupted. Reason::busy or Reason::folder if it cannot be opened.
+    /// Opens the directory and recovers a commit that was interrupted by a kill. Refused with Reason::busy if
+    /// another process holds it, else with Reason::folder.
     static metadata::Result<std::unique_ptr<TrustStore>> open(const std::string& directory);
     static std::unique_ptr<TrustStore> inMemory();
 
     bool isDurable() const { return folder_ != nullptr; }
     std::optional<std::string> read(const std::string& name) const override;
-    /// All files of the step, or none.
-    metadata::Check commit(const metadata::StoreTransaction& step);
-    /// Starts from the stored root, or from the shipped one if it is newer or the other cannot be read. A
-    /// shipped root that is used is stored at once. `choice` explains it for the log.
+    /// Atomic: stores all files of the transaction or none.
+    metadata::Check commit(const metadata::StoreTransaction& transaction);
+    /// Starts from the stored root, or from the shipped root if that is newer or the stored one is missing or
+    /// refused. A shipped root that is used is stored at once. `rootChoice` explains the choice, for the log.
     metadata::Result<metadata::TrustedSet> start(const std::string& shippedRoot, metadata::UnixSeconds now,
-                                                 std::string& choice, const metadata::Sizes& sizes = {});
+                                                 std::string& rootChoice, const metadata::Sizes& sizes = {});
 
   private:
     std::unique_ptr<store::PosixDisk> disk_;
--- a/tests/support/trust_fixture.hpp
+++ b/tests/support/trust_fixture.hpp
@@ -1,4 +1,4 @@
-// A sidecar with signed metadata switched on, and stand-ins for its mirrors.
+// A sidecar with signed metadata enabled, and test servers as its mirrors.
 #pragma once
 
 #include <unistd.h>
@@ -11,7 +11,7 @@
 
 using namespace stand_ins;
 
-inline UnixSeconds wall() {
+inline UnixSeconds wallClockSeconds() {
     return std::chrono::duration_cast<std::chrono::seconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
@@ -24,38 +24,38 @@
     return path.string();
 }
 
-/// Each mirror serves `files` unless a script says otherwise.
+/// Each mirror serves `files`, unless its script has sent another response.
 struct TrustFixture : SidecarFixture {
     using Script = std::function<bool(HttpStandIn&, evhttp_request*,
-                                      const std::string& name)>;  ///< true: it has responded
+                                      const std::string& name)>;  ///< returns true if it has responded
 
-    explicit TrustFixture(int count = 1) : repository(true, wall()) {
+    explicit TrustFixture(int count = 1) : repository(true, wallClockSeconds()) {
         repository.target("targets", "releases/5", "five");
         repository.publish();
         files = repository.files;
-        folder = temporaryDirectory("trust");
-        std::ofstream(folder + ".root") << repository.firstRoot();
+        directory = temporaryDirectory("trust");
+        std::ofstream(directory + ".root") << repository.firstRoot();
         scripts.resize(static_cast<std::size_t>(count));
         trust.emplace();
-        trust->rootFile = folder + ".root";
+        trust->rootFile = directory + ".root";
         trust->buildPathPattern = "releases/{build}";
         trust->refreshIntervals = {100 * kMs, 50 * kMs, 200 * kMs};
-        for (int one = 0; one < count; ++one) {
-            mirrors.push_back(std::make_unique<HttpStandIn>(loop, [this, one](auto& at, auto* call) {
-                const std::string uri = evhttp_request_get_uri(call);
+        for (int index = 0; index < count; ++index) {
+            mirrors.push_back(std::make_unique<HttpStandIn>(loop, [this, index](auto& mirror, auto* request) {
+                const std::string uri = evhttp_request_get_uri(request);
                 const auto name = uri.substr(uri.rfind('/') + 1);
-                const auto& script = scripts[static_cast<std::size_t>(one)];
-                if (script && script(at, call, name)) return;
+                const auto& script = scripts[static_cast<std::size_t>(index)];
+                if (script && script(mirror, request, name)) return;
                 if (uri.compare(0, 9, "/targets/") == 0) {
                     for (const auto& [path, bytes] : repository.contents)
                         if (uri == "/targets/releases/" + digest("sha256", bytes) +
                                        path.substr(8).replace(0, 1, "."))
-                            return at.respond(call, 200, bytes);
-                    return at.respond(call, 404, "");
+                            return mirror.respond(request, 200, bytes);
+                    return mirror.respond(request, 404, "");
                 }
                 const auto file = files.find(name);
-                if (file == files.end()) at.respond(call, 404, "");
-                else at.respond(call, 200, file->second);
+                if (file == files.end()) mirror.respond(request, 404, "");
+                else mirror.respond(request, 200, file->second);
             }));
             const auto address = mirrors.back()->address;
             trust->metadata.push_back({{address, "/metadata"}, false});
@@ -64,21 +64,22 @@
     }
     ~TrustFixture() {
         sidecar.reset();
-        std::filesystem::remove_all(folder);
-        std::filesystem::remove(folder + ".root");
+        std::filesystem::remove_all(directory);
+        std::filesystem::remove(directory + ".root");
     }
     Attestation attestationOf(int build) { return sidecar->trust()->builds().attestationOf(build); }
     const sidecar::TrustManager::Counts& counts() { return sidecar->trust()->counts(); }
-    /// Until another refresh is over; its refusal, or empty.
+    /// Waits for another refresh to end. Returns its refusal; empty if it was accepted.
     std::string nextRefresh() {
-        const auto asked = counts().refreshes;
-        runUntil(
-            [&] { return counts().refreshes >= asked + 2; });  // the second one saw what was set before it
+        const auto refreshesBefore = counts().refreshes;
+        runUntil([&] {
+            return counts().refreshes >= refreshesBefore + 2;
+        });  // the first may have begun before this call
         return sidecar->trust()->lastRefusal();
     }
-    /// Few at once, so that none is rejected: each gets one response, a pod's.
+    /// Keeps few requests in flight, so that none is rejected and each gets one response, from a pod.
     void sendRequests(int count) {
-        for (int one = 0; one < count; ++one) {
+        for (int index = 0; index < count; ++index) {
             responses.push_back(sendRequest("read"));
             runUntil([&] { return responses.size() < 2 || responses[responses.size() - 2]->has_value(); });
         }
@@ -86,16 +87,16 @@
     void finishRequests() {
         runUntil([&] {
             return std::all_of(responses.begin(), responses.end(),
-                               [](auto& one) { return one->has_value(); });
+                               [](auto& response) { return response->has_value(); });
         });
-        for (const auto& one : responses) CHECK((*one)->statusCode == 200);
+        for (const auto& response : responses) CHECK((*response)->statusCode == 200);
         runUntil([&] { return sidecar->requestsInFlight() == 0; });
         CHECK(counts().fetches.requested - counts().fetches.completed <= 1);
     }
 
     Repository repository;
-    std::map<std::string, std::string> files;  // what mirrors serve
-    std::string folder;
+    std::map<std::string, std::string> files;  // served by the mirrors
+    std::string directory;
     std::vector<Script> scripts;
     std::vector<std::unique_ptr<HttpStandIn>> mirrors;
     std::vector<PendingResponse> responses;
