--- a/src/sidecar/peer_transport.cpp
+++ b/src/sidecar/peer_transport.cpp
@@ -13,7 +13,7 @@
 namespace lichenlanding::sidecar {
 namespace {
 
-constexpr int kDatagramsAtOnce = 64;  // then other events get their turn
+constexpr int kMaxDatagramsPerEvent = 64;  // so that other events are not delayed
 
 sockaddr_in socketAddress(const Address& address) {
     sockaddr_in result{};
@@ -35,7 +35,7 @@
     if (socket_ < 0 || bind(socket_, reinterpret_cast<const sockaddr*>(&local), sizeof local) != 0) {
         const std::string failure = std::strerror(errno);
         if (socket_ >= 0) close(socket_);
-        throw std::runtime_error("cannot take datagrams on " + listen->text() + ": " + failure);
+        throw std::runtime_error("cannot bind a UDP socket to " + listen->text() + ": " + failure);
     }
     watch_.emplace(loop, socket_, EventWatch::kReadable, [this] { receive(); });
 }
@@ -56,7 +56,7 @@
 
 void PeerTransport::receive() {
     char bytes[kMaxMessageBytes + 1];
-    for (int turn = 0; turn < kDatagramsAtOnce; ++turn) {
+    for (int count = 0; count < kMaxDatagramsPerEvent; ++count) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
         const auto length =
--- a/src/sidecar/peer_transport.hpp
+++ b/src/sidecar/peer_transport.hpp
@@ -1,4 +1,4 @@
-// Messages between sidecars: one UDP datagram each, which may be lost.
+// Messages between sidecars, over UDP: one datagram each, which may be lost.
 #pragma once
 
 #include <optional>
@@ -11,14 +11,16 @@
   public:
     using MessageHandler = std::function<void(int peer, const std::string& bytes)>;
 
-    /// Without `listen` nothing is sent or received. `broadcast`: where datagrams to all peers go. Datagrams
-    /// from addresses that are not among `peers` are dropped. Throws std::runtime_error if it cannot listen.
+    /// Without `listen` nothing is sent or received. `broadcast`: the address for messages to all peers.
+    /// Datagrams from addresses other than `peers` are dropped. Throws std::runtime_error if the socket
+    /// cannot be bound.
     PeerTransport(EventLoop& loop, const std::optional<Address>& listen, const std::vector<Address>& peers,
                   const std::optional<Address>& broadcast, MessageHandler onMessage);
     ~PeerTransport();
     PeerTransport(const PeerTransport&) = delete;
 
-    /// To one peer, or to all of them if `peer` is below 0. What cannot be sent is lost.
+    /// Sends to one peer, by index, or to all of them if `peer` is below 0. A message that cannot be sent is
+    /// lost.
     void send(int peer, const std::string& bytes);
 
   private:
--- a/src/sidecar/platform_client.cpp
+++ b/src/sidecar/platform_client.cpp
@@ -23,7 +23,7 @@
           loop, address, LogEvent::platform, connectTimeout, kIdleTimeout, reconnectBackoff,
           [] { return paths::kRolloutWatch; }, [this](std::string_view json) { return onLine(json); }) {}
 
-// Each vote has a connection of its own: votes are rare, and the other side may have dropped an idle one.
+// Each vote uses a new connection: votes are rare, and the platform may have dropped an idle connection.
 void PlatformClient::vote(Verdict verdict, int build, int stage) {
     votesInFlight_.emplace_back(loop_, address_, kMaxBodyBytes);
     const auto connection = std::prev(votesInFlight_.end());
@@ -42,13 +42,13 @@
 }
 
 void PlatformClient::onVoteAnswer(const std::string& vote, const CallResponse& response) {
-    auto answered = outcomeOfVote(response.result, response.statusCode);
+    auto outcome = outcomeOfVote(response.result, response.statusCode);
     const auto update = parseRolloutUpdate(response.body);
-    if (answered == Outcome::succeeded && !update) answered = Outcome::timedOut;
+    if (outcome == Outcome::succeeded && !update) outcome = Outcome::timedOut;
     const auto failure =
         " not accepted: " + std::string(nameOf(response.result)) + " " + std::to_string(response.statusCode);
-    log(LogEvent::vote, vote + (answered == Outcome::succeeded ? " accepted" : failure));
-    onUpdate_(update.value_or(RolloutUpdate{}), true, answered);
+    log(LogEvent::vote, vote + (outcome == Outcome::succeeded ? " accepted" : failure));
+    onUpdate_(update.value_or(RolloutUpdate{}), true, outcome);
 }
 
 void PlatformClient::setAddress(const Address& address) {
@@ -56,7 +56,8 @@
     watch_.setAddress(address);
 }
 
-// After a malformed line nothing that follows can be trusted; a new watch brings the newest build's state.
+// After a malformed line the rest of the stream is not trusted; a new watch starts with the newest build's
+// state.
 bool PlatformClient::onLine(std::string_view json) {
     const auto message = parsePlatformLine(json);
     if (!message) return false;
--- a/src/sidecar/platform_client.hpp
+++ b/src/sidecar/platform_client.hpp
@@ -1,4 +1,4 @@
-// The client of the release platform: votes and their answers, and the watch on rollouts.
+// The client of the release platform: sends votes and watches rollouts.
 #pragma once
 
 #include <list>
@@ -10,10 +10,11 @@
 
 class PlatformClient {
   public:
-    static constexpr Nanos kIdleTimeout = 4'000'000'000;  ///< of the watch: four of the platform's heartbeats
+    static constexpr Nanos kIdleTimeout = 4'000'000'000;  ///< of the watch: four heartbeats of the platform
 
-    /// `answer`: the update answers a vote, which ended as `answered`; it is empty unless that succeeded.
-    using UpdateHandler = std::function<void(const RolloutUpdate& update, bool answer, Outcome answered)>;
+    /// `isAnswer`: the update answers a vote, which ended with `outcome`; it is empty unless the vote
+    /// succeeded.
+    using UpdateHandler = std::function<void(const RolloutUpdate& update, bool isAnswer, Outcome outcome)>;
     using DisputeHandler = std::function<void(const Dispute&)>;
 
     PlatformClient(EventLoop& loop, const Address& address, Nanos connectTimeout, Nanos voteTimeout,
@@ -21,9 +22,9 @@
                    DisputeHandler onDispute);
 
     void start() { watch_.start(true); }
-    /// Votes in flight end at the old address.
+    /// Votes in flight complete at the old address.
     void setAddress(const Address& address);
-    /// onUpdate is called once with its answer. A vote without a readable answer counts as timed out, since
+    /// Calls onUpdate once with the answer. A vote whose answer cannot be parsed counts as timed out, since
     /// it may have been executed.
     void vote(Verdict verdict, int build, int stage);
 
--- a/src/sidecar/watch_stream.cpp
+++ b/src/sidecar/watch_stream.cpp
@@ -25,12 +25,13 @@
       idleTimer_(loop,
                  [this] {
                      close("idle time-out");
-                     reopenTimer_.start(reconnectBackoff_.initialDelay());  // the time-out was backoff enough
+                     reopenTimer_.start(reconnectBackoff_.initialDelay());  // the timeout was backoff enough
                  }),
       reopenTimer_(loop, [this] { open(); }) {}
 
-void WatchStream::start(bool atOnce) {
-    if (const auto wait = atOnce ? 0 : reconnectBackoff_.initialDelay(); wait > 0) reopenTimer_.start(wait);
+void WatchStream::start(bool immediately) {
+    if (const auto wait = immediately ? 0 : reconnectBackoff_.initialDelay(); wait > 0)
+        reopenTimer_.start(wait);
     else open();
 }
 
@@ -42,7 +43,7 @@
         {EVHTTP_REQ_GET, path_(), {{"Host", address_.text()}}, {}}, connectTimeout_, 0,
         [this](const CallResponse& response) { onEnd(response); },
         [this](std::string_view bytes) {
-            // The body of an error response is no line, nor is what follows a malformed one.
+            // The body of an error response has no lines, and nothing after a malformed line is read.
             if (connection_ && connection_->statusCode() == 200) onBytes(bytes);
         });
 }
@@ -55,7 +56,7 @@
     open();
 }
 
-// The end of a complete response ends its last line, too.
+// The end of a complete response also terminates its last line.
 void WatchStream::onEnd(const CallResponse& response) {
     if (response.result == CallResult::succeeded && !partialLine_.empty()) onBytes("\n");
     if (connection_) close(nameOf(response.result), response.retryAfter);
--- a/src/sidecar/watch_stream.hpp
+++ b/src/sidecar/watch_stream.hpp
@@ -1,4 +1,4 @@
-// A response that stays open and brings one line after another; reopened when it ends or times out.
+// Client of a streaming response that delivers one line after another; reopened when it ends or times out.
 #pragma once
 
 #include "limits/fleet.hpp"
@@ -8,26 +8,26 @@
 
 class WatchStream {
   public:
-    /// The path to request, at each opening.
+    /// Returns the path to request; called each time the stream is opened.
     using PathProvider = std::function<std::string()>;
-    /// Handles one line that is not empty; false if it is malformed: the stream is reopened.
+    /// Handles one non-empty line. Returns false if it is malformed; the stream is then reopened.
     using LineHandler = std::function<bool(std::string_view)>;
 
-    /// `idleTimeout`: without a byte, after which it is reopened. `reconnectBackoff` spaces the openings.
-    /// Gains and losses are logged as `event`.
+    /// `idleTimeout`: the time without a received byte after which the stream is reopened. `reconnectBackoff`
+    /// delays the reopening. Established and lost streams are logged as `event`.
     WatchStream(EventLoop& loop, Address address, LogEvent event, Nanos connectTimeout, Nanos idleTimeout,
                 limits::ReconnectBackoff reconnectBackoff, PathProvider path, LineHandler onLine);
 
-    /// At once, else when `reconnectBackoff` says.
-    void start(bool atOnce);
-    /// Reopens it there at once.
+    /// Opens the stream immediately, or after the initial delay of `reconnectBackoff`.
+    void start(bool immediately);
+    /// Reopens the stream immediately at the new address.
     void setAddress(const Address& address);
 
   private:
     void open();
     void onBytes(std::string_view bytes);
     void onEnd(const CallResponse& response);
-    void close(const char* reason, Nanos retryAfter = 0);  // and reopens it later
+    void close(const char* reason, Nanos retryAfter = 0);  // and schedules the reopening
 
     EventLoop& loop_;
     Address address_;
@@ -40,7 +40,7 @@
     std::shared_ptr<Connection> connection_;
     std::string partialLine_;
     bool established_ = false;
-    bool firstLoss_ = true;  // it is logged even if the stream was never established
+    bool firstLoss_ = true;  // the first loss is logged even if the stream was never established
 };
 
 }  // namespace lichenlanding::sidecar
--- a/tests/sidecar/peer_transport.cpp
+++ b/tests/sidecar/peer_transport.cpp
@@ -4,7 +4,7 @@
 
 using namespace lichenlanding::sidecar;
 
-TEST_CASE("datagrams are accepted from known peers only, and none too long") {
+TEST_CASE("datagrams from unknown senders and oversized ones are dropped") {
     SidecarFixture fixture;
     std::vector<Address> addresses;
     for (int peer = 0; peer < 3; ++peer) addresses.push_back({"127.0.0.1", freePort(SOCK_DGRAM)});
@@ -17,14 +17,14 @@
                                                                       std::to_string(bytes.size()));
                                                });
     };
-    auto zero = listen(0, addresses);
-    auto one = listen(1, {addresses[0], addresses[1]});
-    auto two = listen(2, addresses);
-    two->send(1, "from a stranger");
-    zero->send(1, std::string(kMaxMessageBytes + 1, 'x'));
-    zero->send(7, "nobody");
-    zero->send(1, std::string(kMaxMessageBytes, 'x'));
-    one->send(0, "back");
+    auto peer0 = listen(0, addresses);
+    auto peer1 = listen(1, {addresses[0], addresses[1]});
+    auto peer2 = listen(2, addresses);
+    peer2->send(1, "unknown sender");
+    peer0->send(1, std::string(kMaxMessageBytes + 1, 'x'));
+    peer0->send(7, "no such peer");
+    peer0->send(1, std::string(kMaxMessageBytes, 'x'));
+    peer1->send(0, "back");
     fixture.runUntil([&] { return received.size() == 2; });
     std::sort(received.begin(), received.end());
     CHECK(received == std::vector<std::string>{"0>1 256", "1>0 4"});
--- a/tests/sidecar/platform_client.cpp
+++ b/tests/sidecar/platform_client.cpp
@@ -7,13 +7,13 @@
 TEST_CASE("votes and their answers, and the platform's watch") {
     SidecarFixture fixture;
     std::string answer;
-    int code = 200;
+    int platformStatus = 200;
     HttpStandIn platform(fixture.loop, [&](auto& standIn, auto* request) {
         if (std::string(evhttp_request_get_uri(request)) == paths::kRolloutWatch)
             return standIn.hold(request);
         fixture.trace << HttpStandIn::bodyOf(request) << " -> ";
-        if (code == 0) standIn.disconnect(request);
-        else if (code > 0) standIn.respond(request, code, answer);
+        if (platformStatus == 0) standIn.disconnect(request);
+        else if (platformStatus > 0) standIn.respond(request, platformStatus, answer);
     });
     int received = 0;
     PlatformClient client(
@@ -21,8 +21,8 @@
         limits::ReconnectBackoff(PlatformClient::kIdleTimeout, 1),
         [&](const RolloutUpdate& update, bool isAnswer, Outcome outcome) {
             ++received;
-            fixture.trace << (isAnswer ? "answer " : "news ") << outcomeName(outcome) << " build "
-                          << update.build << " stage " << update.stage << " standing "
+            fixture.trace << (isAnswer ? "answer " : "update ") << outcomeName(outcome) << " build "
+                          << update.build << " stage " << update.stage << " state "
                           << static_cast<int>(update.state) << " cap " << update.cap << " age "
                           << update.age / kMs << '\n';
         },
@@ -40,8 +40,8 @@
                                                            {400, R"({"error":"SYNTAX"})", Verdict::none},
                                                            {0, "", Verdict::advance},
                                                            {-1, "", Verdict::advance}};
-    for (const auto& [with, body, verdict] : votes) {
-        code = with;
+    for (const auto& [statusCode, body, verdict] : votes) {
+        platformStatus = statusCode;
         answer = body;
         const auto before = received;
         client.vote(verdict, 42, 1);
@@ -58,7 +58,7 @@
                                             "\n");
     platform.sendChunk(platform.pending[0], "{\"type\":\"ROLLOUT\",\"object\":" + state + "}\n");
     const auto before = received;
-    // What comes behind a line that cannot be read is not taken: a new watch tells anew.
+    // Lines after a malformed one are ignored; the client opens a new watch.
     fixture.runUntil([&] { return received == before + 2 && platform.requestPaths.size() == 10; });
     matchesTrace("platform-client", fixture.trace.str());
 }
