--- a/src/sidecar/request_handler.cpp
+++ b/src/sidecar/request_handler.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-// Sends the newest attempt and waits for its response.
+// Sends the newest attempt and suspends until its response arrives.
 struct RequestHandler::AttemptAwaiter {
     AttemptAwaiter(RequestHandler& handler_, UpstreamHost& host_, Nanos timeout_)
         : handler(handler_), host(host_), timeout(timeout_) {}
@@ -21,11 +21,11 @@
     CallResponse response;
 
     bool await_ready() const { return false; }
-    void await_suspend(std::coroutine_handle<> waiting) {
+    void await_suspend(std::coroutine_handle<> coroutine) {
         handler.connection_ = handler.context_.upstreams().send(
-            host, handler.upstreamRequest(timeout), timeout, [this, waiting](CallResponse received) {
+            host, handler.upstreamRequest(timeout), timeout, [this, coroutine](CallResponse received) {
                 response = std::move(received);
-                waiting.resume();
+                coroutine.resume();
             });
     }
     CallResponse await_resume() {
@@ -50,20 +50,20 @@
         context_.callPolicy([this](PolicyEngine& policy) { policy.onClientDisconnect(request_); });
     });
     context_.callPolicy([this](PolicyEngine& policy) { policy.onRequest(request_); });
-    // The policy has asked for an attempt, or has rejected or failed the request.
+    // By now the policy has requested an attempt, or has rejected or failed the request.
     while (const auto timeout = std::exchange(pendingTimeout_, std::nullopt)) {
         auto& attempt = request_.attempts.back();
-        // It has a name, since g++ 12 copies an awaited temporary bit by bit and then frees it twice.
+        // Not a temporary: g++ 12 copies an awaited temporary bytewise and then destroys it twice.
         AttemptAwaiter awaiter(*this, static_cast<UpstreamHost&>(*attempt.pod), *timeout);
         const auto response = co_await awaiter;
         const auto outcome = outcomeOf(response.result);
-        const bool responds = outcome == Outcome::succeeded && !request_.ended;
-        if (responds) client_->respond(200, response.body, response.contentType);
+        const bool forwardsResponse = outcome == Outcome::succeeded && !request_.ended;
+        if (forwardsResponse) client_->respond(200, response.body, response.contentType);
         context_.callPolicy([&](PolicyEngine& policy) {
             if (const auto inFlight = parseInFlight(response.loadReport); inFlight >= 0)
                 policy.onLoadReport(*attempt.pod, inFlight);
             const auto latency = context_.now() - attempt.sentAt;
-            policy.onOutcome(attempt, outcome, latency, responds || request_.ended);
+            policy.onOutcome(attempt, outcome, latency, forwardsResponse || request_.ended);
         });
     }
     context_.onFinished(*this);
@@ -81,11 +81,11 @@
     if (client_->method() != (idempotent ? EVHTTP_REQ_GET : EVHTTP_REQ_POST)) return 405;
     idempotencyKey_ = client_->header(headers::kIdempotencyKey).value_or("");
     if (request_.group->effect == Effect::deduplicated && idempotencyKey_.empty()) return 400;
-    if (!context_.reserveId(*id)) return 409;  // another client's, and in flight
+    if (!context_.reserveId(*id)) return 409;  // another request with this id is in flight
     request_.id = *id;
     request_.key = client_->header(headers::kRouteKey).value_or("");
-    // The response is to leave before the client's time-out: by one step of the deployment's clock, and at
-    // most by half of a short time-out.
+    // The response must be sent before the client times out: earlier by one step of the deployment's clock,
+    // but by no more than half of the budget.
     request_.deadline = context_.now() + std::max(*budget - settings_.clockGranularity, *budget / 2);
     request_.cost = parseCost(client_->header(headers::kCost).value_or(""));
     request_.isRetry = client_->header(headers::kRetry) == "1";
--- a/src/sidecar/request_handler.hpp
+++ b/src/sidecar/request_handler.hpp
@@ -1,4 +1,4 @@
-// The handling of one client request, from its arrival to its response and the end of its last attempt.
+// Handles one client request, from its arrival until its response is sent and its last attempt has ended.
 #pragma once
 
 #include "policy/policy_engine.hpp"
@@ -10,19 +10,19 @@
 
 class RequestHandler;
 
-/// What a RequestHandler needs of the sidecar around it.
+/// What a RequestHandler needs of its sidecar.
 class RequestContext {
   public:
     virtual ~RequestContext() = default;
     virtual Nanos now() const = 0;
-    /// The only way to call the policy.
+    /// All calls to the policy go through this.
     virtual void callPolicy(const std::function<void(PolicyEngine&)>& call) = 0;
     virtual UpstreamPool& upstreams() = 0;
-    /// Reserves a request id until onFinished(); false if a request of that id is in flight.
+    /// Reserves a request id until onFinished(); false if a request with that id is in flight.
     virtual bool reserveId(const std::string& id) = 0;
-    /// A client left before its response.
+    /// The client disconnected before its response.
     virtual void onClientDisconnect() = 0;
-    /// The handler is done, and to be destroyed from the loop.
+    /// The handler is done; the implementation destroys it later, from the loop.
     virtual void onFinished(RequestHandler& handler) = 0;
 };
 
@@ -34,13 +34,13 @@
     /// Empty for an invalid request.
     const std::string& id() const { return request_.id; }
 
-    // The policy's effects, carried out after its call has returned.
+    // Effects that the policy requests; they are executed after its call has returned.
     void forwardNewest(Nanos timeout) { pendingTimeout_ = timeout; }
     void reject(Nanos retryAfter) { client_->respond(503, {}, {}, retryAfter); }
     void fail() { client_->respond(500); }
     void cancel(int attempt);
 
-    /// Of a request that was handed to the policy.
+    /// The handler of a request that was passed to the policy.
     static RequestHandler& of(const Request& request) {
         return static_cast<const HandledRequest&>(request).handler;
     }
@@ -53,7 +53,7 @@
     struct AttemptAwaiter;
 
     Task handle();
-    int readRequest();  // fills in request_; 0, or the status code that an invalid request is refused with
+    int readRequest();  // fills in request_; returns 0, or the status code for an invalid request
     HttpRequest upstreamRequest(Nanos timeout) const;
 
     RequestContext& context_;
@@ -61,7 +61,7 @@
     std::unique_ptr<ClientRequest> client_;
     HandledRequest request_{*this};
     std::string idempotencyKey_;
-    std::optional<Nanos> pendingTimeout_;       // of the newest attempt, which is to be sent
+    std::optional<Nanos> pendingTimeout_;       // of the newest attempt, until it is sent
     UpstreamConnection* connection_ = nullptr;  // of the attempt in flight
     Task task_;
 };
--- a/src/sidecar/request_validation.cpp
+++ b/src/sidecar/request_validation.cpp
@@ -17,8 +17,8 @@
 bool isValidUri(evhttp_request* request) {
     const auto* uri = evhttp_request_get_uri(request);
     if (!uri || *uri != '/' || !evhttp_request_get_evhttp_uri(request)) return false;
-    for (const auto* letter = uri; *letter; ++letter)
-        if (*letter <= ' ' || *letter == 127) return false;
+    for (const auto* character = uri; *character; ++character)
+        if (*character <= ' ' || *character == 127) return false;
     return true;
 }
 
@@ -37,11 +37,11 @@
     for (const auto* header = headers->tqh_first; header; header = header->next.tqe_next) {
         if (!isHeaderName(header->key) || !isHeaderValue(header->value)) return false;
         if (mustBeUnique(header->key) && isRepeatedLater(*header)) return false;
-        const bool length = isNamed(*header, "Content-Length");
-        const bool chunks = isNamed(*header, "Transfer-Encoding");
-        framings += length || chunks;
-        if (length && !isContentLength(header->value)) return false;
-        if (chunks && evutil_ascii_strcasecmp(header->value, "chunked") != 0) return false;
+        const bool isLength = isNamed(*header, "Content-Length");
+        const bool isEncoding = isNamed(*header, "Transfer-Encoding");
+        framings += isLength || isEncoding;
+        if (isLength && !isContentLength(header->value)) return false;
+        if (isEncoding && evutil_ascii_strcasecmp(header->value, "chunked") != 0) return false;
     }
     if (framings == 0) return true;
     if (framings > 1) return false;
--- a/src/sidecar/response_parser.cpp
+++ b/src/sidecar/response_parser.cpp
@@ -11,7 +11,7 @@
 namespace lichenlanding::sidecar {
 namespace {
 
-constexpr std::size_t kMaxHeaderBytes = 16 * 1024;  // of one response, with all 1xx before it
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;  // of one response and the 1xx responses before it
 
 bool equalIgnoringCase(std::string_view one, std::string_view other) {
     return one.size() == other.size() && strncasecmp(one.data(), other.data(), one.size()) == 0;
@@ -28,13 +28,14 @@
     return std::all_of(text.begin(), text.end(), predicate);
 }
 
-bool isDigit(char letter) { return letter >= '0' && letter <= '9'; }
-bool isValueCharacter(char letter) {
-    return letter == '\t' || (letter >= ' ' && letter != 127) || letter < 0;
+bool isDigit(char character) { return character >= '0' && character <= '9'; }
+bool isValueCharacter(char character) {
+    return character == '\t' || (character >= ' ' && character != 127) || character < 0;
 }
-bool isNameCharacter(char letter) {
-    return isDigit(letter) || (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-           std::string_view("!#$%&'*+-.^_`|~").find(letter) != std::string_view::npos;
+bool isNameCharacter(char character) {
+    return isDigit(character) || (character >= 'a' && character <= 'z') ||
+           (character >= 'A' && character <= 'Z') ||
+           std::string_view("!#$%&'*+-.^_`|~").find(character) != std::string_view::npos;
 }
 
 }  // namespace
@@ -80,7 +81,7 @@
         case Phase::chunkEnd:
             phase_ = Phase::chunkSize;
             return text.empty() ? State::incomplete : State::malformed;
-        default:  // a trailer
+        default:  // trailer
             if (text.empty()) phase_ = Phase::end;
             return State::incomplete;
     }
@@ -134,7 +135,7 @@
 }
 
 ResponseParser::State ResponseParser::finishHeaders() {
-    if (statusCode < 200) {  // the response itself follows it
+    if (statusCode < 200) {  // an interim response; the final one follows
         const auto headerBytes = headerBytes_;
         *this = ResponseParser(maxBodyBytes_, std::move(onBody_), framing_);
         headerBytes_ = headerBytes;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -7,24 +7,24 @@
 namespace lichenlanding::sidecar {
 namespace {
 
-constexpr Nanos kDrainGrace = 600'000'000;  // after a stop new connections keep coming for up to this time
+constexpr Nanos kDrainGrace = 600'000'000;  // after a stop, new connections may arrive for this long
 constexpr Nanos kDrainPoll = 10'000'000;
 constexpr Nanos kMemoryLogInterval = 60'000'000'000;
 
-// Of the descriptors few are for the other parties; the rest are shared by pods' connections and clients'.
+// Descriptors for connections other than those to pods and from clients, which share the rest.
 constexpr int kReservedDescriptors = 32;
 
 int upstreamConnections(int descriptors) { return std::max(descriptors / 2 - kReservedDescriptors, 1); }
 
-// Clients may be many, each with a connection that it keeps, and they hold no more than a third of the
-// descriptors: idle ones must be evicted before that, or new clients cannot connect.
+// Many clients may each keep a connection open, and together they hold no more than a third of the
+// descriptors: idle connections must be evicted before that limit, or new clients cannot connect.
 ConnectionLimits clientConnections(int descriptors) {
     const auto hard = descriptors - upstreamConnections(descriptors) - kReservedDescriptors;
     return {static_cast<std::size_t>(std::max(descriptors / 4, 1)),
             static_cast<std::size_t>(std::max(hard, 1))};
 }
 
-// The metadata mirror's connections come out of the descriptors for requests.
+// The metadata mirror's connections are taken from the descriptors for requests.
 Config withTrust(Config config, const std::optional<TrustConfig>& trust) {
     if (!trust) return config;
     config.settings.attestationRequired = true;
@@ -34,7 +34,7 @@
     return config;
 }
 
-// Parts of the seed, so that random choices of different parties are independent.
+// Different parts of the seed, so that the random choices of the components are independent.
 std::uint32_t discoverySeed(const Config& config) { return static_cast<std::uint32_t>(config.seed); }
 std::uint32_t trustSeed(const Config& config) { return static_cast<std::uint32_t>(config.seed >> 16); }
 std::uint32_t platformSeed(const Config& config) { return static_cast<std::uint32_t>(config.seed >> 32); }
@@ -55,7 +55,7 @@
           }),
       platform_(
           loop_, config_.platform, config_.settings.connectTimeout, config_.settings.voteTimeout,
-          // Not spread over the fleet: votes wait for it.
+          // Without the settings: reconnects are not spread over the fleet, since votes wait for them.
           limits::ReconnectBackoff(PlatformClient::kIdleTimeout, platformSeed(config_)),
           [this](const RolloutUpdate& update, bool answer, Outcome answered) {
               onRolloutUpdate(update, answer, answered);
@@ -96,8 +96,8 @@
 
 void Sidecar::run() { loop_.run(); }
 
-// The effects that the policy asks for are carried out after its call has returned, so that nothing calls it
-// again meanwhile or frees what it is looking at.
+// Effects that the policy requests are executed after its call has returned, so that nothing re-enters it or
+// frees objects that it is using.
 void Sidecar::callPolicy(const std::function<void(PolicyEngine&)>& call) {
     if (inPolicy_) return loop_.post([this, call] { callPolicy(call); });
     inPolicy_ = true;
@@ -196,7 +196,7 @@
     return true;
 }
 
-// What grows with requests, clients and pods, to show over a long time whether memory stays flat.
+// Logs the sizes that grow with requests, clients and pods, so that long runs show whether memory stays flat.
 void Sidecar::logMemory() {
     const auto heap = mallinfo2();
     log(LogEvent::memory, "heap " + std::to_string((heap.uordblks + heap.hblkhd) >> 10) + " kB, " +
@@ -228,8 +228,8 @@
     drainTimer_.start(kDrainGrace);
 }
 
-// Requests are accepted as long as new connections may come, and all are answered: it stops once the last
-// response is written, and the last half of a request is complete or has timed out.
+// Requests are accepted as long as new connections may arrive, and all are answered. The loop stops once the
+// last response is written and the last partial request is complete or has timed out.
 void Sidecar::stopIfDrained() {
     if (loop_.now() - stoppedAt_ < kDrainGrace) return;
     drainTimer_.start(kDrainPoll);
--- a/src/sidecar/sidecar.hpp
+++ b/src/sidecar/sidecar.hpp
@@ -1,5 +1,5 @@
-// One sidecar: it owns the event loop and all clients and servers, connects them with the policy, and starts
-// and stops.
+// One sidecar process: owns the event loop and all clients and servers, connects them with the policy, and
+// handles start, reload and shutdown.
 #pragma once
 
 #include <list>
@@ -18,26 +18,26 @@
 
 namespace lichenlanding::sidecar {
 
-/// For the thread that runs its loop.
+/// Not thread-safe: to be used from the thread that runs its loop.
 class Sidecar final : private PolicyHost, private RequestContext {
   public:
-    /// Listens; throws std::runtime_error if it cannot. With `trust` builds on trial need valid signed
-    /// metadata.
+    /// Starts to listen; throws std::runtime_error if that fails. With `trust`, builds on trial need valid
+    /// signed metadata.
     explicit Sidecar(const Config& config, const std::optional<TrustConfig>& trust = {});
     ~Sidecar() override;
 
-    /// Until a stop() is complete.
+    /// Runs the event loop until a stop() is complete.
     void run();
-    /// Takes the addresses of discovery and platform from it; requests in flight go on.
+    /// Applies the addresses of discovery and platform; requests in flight are not affected.
     void reload(const Config& config);
     void reload(const TrustConfig& trust);
-    /// Graceful shutdown: it is no longer ready, and run() returns once all requests are answered.
+    /// Graceful shutdown: readiness checks fail, and run() returns once all requests are answered.
     void stop();
     EventLoop& loop() { return loop_; }
     Address address() const { return server_.address(); }
     std::size_t requestsInFlight() const { return handlers_.size(); }
     const TrustManager* trust() const { return trust_ ? &*trust_ : nullptr; }
-    /// Requests whose client left before the response.
+    /// Requests whose client disconnected before the response.
     std::size_t clientDisconnects() const { return clientDisconnects_; }
 
   private:
@@ -50,7 +50,7 @@
     void sendToPeer(int peer, const std::string& bytes) override;
     void vote(Verdict verdict, int build, int stage) override;
     void scheduleTimer(Nanos delay) override;
-    void watchEndpoints() override {}  // endpoints come by themselves
+    void watchEndpoints() override {}  // discovery pushes endpoints
 
     // RequestContext
     Nanos now() const override { return loop_.now(); }
@@ -79,7 +79,7 @@
     std::optional<TrustManager> trust_;
     Timer policyTimer_, drainTimer_, memoryTimer_;
     bool inPolicy_ = false;
-    std::vector<std::function<void()>> effects_;  // asked for by the policy during its call
+    std::vector<std::function<void()>> effects_;  // requested by the policy during its current call
     std::list<std::unique_ptr<RequestHandler>> handlers_;
     std::unordered_set<std::string> idsInFlight_;  // never iterated
     bool loggedReady_ = false;
--- a/src/sidecar/task.hpp
+++ b/src/sidecar/task.hpp
@@ -1,4 +1,4 @@
-// A coroutine that starts at once and whose frame is freed by its owner.
+// A coroutine type that starts eagerly; its owner frees the coroutine frame.
 #pragma once
 
 #include <coroutine>
@@ -9,8 +9,8 @@
 
 namespace lichenlanding::sidecar {
 
-/// Owns the coroutine's frame; destroying it ends the coroutine wherever it is suspended. What the coroutine
-/// throws is logged and ends it.
+/// Owns the coroutine frame; destroying it ends the coroutine wherever it is suspended. An exception thrown
+/// by the coroutine is logged and ends it.
 class Task {
   public:
     struct promise_type {
--- a/src/sidecar/upstream_pool.cpp
+++ b/src/sidecar/upstream_pool.cpp
@@ -8,7 +8,7 @@
 
 std::uint32_t podId(std::string_view name) {  // FNV-1a
     std::uint32_t hash = 2166136261U;
-    for (unsigned char letter : name) hash = (hash ^ letter) * 16777619U;
+    for (unsigned char character : name) hash = (hash ^ character) * 16777619U;
     return hash;
 }
 
@@ -22,13 +22,13 @@
       maxConnections_(static_cast<std::size_t>(maxConnections)) {}
 
 UpstreamHost& UpstreamPool::host(const std::string& name) {
-    auto& slot = hosts_[name];
-    if (!slot) {
-        slot = std::make_unique<UpstreamHost>();
-        slot->name = name;
-        slot->id = podId(name);
+    auto& entry = hosts_[name];
+    if (!entry) {
+        entry = std::make_unique<UpstreamHost>();
+        entry->name = name;
+        entry->id = podId(name);
     }
-    return *slot;
+    return *entry;
 }
 
 UpstreamHost* UpstreamPool::find(const std::string& name) {
@@ -69,7 +69,7 @@
                                        Connection::ResponseHandler onDone) {
     auto* connection = acquire(host);
     if (!connection) {
-        log(LogEvent::pod, "no descriptor left for a connection to " + host.name);
+        log(LogEvent::pod, "connection limit reached, no connection to " + host.name);
         loop_.post([onDone = std::move(onDone)] { onDone({CallResult::noDescriptor}); });
         return nullptr;
     }
@@ -85,9 +85,9 @@
 
 void UpstreamPool::release(UpstreamConnection& connection, bool responded) {
     auto& host = connection.host;
-    // A call without a response casts doubt on the host's other connections. Guards against hosts that
-    // vanished or were partitioned, and devices that drop idle connections: those stay open and silent, and
-    // each would cost a request. Harm: a few new connections to a host that was only slow.
+    // After a call without a response the host's idle connections are closed too. If the host vanished or was
+    // partitioned, or a device in between dropped idle connections, they stay open but silent, and each would
+    // cost a request. If the host was only slow, this costs a few new connections.
     if (!responded) closeIdle(host);
     auto& channel = connection.connection;
     if (!channel.available() || !(channel.address() == host.address)) return destroy(active_, connection);
--- a/src/sidecar/upstream_pool.hpp
+++ b/src/sidecar/upstream_pool.hpp
@@ -1,4 +1,5 @@
-// Connections to pods: kept open, reused the last used first, and closed before the pod's side does it.
+// Pool of connections to pods: kept open, reused most recently used first, and closed before the pod closes
+// them.
 #pragma once
 
 #include <list>
@@ -10,7 +11,7 @@
 
 struct UpstreamHost;
 
-/// A connection to a pod. It is in use from the send to the end of a call, then idle or closed.
+/// A connection to a pod: in use from the sending of a call to its end, then idle or closed.
 struct UpstreamConnection {
     UpstreamConnection(EventLoop& loop, UpstreamHost& host);
 
@@ -20,34 +21,34 @@
     std::list<std::shared_ptr<UpstreamConnection>>::iterator position;  // in the pool's list
 };
 
-/// A pod: the policy's view of it, its address, and its idle connections.
+/// A pod: the policy's state of it, its address, and its idle connections.
 struct UpstreamHost : Pod {
     std::string name;
     Address address;
-    std::vector<UpstreamConnection*> idle;  ///< the last used at the end
+    std::vector<UpstreamConnection*> idle;  ///< the most recently used last
 };
 
 class UpstreamPool {
   public:
-    /// An idle connection is closed after half of `idleTimeout`, the pod's own. `maxConnections`: idle ones
-    /// and those in use, of all pods.
+    /// Idle connections are closed after half of `idleTimeout`, which is the idle timeout of the pods.
+    /// `maxConnections` limits idle and used connections to all pods together.
     UpstreamPool(EventLoop& loop, Nanos connectTimeout, Nanos idleTimeout, int maxConnections);
 
-    /// The host of that name, added at its first mention and never removed.
+    /// The host with that name. It is added by the first call and never removed.
     UpstreamHost& host(const std::string& name);
-    /// Nothing if it was never mentioned.
+    /// nullptr if host() was never called with that name.
     UpstreamHost* find(const std::string& name);
-    /// Connections to the old address are not reused.
+    /// Connections to the previous address are not reused.
     void setAddress(UpstreamHost& host, const Address& address);
     void closeIdle(UpstreamHost& host);
 
     /// Sends a request to a pod; `onDone` is called from the loop. Closing the returned connection cancels
-    /// the call. Nothing, and CallResult::noDescriptor, at the connection limit.
+    /// the call. At the connection limit it returns nullptr, and the result is CallResult::noDescriptor.
     UpstreamConnection* send(UpstreamHost& host, const HttpRequest& request, Nanos timeout,
                              Connection::ResponseHandler onDone);
 
     std::size_t connections() const { return active_.size() + idle_.size(); }
-    /// Ever mentioned.
+    /// Number of hosts, whether in use or not.
     std::size_t hosts() const { return hosts_.size(); }
 
   private:
@@ -62,10 +63,10 @@
     Nanos connectTimeout_, maxIdleTime_;
     std::size_t maxConnections_;
     std::map<std::string, std::unique_ptr<UpstreamHost>> hosts_;
-    Connections active_, idle_;  // idle: the longest idle first
+    Connections active_, idle_;  // idle_: the longest idle first
 };
 
-/// The id of a pod: the same at every sidecar, since messages between sidecars name pods by it.
+/// The id of a pod, by which messages between sidecars name it: the same at every sidecar.
 std::uint32_t podId(std::string_view name);
 
 }  // namespace lichenlanding::sidecar
--- a/src/sidecar/worker_thread.cpp
+++ b/src/sidecar/worker_thread.cpp
@@ -10,12 +10,12 @@
 namespace lichenlanding::sidecar {
 namespace {
 
-constexpr int kNiceness = 10;  // requests go first where the core is shared
+constexpr int kNiceness = 10;  // the event loop has priority where they share a core
 
 }  // namespace
 
 WorkerThread::WorkerThread(EventLoop& loop) : completionEvent_(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
-    if (completionEvent_ < 0) throw std::runtime_error("cannot make an eventfd");
+    if (completionEvent_ < 0) throw std::runtime_error("cannot create an eventfd");
     completionWatch_ = std::make_unique<EventWatch>(loop, completionEvent_, EventWatch::kReadable,
                                                     [this] { runContinuations(); });
     thread_ = std::thread([this] { runJobs(); });
@@ -41,7 +41,7 @@
 }
 
 void WorkerThread::runJobs() {
-    setpriority(PRIO_PROCESS, static_cast<id_t>(syscall(SYS_gettid)), kNiceness);  // of this thread alone
+    setpriority(PRIO_PROCESS, static_cast<id_t>(syscall(SYS_gettid)), kNiceness);  // of this thread only
     while (true) {
         std::unique_lock lock(mutex_);
         wakeUp_.wait(lock, [this] { return stopping_ || !queued_.empty(); });
@@ -54,7 +54,8 @@
         done_.push_back(std::move(job));
         lock.unlock();
         const std::uint64_t one = 1;
-        if (write(completionEvent_, &one, sizeof one) < 0) return;  // cannot be: the counter is far from full
+        if (write(completionEvent_, &one, sizeof one) < 0)
+            return;  // cannot happen: the counter is far from its maximum
     }
 }
 
--- a/src/sidecar/worker_thread.hpp
+++ b/src/sidecar/worker_thread.hpp
@@ -1,5 +1,5 @@
-// One thread beside the event loop, for work that would delay requests: verifying large documents, syncing
-// files.
+// One thread beside the event loop, for work that would delay requests: verification of large documents, and
+// syncing files.
 #pragma once
 
 #include <condition_variable>
@@ -13,14 +13,15 @@
 
 class WorkerThread {
   public:
-    /// Throws std::runtime_error.
+    /// Throws std::runtime_error if the eventfd cannot be created.
     explicit WorkerThread(EventLoop& loop);
-    /// Waits for the job that runs. Queued jobs and all continuations are dropped.
+    /// Waits for the running job. Queued jobs and all continuations are dropped.
     ~WorkerThread();
     WorkerThread(const WorkerThread&) = delete;
 
-    /// Runs `job` on the thread, after those before it, then `continuation` on the loop, also if the job
-    /// threw, which is logged. What the job touches is its own until then.
+    /// Runs `job` on the thread, after all earlier jobs, then `continuation` on the loop. An exception from
+    /// the job is logged, and the continuation still runs. Until then only the job may access the data it
+    /// uses.
     void run(std::function<void()> job, std::function<void()> continuation);
 
   private:
@@ -33,7 +34,7 @@
     int completionEvent_;  // an eventfd, written when a job is done
     std::mutex mutex_;
     std::condition_variable wakeUp_;
-    std::deque<Job> queued_, done_;  // these and stopping_ under the mutex
+    std::deque<Job> queued_, done_;  // guarded by mutex_, like stopping_
     bool stopping_ = false;
     std::unique_ptr<EventWatch> completionWatch_;
     std::thread thread_;
--- a/tests/sidecar/reload_and_shutdown.cpp
+++ b/tests/sidecar/reload_and_shutdown.cpp
@@ -2,8 +2,8 @@
 
 using namespace lichenlanding::sidecar;
 
-// Seen with reloads: SIGHUP ended the process.
-TEST_CASE("a reload moves discovery and platform to their new addresses while requests go on") {
+// Guards against a fault that was seen: SIGHUP for a reload ended the process.
+TEST_CASE("a reload applies new addresses of discovery and platform; a request in flight continues") {
     SidecarFixture fixture;
     fixture.podHandler = [](HttpStandIn& standIn, evhttp_request* request) { standIn.hold(request); };
     fixture.start(1);
@@ -19,7 +19,7 @@
     fixture.sidecar->reload(config);  // twice in a row
     fixture.runUntil([&] { return !registry.pending.empty() && !platform.pending.empty(); });
     CHECK(registry.requestPaths.back() ==
-          "/registry/instances");  // the complete list, not changes since another's revision
+          "/registry/instances");  // the complete list: revisions of another registry do not apply
     CHECK(platform.requestPaths.back() == paths::kRolloutWatch);
     fixture.runUntil([&] { return fixture.discovery->closed == 1 && fixture.platform->closed == 1; });
     fixture.pods[0]->respondToPending(200, "x");
@@ -46,7 +46,7 @@
     fixture.runUntil([&] { return idle.read().find("200 OK") != std::string::npos; });
     slow.write("GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n");
     fixture.runUntil([&] { return slow.read().find("200 OK") != std::string::npos; });
-    slow.write(get);  // half of a request, when the shutdown begins
+    slow.write(get);  // a partial request when the shutdown begins
     open.write(get + "c-1\r\n\r\n");
     fixture.runUntil([&] { return fixture.pods[0]->pending.size() == 1; });
     fixture.sidecar->stop();
@@ -67,8 +67,8 @@
         CHECK(client->read().find("Connection: close") != std::string::npos);
         CHECK(client->read().find("in time") != std::string::npos);
     }
-    const auto past = fixture.loop.now() + 700 * kMs;  // newcomers are over
-    fixture.runUntil([&] { return fixture.loop.now() > past; });
+    const auto afterDrainGrace = fixture.loop.now() + 700 * kMs;  // after the time for new connections
+    fixture.runUntil([&] { return fixture.loop.now() > afterDrainGrace; });
     CHECK(!fixture.sidecar->loop().stopped());
     late.write("c-4\r\n\r\n");
     fixture.runUntil([&] { return fixture.pods[0]->pending.size() == 1; });
--- a/tests/sidecar/request_handler.cpp
+++ b/tests/sidecar/request_handler.cpp
@@ -7,23 +7,24 @@
 TEST_CASE("a request gets attempts and one response, as its path group allows") {
     SidecarFixture fixture;
     fixture.podHandler = [&](HttpStandIn& standIn, evhttp_request* request) {
-        const auto script = fixture.script;
-        if (script == "errs once" && fixture.attempts > 1) return standIn.respond(request, 200, "after all");
-        if (script == "errs once" || script == "errs") return standIn.respond(request, 500, "");
-        if (script == "full") return standIn.respond(request, 503, "", {{"X-Rejected", "1"}});
-        if (script == "busy") return standIn.respond(request, 503, "");
+        const auto podBehavior = fixture.podBehavior;
+        if (podBehavior == "fails once" && fixture.attempts > 1)
+            return standIn.respond(request, 200, "after all");
+        if (podBehavior == "fails once" || podBehavior == "fails") return standIn.respond(request, 500, "");
+        if (podBehavior == "rejects") return standIn.respond(request, 503, "", {{"X-Rejected", "1"}});
+        if (podBehavior == "is busy") return standIn.respond(request, 503, "");
         standIn.respond(request, 200, "register page", {{"Content-Type", "text/plain"}});
     };
     fixture.start(2);
     for (const char* group : {"read", "order", "certify"})
-        for (const char* script : {"serves", "errs once", "full", "busy"}) {
-            fixture.script = script;
+        for (const char* podBehavior : {"responds", "fails once", "rejects", "is busy"}) {
+            fixture.podBehavior = podBehavior;
             fixture.attempts = 0;
             auto response = fixture.sendRequest(group);
             fixture.runUntil([&] { return response->has_value(); });
-            fixture.trace << group << ", pods: " << script << ": " << fixture.attempts << " forwards, answer "
-                          << (*response)->statusCode << " " << (*response)->contentType << " '"
-                          << (*response)->body << "'\n";
+            fixture.trace << group << ", pods: " << podBehavior << ": " << fixture.attempts
+                          << " attempts, response " << (*response)->statusCode << " "
+                          << (*response)->contentType << " '" << (*response)->body << "'\n";
         }
     matchesTrace("request-handling", fixture.trace.str());
 }
@@ -73,14 +74,14 @@
     SidecarFixture fixture;
     fixture.start(1);
     using Headers = std::vector<HttpHeader>;
-    const Headers whole = {{"Host", "h"},
-                           {"X-Call-Id", "c"},
-                           {"X-Call-Class", "order"},
-                           {"X-Budget", "480m"},
-                           {"Idempotency-Key", "k"}};
+    const Headers validHeaders = {{"Host", "h"},
+                                  {"X-Call-Id", "c"},
+                                  {"X-Call-Class", "order"},
+                                  {"X-Budget", "480m"},
+                                  {"Idempotency-Key", "k"}};
     const auto without = [&](const char* name, const char* instead = nullptr) {
         Headers headers;
-        for (const auto& header : whole)
+        for (const auto& header : validHeaders)
             if (header.name != name) headers.push_back(header);
         if (instead) headers.push_back({name, instead});
         return headers;
@@ -95,9 +96,9 @@
         {{EVHTTP_REQ_POST, "/order", without("X-Budget", "nanm"), "x"}, 400},
         {{EVHTTP_REQ_POST, "/order", without("X-Budget", "1e9m"), "x"}, 400},
         {{EVHTTP_REQ_POST, "/order", without("Idempotency-Key"), "x"}, 400},
-        {{EVHTTP_REQ_GET, "/order", whole, ""}, 405},
-        {{EVHTTP_REQ_DELETE, "/order", whole, ""}, 405},
-        {{EVHTTP_REQ_POST, "/order", whole, "x"}, 200}};
+        {{EVHTTP_REQ_GET, "/order", validHeaders, ""}, 405},
+        {{EVHTTP_REQ_DELETE, "/order", validHeaders, ""}, 405},
+        {{EVHTTP_REQ_POST, "/order", validHeaders, "x"}, 200}};
     for (const auto& [request, code] : cases) {
         std::optional<CallResponse> response;
         Connection client(fixture.loop, fixture.sidecar->address(), kMaxBodyBytes);
@@ -106,7 +107,7 @@
         CHECK(response->statusCode == code);
     }
     CHECK(fixture.attempts == 1);
-    auto large = fixture.call({EVHTTP_REQ_POST, "/order", whole, std::string(kMaxBodyBytes + 1, 'x')});
+    auto large = fixture.call({EVHTTP_REQ_POST, "/order", validHeaders, std::string(kMaxBodyBytes + 1, 'x')});
     fixture.runUntil([&] { return large->has_value(); });
     CHECK((*large)->statusCode / 100 != 2);
     CHECK(fixture.attempts == 1);
@@ -143,14 +144,16 @@
             "GET /read HTTP/1.1\r\nHost: h\r\nX-Call-Id: c\r\nX-Call-Class: read\r\nX-Budget: "
             "20000m\r\n\r\n");
         const auto before = fixture.attempts;
-        const auto held = [&] { return fixture.pods[0]->pending.size() + fixture.pods[1]->pending.size(); };
-        fixture.runUntil([&] { return held() == 1; });
+        const auto pendingCount = [&] {
+            return fixture.pods[0]->pending.size() + fixture.pods[1]->pending.size();
+        };
+        fixture.runUntil([&] { return pendingCount() == 1; });
         if (leaves) client->disconnect();
         if (leaves) fixture.runUntil([&] { return fixture.sidecar->clientDisconnects() == 1; });
         for (auto& pod : fixture.pods) pod->respondToPending(503, "", {{"X-Rejected", "1"}});
-        // A request that is waited for is retried at the other pod; one that nobody waits for ends.
+        // With a connected client the request is retried at the other pod; without one it ends.
         if (leaves) fixture.runUntil([&] { return fixture.sidecar->requestsInFlight() == 0; });
-        else fixture.runUntil([&] { return held() == 1; });
+        else fixture.runUntil([&] { return pendingCount() == 1; });
         CHECK(fixture.attempts - before == (leaves ? 1 : 2));
         for (auto& pod : fixture.pods) pod->respondToPending(200, "x");
         fixture.runUntil([&] { return fixture.sidecar->requestsInFlight() == 0; });
@@ -164,26 +167,27 @@
     for (const char* group : {"certify", "read"}) {
         auto response = fixture.sendRequest(group, "60m");
         fixture.runUntil([&] { return response->has_value(); });
-        CHECK((*response)->statusCode == 500);  // it may still run, so it is not rejected
+        CHECK((*response)->statusCode == 500);  // it may still be executed, so it is not rejected
     }
     fixture.runUntil([&] { return fixture.pods[0]->closed >= 1; });
 }
 
-TEST_CASE("without descriptors requests are rejected or wait, and the process goes on") {
+TEST_CASE("without free descriptors requests are rejected or wait, and the process continues") {
     SidecarFixture fixture;
     fixture.start(2, 70);  // 70 descriptors: three connections to pods
     fixture.podHandler = [](HttpStandIn& standIn, evhttp_request* request) { standIn.hold(request); };
-    std::vector<std::shared_ptr<std::optional<CallResponse>>> asked;
-    for (int turn = 0; turn < 6; ++turn) asked.push_back(fixture.sendRequest("certify"));
-    const auto ended = [&] {
-        return std::count_if(asked.begin(), asked.end(), [](auto& one) { return one->has_value(); });
+    std::vector<std::shared_ptr<std::optional<CallResponse>>> responses;
+    for (int turn = 0; turn < 6; ++turn) responses.push_back(fixture.sendRequest("certify"));
+    const auto responseCount = [&] {
+        return std::count_if(responses.begin(), responses.end(),
+                             [](auto& response) { return response->has_value(); });
     };
-    fixture.runUntil([&] { return ended() >= 3; });
-    for (auto& one : asked)
-        if (*one) CHECK((*one)->statusCode == 503);  // it was never executed, so it is rejected
+    fixture.runUntil([&] { return responseCount() >= 3; });
+    for (auto& response : responses)
+        if (*response) CHECK((*response)->statusCode == 503);  // it was never executed, so it is rejected
     for (auto& pod : fixture.pods) pod->respondToPending(200, "x");
-    fixture.runUntil([&] { return ended() == 6; });
-    // And the process's own table: no socket can be opened for a while, on either side.
+    fixture.runUntil([&] { return responseCount() == 6; });
+    // Then the process's descriptor table is full: for a while neither side can open a socket.
     rlimit before{};
     getrlimit(RLIMIT_NOFILE, &before);
     fixture.podHandler = [](HttpStandIn& standIn, evhttp_request* request) {
@@ -200,7 +204,7 @@
         "GET /read HTTP/1.1\r\nHost: h\r\nX-Call-Class: read\r\nX-Budget: 20000m\r\nX-Call-Id: ";
     first.write(get + "c-8\r\n\r\n");
     for (int turn = 0; turn < 200; ++turn) fixture.runOnce();
-    CHECK(first.read().empty());  // not accepted, and the listener rests
+    CHECK(first.read().empty());  // not accepted; the listener is paused
     setrlimit(RLIMIT_NOFILE, &before);
     second.write(get + "c-9\r\n\r\n");
     fixture.runUntil([&] { return second.read().find("200 OK") != std::string::npos; });
--- a/tests/sidecar/start_and_reload.sh
+++ b/tests/sidecar/start_and_reload.sh
@@ -1,10 +1,10 @@
 #!/bin/sh
-# The sidecar's manners at start: what is missing is named in one line, with a non-zero status.
+# At start a missing setting is reported in one line, with a non-zero exit status.
 set -eu
 sidecar=$1
 fails() {
-    if said=$("$sidecar" 2>&1); then exit 1; fi
-    test "$said" = "lichenlanding: $1" || { echo "said: $said"; exit 1; }
+    if output=$("$sidecar" 2>&1); then exit 1; fi
+    test "$output" = "lichenlanding: $1" || { echo "output: $output"; exit 1; }
 }
 unset RELAY_CONFIG RELAY_NAME RELAY_LISTEN RELAY_DISCOVERY
 fails "environment: RELAY_CONFIG is missing"
@@ -15,7 +15,7 @@
 echo '{"name":"n0","listen":"127.0.0.1:1","discovery":"127.0.0.1:1"}' > "$RELAY_CONFIG"
 fails "configuration: field seed is missing or cannot be read"
 
-# SIGHUP has the file read again; one that cannot be read leaves the old one in force, and ends nothing.
+# SIGHUP reloads the file. If it cannot be read, the old configuration stays in force and the process continues.
 config() {
     echo '{"name":"n0","listen":"127.0.0.1:'$1'","discovery":"127.0.0.1:1","seed":"7","limits":{"sockets":64},
       "deployer":{"address":"127.0.0.1:'$2'"},"settings":{"index":0,"balancers":1,"zones":["a"],"zone":"a","tickMs":5,
@@ -26,21 +26,21 @@
       "answerWaitMs":800,"callsPerS":250}}}' > "$RELAY_CONFIG"
 }
 log=$(mktemp)
-said() {  # waits for a line of the log
+wait_for_log() {  # waits until a line of the log matches
     for turn in $(seq 300); do
         if grep -q "$1" "$log"; then return 0; fi
         sleep 0.1
     done
-    echo "never said: $1"; cat "$log"; exit 1
+    echo "not logged: $1"; cat "$log"; exit 1
 }
-for port in $(seq 21000 37 23000); do  # the first that is free
+for port in $(seq 21000 37 23000); do  # takes the first free port
     config "$port" 2
     "$sidecar" 2> "$log" &
     pid=$!
-    said 'start: \|cannot listen'
+    wait_for_log 'start: \|cannot listen'
     if grep -q 'start: ' "$log"; then break; fi
 done
-# As the fleet's bench allows: linked against the C library, no child, one thread, sockets of IPv4 alone.
+# What the fleet's bench allows: dynamically linked with the C library, no child, one thread, IPv4 sockets only.
 readelf -l "$sidecar" | grep -q 'program interpreter' || { echo "not linked dynamically"; exit 1; }
 if pgrep -P "$pid" >/dev/null || [ "$(ls /proc/"$pid"/task | wc -l)" -ne 1 ]; then echo "a child or a thread"; exit 1; fi
 for inode in $(ls -l /proc/"$pid"/fd | sed -n 's/.*socket:\[\([0-9]*\)\].*/\1/p'); do
@@ -49,10 +49,10 @@
 done
 config "$port" 3
 kill -HUP "$pid"
-said 'reloaded: .*127.0.0.1:3'
+wait_for_log 'reloaded: .*127.0.0.1:3'
 echo '{' > "$RELAY_CONFIG"
 kill -HUP "$pid"
-said 'reload failed, configuration unchanged'
+wait_for_log 'reload failed, configuration unchanged'
 kill -HUP "$pid"; kill -TERM "$pid"
 wait "$pid"
 rm -f "$log"
--- a/tests/sidecar/upstream_pool.cpp
+++ b/tests/sidecar/upstream_pool.cpp
@@ -3,7 +3,9 @@
 
 using namespace lichenlanding::sidecar;
 
-TEST_CASE("connections to a pod are reused, the last used first, and closed when idle or moved") {
+TEST_CASE(
+    "connections to a pod are reused, the most recently used first, and closed when idle or at an old "
+    "address") {
     SidecarFixture fixture;
     HttpStandIn pod(fixture.loop, [](auto& standIn, auto* request) { standIn.hold(request); });
     UpstreamPool pool(fixture.loop, 5000 * kMs, 60000 * kMs, 2);
@@ -22,16 +24,16 @@
     send();
     fixture.runUntil([&] { return pod.pending.size() == 2 && ended == 1; });
     CHECK(noDescriptor == 1);
-    const auto second = HttpStandIn::portOf(pod.pending[1]);
+    const auto secondPort = HttpStandIn::portOf(pod.pending[1]);
     pod.respondToPending(200, "x");
     fixture.runUntil([&] { return ended == 3; });
     CHECK(host.idle.size() == 2);
     send();
     fixture.runUntil([&] { return pod.pending.size() == 1; });
-    CHECK(pod.portOf(pod.pending[0]) == second);
+    CHECK(pod.portOf(pod.pending[0]) == secondPort);
     pod.respondToPending(200, "x");
     fixture.runUntil([&] { return ended == 4; });
-    SUBCASE("moved to another address") {
+    SUBCASE("closed when the pod moves to another address") {
         HttpStandIn other(fixture.loop,
                           [](auto& standIn, auto* request) { standIn.respond(request, 200, "y"); });
         pool.setAddress(host, other.address);
@@ -40,7 +42,7 @@
         fixture.runUntil([&] { return ended == 5; });
         CHECK(other.requestPaths.size() == 1);
     }
-    SUBCASE("in doubt once a call on another brings no answer") {
+    SUBCASE("closed after a call on another connection got no response") {
         pool.send(host, {EVHTTP_REQ_GET, "/read", {{"Host", "h"}}, {}}, 10 * kMs,
                   [&](CallResponse) { ++ended; });
         fixture.runUntil([&] { return ended == 5; });
@@ -67,7 +69,8 @@
     fixture.runUntil([&] { return pod.closed == 1; });
 }
 
-TEST_CASE("a pod that is listed with another start or build, or removed, loses its idle connections") {
+TEST_CASE(
+    "a pod that is listed with another start time or build, or as removed, loses its idle connections") {
     SidecarFixture fixture;
     HttpStandIn registry(fixture.loop, [](auto& standIn, auto* request) { standIn.hold(request); });
     HttpStandIn pod(fixture.loop, [](auto& standIn, auto* request) { standIn.respond(request, 200, "x"); });
@@ -76,13 +79,13 @@
     std::map<int, Build> builds;
     DiscoveryClient discovery(fixture.loop, registry.address, 5000 * kMs,
                               limits::ReconnectBackoff(DiscoveryClient::kIdleTimeout, 1), zones, pool,
-                              [&](bool, std::vector<EndpointUpdate> lines) {
-                                  for (auto& line : lines) {  // as the decisions do
-                                      line.pod->startedAt = line.startedAt;
-                                      line.pod->build = &(builds[line.build] = {line.build, {}});
+                              [&](bool, std::vector<EndpointUpdate> updates) {
+                                  for (auto& update : updates) {  // as the policy does
+                                      update.pod->startedAt = update.startedAt;
+                                      update.pod->build = &(builds[update.build] = {update.build, {}});
                                   }
                               });
-    const auto list = [&](const char* phase, const char* since, const char* build) {
+    const auto listing = [&](const char* phase, const char* since, const char* build) {
         return parseEndpointList(R"({"revision":41,"complete":true,"members":[{"id":"s-1","host_port":")" +
                                  pod.address.text() + R"(","locality":"a","phase":")" + phase +
                                  R"(","up_since_ms":)" + since + R"(,"image_id":)" + build + "}]}");
@@ -94,9 +97,9 @@
         {"up", "1700000000000", "42", 0},
         {"draining", "1700000000000", "42", 1},
         {"removed", "1700000000000", "42", 0}};
-    for (const auto& [phase, since, build, kept] : listings) {
-        discovery.start(list(phase, since, build));
-        CHECK(pool.connections() == kept);
+    for (const auto& [phase, since, build, expectedConnections] : listings) {
+        discovery.start(listing(phase, since, build));
+        CHECK(pool.connections() == expectedConnections);
         bool ended = false;
         pool.send(pool.host("s-1"), {EVHTTP_REQ_GET, "/read", {{"Host", "h"}}, {}}, 0,
                   [&](CallResponse) { ended = true; });
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -1,4 +1,4 @@
-// A whole sidecar among stand-ins for pods, discovery and platform, on free loopback ports.
+// A complete sidecar with test servers as pods, discovery and platform, on free loopback ports.
 #pragma once
 
 #include <chrono>
@@ -8,7 +8,7 @@
 #include "support/http_stand_in.hpp"
 #include "support/policy_fixture.hpp"
 
-/// The event loops of both sides run in this thread, one pass each, until a condition holds.
+/// Runs the event loops of the sidecar and the test in this thread, one pass each, until a condition holds.
 class SidecarFixture {
   public:
     ~SidecarFixture() {
@@ -52,7 +52,7 @@
         loop.runOnce();
         if (sidecar) sidecar->loop().runOnce();
     }
-    /// Gives up only after far longer than anything here takes, so that a slow machine changes no result.
+    /// Fails after 30 s, far longer than any step takes, so that a slow machine does not change the result.
     template <typename Condition>
     void runUntil(Condition&& condition) {
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -61,33 +61,34 @@
             runOnce();
         }
     }
-    /// Nothing until the response has come.
+    /// Empty until the response has arrived.
     using PendingResponse = std::shared_ptr<std::optional<sidecar::CallResponse>>;
     PendingResponse call(const sidecar::HttpRequest& request) {
-        auto slot = std::make_shared<std::optional<sidecar::CallResponse>>();
+        auto pendingResponse = std::make_shared<std::optional<sidecar::CallResponse>>();
         connections_.push_back(std::make_unique<sidecar::Connection>(loop, sidecar->address(), 1 << 20));
-        connections_.back()->call(request, 5000 * kMs, 0,
-                                  [slot](sidecar::CallResponse response) { *slot = std::move(response); });
-        return slot;
+        connections_.back()->call(request, 5000 * kMs, 0, [pendingResponse](sidecar::CallResponse response) {
+            *pendingResponse = std::move(response);
+        });
+        return pendingResponse;
     }
     PendingResponse sendRequest(const std::string& group, const char* budget = "20000m") {
-        const bool read = group == "read";
-        return call({read ? EVHTTP_REQ_GET : EVHTTP_REQ_POST,
+        const bool isRead = group == "read";
+        return call({isRead ? EVHTTP_REQ_GET : EVHTTP_REQ_POST,
                      "/" + group,
                      {{"Host", "origin.svc"},
                       {"X-Call-Id", "c-" + std::to_string(connections_.size())},
                       {"X-Call-Class", group},
                       {"X-Budget", budget},
                       {"Idempotency-Key", "k"}},
-                     read ? "" : "extract"});
+                     isRead ? "" : "extract"});
     }
 
     sidecar::EventLoop loop;
     std::optional<sidecar::TrustConfig> trust;
     std::function<void(sidecar::Config&)> changeConfig;  // before the sidecar starts
     HttpStandIn::Handler podHandler;
-    std::string script;
-    int attempts = 0;  // that pods have received
+    std::string podBehavior;  // for handlers that the test defines
+    int attempts = 0;         // received by pods
     std::stringstream trace;
     std::unique_ptr<HttpStandIn> discovery, platform;
     std::vector<std::unique_ptr<HttpStandIn>> pods;
