--- a/tests/support/event_loop_fixture.hpp
+++ b/tests/support/event_loop_fixture.hpp
@@ -1,4 +1,4 @@
-// A loop that is driven until something is so, or until a task has ended. Nothing waits for time to pass.
+// Runs an event loop until a condition holds or a task has ended, without waiting for a fixed time.
 #pragma once
 
 #include <optional>
@@ -11,22 +11,23 @@
 using namespace lichenlanding::transport;
 
 template <typename Done>
-void runUntil(asio::io_context& io, int maxTurns, Done done) {
-    for (int turns = 0; !done(); ++turns) {
-        CPPUNIT_ASSERT_MESSAGE("nothing happens any more", io.run_one_for(std::chrono::seconds(8)) > 0);
-        CPPUNIT_ASSERT(turns < maxTurns);
+void runUntil(asio::io_context& io, int maxSteps, Done done) {
+    for (int steps = 0; !done(); ++steps) {
+        CPPUNIT_ASSERT_MESSAGE("event loop idle before the condition held",
+                               io.run_one_for(std::chrono::seconds(8)) > 0);
+        CPPUNIT_ASSERT(steps < maxSteps);
     }
 }
 
-// What a task comes to; `until` runs the loop.
+// Returns the result of a task; `until` runs the loop.
 template <typename Result, typename Until>
 Result runTask(asio::io_context& io, Task<Result> task, Until until) {
-    std::optional<Result> ended;
-    spawn(io, "task", [](Task<Result> task_, std::optional<Result>& ended_) -> Task<> {
-        ended_ = co_await std::move(task_);
-    }(std::move(task), ended));
-    until([&] { return ended.has_value(); });
-    return std::move(*ended);
+    std::optional<Result> value;
+    spawn(io, "task", [](Task<Result> task_, std::optional<Result>& value_) -> Task<> {
+        value_ = co_await std::move(task_);
+    }(std::move(task), value));
+    until([&] { return value.has_value(); });
+    return std::move(*value);
 }
 
 }  // namespace event_loop_fixture
