--- a/tests/support/http_server_fixture.hpp
+++ b/tests/support/http_server_fixture.hpp
@@ -85,7 +85,7 @@
     }
     template <typename Done>
     void until(Done done) {
-        event_loop_fixture::until(io, 100'000, done);
+        event_loop_fixture::runUntil(io, 100'000, done);
     }
     void pollUntilIdle() {
         while (io.poll() > 0) {
