--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -223,7 +223,7 @@
 std::set<std::string> ControlPlane::reachablePeers() const {
     std::set<std::string> reachable;
     for (const auto& address : peers_.connected())
-        if (replica_.hearsPeer(address)) reachable.insert(address);
+        if (replica_.isPeerReachable(address)) reachable.insert(address);
     return reachable;
 }
 
--- a/src/control_plane/quorum_contact_monitor.cpp
+++ b/src/control_plane/quorum_contact_monitor.cpp
@@ -77,7 +77,7 @@
     return heard >= epoch.majority();
 }
 
-bool QuorumContactMonitor::hearsPeer(const std::string& address) const {
+bool QuorumContactMonitor::isPeerReachable(const std::string& address) const {
     const auto* peer = peers_.find(address);
     return peers_.connection(address) && peer && answeredLately(*peer);
 }
--- a/src/control_plane/quorum_contact_monitor.hpp
+++ b/src/control_plane/quorum_contact_monitor.hpp
@@ -38,7 +38,7 @@
     /// A majority of an epoch that may not be open yet was heard of late, with the disks that it names.
     bool isMajorityHeard(const consensus::Epoch& epoch) const;
     /// This peer is connected and has answered a ping of late.
-    bool hearsPeer(const std::string& address) const;
+    bool isPeerReachable(const std::string& address) const;
     Nanos contactSince() const {
         return contactSince_;
     }  ///< when no majority was in reach, for the last time
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -20,13 +20,13 @@
 
 }  // namespace
 
-ReplicaNode::ReplicaNode(asio::io_context& io, const config::BootstrapSettings& boot, Owner owner,
+ReplicaNode::ReplicaNode(asio::io_context& io, const config::BootstrapSettings& boot, Callbacks callbacks,
                          Opener opener)
-    : owner_(std::move(owner)),
+    : callbacks_(std::move(callbacks)),
       address_(boot.peerAddress(boot.ip)),
       seeds_(seedAddresses(boot)),
       storage_(io, {address_, seeds_, boot.bootstrap}, std::move(opener), storageHooks()),
-      learner_(storage_, [this](const std::string& key) { owner_.onValueLearned(key); }),
+      learner_(storage_, [this](const std::string& key) { callbacks_.onValueLearned(key); }),
       epochs_(storage_, [this] { onEpochOpened(); }),
       contact_(boot, peers_, storage_, epochs_, learner_, contactHooks()),
       broker_(storage_, peers_, address_),
@@ -50,7 +50,7 @@
 }
 
 QuorumContactMonitor::Hooks ReplicaNode::contactHooks() {
-    return {[this] { owner_.onMembershipChanged(); }, [this] { catchUp_.startReadingAll(); }};
+    return {[this] { callbacks_.onMembershipChanged(); }, [this] { catchUp_.startReadingAll(); }};
 }
 
 void ReplicaNode::open() {
@@ -62,7 +62,7 @@
 void ReplicaNode::onEpochOpened() {
     broker_.notifyAll();
     contact_.pingAll();  // who answers as one of its members is in contact
-    owner_.onMembershipChanged();
+    callbacks_.onMembershipChanged();
 }
 
 Task<> ReplicaNode::run() {
--- a/src/control_plane/replica_node.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -34,12 +34,12 @@
     using Known = KnownValue;
     using Opener = ReplicaStorage::Opener;
     /// What the host does with the replica.
-    struct Owner {
+    struct Callbacks {
         std::function<void(const std::string& key)> onValueLearned;  ///< another value of a key is in force
         std::function<void()> onMembershipChanged;  ///< other members, or contact has come or gone
     };
 
-    ReplicaNode(transport::asio::io_context& io, const config::BootstrapSettings& boot, Owner owner,
+    ReplicaNode(transport::asio::io_context& io, const config::BootstrapSettings& boot, Callbacks callbacks,
                 Opener opener);
 
     /// Opens a store in the settings' data_dir.
@@ -70,7 +70,7 @@
     bool isVotingMember() const { return storage_.isVotingMember(); }  ///< it is part of majorities
     std::set<std::string> members() const { return epochs_.memberAddresses(); }
     const consensus::Epoch& epoch() const { return epochs_.open(); }  ///< number 0: founding, or none known
-    bool hearsPeer(const std::string& address) const { return contact_.hearsPeer(address); }
+    bool isPeerReachable(const std::string& address) const { return contact_.isPeerReachable(address); }
     std::size_t connectedPeerCount() const { return peers_.connectedCount(); }
     Json describe() const;  ///< for the `status` command
 
@@ -87,7 +87,7 @@
     void handleReply(const PeerConnection& connection, const Json& message);
     Json describeMembers() const;
 
-    Owner owner_;
+    Callbacks callbacks_;
     const std::string address_;
     const std::vector<std::string> seeds_;  // internal addresses, sorted
     PeerDirectory peers_;
--- a/tests/control_plane/replica_node.cpp
+++ b/tests/control_plane/replica_node.cpp
@@ -22,15 +22,15 @@
         auto& stuck = cluster.disks[1];
         stuck.set(stuck.hangs, true);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(0, "two", 3 * kSecond));
-        cluster.until("the disk hangs", [&] { return stuck.held() >= 1; });  // in the middle of it
+        cluster.until("the disk hangs", [&] { return stuck.pendingWrites() >= 1; });  // in the middle of it
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.write(1, "three", 3 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.read(2));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.read(1));
         auto& second = cluster.disks[2];
         second.set(second.hangs, true);
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(0, "four", 150 * kMillisecond));
-        for (const auto& member : cluster.members)
-            for (const auto& told : member->told) CPPUNIT_ASSERT(told != "four");
+        for (const auto& node : cluster.nodes)
+            for (const auto& told : node->learnedValues) CPPUNIT_ASSERT(told != "four");
         stuck.set(stuck.hangs, false), second.set(second.hangs, false);
         const auto after = cluster.read(1);  // it may have come into force or not, but then for all
         CPPUNIT_ASSERT(after == "three" || after == "four");
@@ -43,15 +43,15 @@
     // way for ever. Each write is asked for once, with the time that an operator's order has.
     void completesWritesBetweenDistantMembers() {
         Cluster cluster(6, 6);
-        for (const auto& member : cluster.members) member->away = 12 * kMillisecond;
+        for (const auto& node : cluster.nodes) node->messageDelay = 12 * kMillisecond;
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3, 4, 5}); });
         for (int round = 0; round < 20; ++round) {
             const auto value = std::to_string(round);
             CPPUNIT_ASSERT_EQUAL(value, cluster.write(round % 6, value, 900 * kMillisecond));
         }
         cluster.until("all know the last", [&] {
-            return std::all_of(cluster.members.begin(), cluster.members.end(), [](const auto& member) {
-                return member->replica->known(control_plane::kConfigurationKey).value == "19";
+            return std::all_of(cluster.nodes.begin(), cluster.nodes.end(), [](const auto& node) {
+                return node->replica->known(control_plane::kConfigurationKey).value == "19";
             });
         });
     }
@@ -85,7 +85,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(1, "two", 150 * kMillisecond));
         first.set(first.full, false);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(1, "two", 3 * kSecond));
-        CPPUNIT_ASSERT(first.cells.contains(control_plane::kConfigurationKey));
+        CPPUNIT_ASSERT(first.registerStates.contains(control_plane::kConfigurationKey));
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(ReplicaNodeTest);
--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -738,15 +738,15 @@
         replica_fixture::Cluster cast(4, 4);
         std::set<std::string> kinds;
         std::vector<Json> all;
-        for (auto& member : cast.members)
-            member->overheard = [&](const PeerConnection&, const Json& told) {
+        for (auto& node : cast.nodes)
+            node->onDelivered = [&](const PeerConnection&, const Json& told) {
                 const auto kind = told.at("t").get<std::string>();
                 if (kind == "hello") return;  // its kind and name are the host's
                 kinds.insert(kind), all.push_back(told);
             };
         cast.until("contact", [&] { return cast.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("value"), cast.write(0, "value"));
-        cast.members[1]->kill();
+        cast.nodes[1]->kill();
         cast.until("another sits in its place", [&] { return cast.replica(3).isVotingMember(); });
         cast.until("its word", [&] { return kinds.size() == 6; });
         for (const auto& told : all) sameFields(told);
--- a/tests/membership/founding.cpp
+++ b/tests/membership/founding.cpp
@@ -42,7 +42,7 @@
         Cluster cluster(5);
         for (const int at : {3, 0, 4, 2, 1}) cluster.launch(at, true);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3, 4}); });
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.registers().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.memberSets().size());
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(0).members().size());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(4, "one"));
         for (int at = 0; at < 5; ++at) CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(at));
@@ -60,10 +60,10 @@
         };
         for (int at = 0; at < 3; ++at) cluster.launch(at, true);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.registers().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.memberSets().size());
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(0).members().size());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        cluster.members[0]->kill();
+        cluster.nodes[0]->kill();
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(1));
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(2, "two"));
     }
@@ -95,7 +95,7 @@
         };
         for (const int at : {3, 4, 5, 0, 1, 2}) cluster.launch(at, true);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3, 4, 5}); });
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.registers().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.memberSets().size());
         for (const int at : {3, 4, 5}) CPPUNIT_ASSERT(cluster.replica(at).isVotingMember());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(1, "one"));
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(4));
@@ -108,15 +108,15 @@
             for (int writes = 0; writes < 6; ++writes) {
                 Cluster cluster(3, 3);
                 cluster.until("as many writes", [&] {
-                    return cluster.disks[victim].written() >= writes ||
+                    return cluster.disks[victim].writeCount() >= writes ||
                            cluster.replica(victim).hasQuorumContact();
                 });
-                cluster.members[victim]->kill();
+                cluster.nodes[victim]->kill();
                 cluster.launch(victim, false);
                 cluster.until("all are in contact again", [&] {
                     return cluster.hasQuorumContact({0, 1, 2});
                 });
-                CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.registers().size());
+                CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.memberSets().size());
                 CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(victim, "one"));
                 CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read((victim + 1) % 3));
             }
@@ -124,12 +124,12 @@
         Cluster cluster(3, 3);
         cluster.until("each has written", [&] {
             return std::all_of(cluster.disks.begin(), cluster.disks.end(),
-                               [](Disk& disk) { return disk.written() >= 1; });
+                               [](Disk& disk) { return disk.writeCount() >= 1; });
         });
-        for (auto& member : cluster.members) member->kill();
+        for (auto& node : cluster.nodes) node->kill();
         for (int at = 0; at < 3; ++at) cluster.launch(at, false);
         cluster.until("all are in contact again", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.registers().size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.memberSets().size());
     }
 
     // Two of three seeds with nothing on their disks and no word that it is the first start: nothing is
@@ -151,23 +151,23 @@
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
         cluster.until("it holds it", [&] {
-            return cluster.disks[0].image().first[control_plane::kConfigurationKey].value == "one";
+            return cluster.disks[0].snapshot().first[control_plane::kConfigurationKey].value == "one";
         });
-        for (auto& member : cluster.members) member->kill();
+        for (auto& node : cluster.nodes) node->kill();
         for (int lost : {1, 2}) cluster.disks[lost].restore({});
         cluster.launch(0, false), cluster.launch(1, false), cluster.launch(2, false);
         int turns = 0;
         cluster.until("they have met",
                       [&] { return ++turns > 3000 && cluster.replica(0).connectedPeerCount() == 2; });
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(0, "two", 3600 * kSecond));
-        cluster.members[0]->kill();
+        cluster.nodes[0]->kill();
 
         const auto folder = std::filesystem::temp_directory_path() / ("found-" + std::to_string(getpid()));
         std::filesystem::create_directories(folder);
-        const auto image = cluster.disks[0].image();
+        const auto image = cluster.disks[0].snapshot();
         const auto command = [&](const std::string& more) {
             return std::string(GATEWAY) + " store found " + folder.string() + " --address " +
-                   cluster.members[0]->at() + more + " > /dev/null";
+                   cluster.nodes[0]->ownAddress() + more + " > /dev/null";
         };
         {
             storage::LmdbReplicaStore store(folder.string(), 8 << 20);
@@ -186,7 +186,7 @@
         cluster.launch(0, false);
         cluster.until("there is a register of three again", [&] {
             return cluster.replica(0).hasQuorumContact() && cluster.replica(0).members().size() == 3 &&
-                   cluster.registers().size() == 1;
+                   cluster.memberSets().size() == 1;
         });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(2));
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(1, "two"));
@@ -201,7 +201,7 @@
                 (at ? "," : "") + ("127.0.3." + std::to_string(at + 1)) + ":" + std::to_string(cluster.port);
         for (auto& disk : cluster.disks) {
             disk.notes["members"] = members;
-            disk.cells[control_plane::kConfigurationKey] = {{3, 7}, {3, 7}, "kept"};
+            disk.registerStates[control_plane::kConfigurationKey] = {{3, 7}, {3, 7}, "kept"};
         }
         for (int at = 0; at < 3; ++at) cluster.launch(at, false);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
--- a/tests/membership/reconfiguration.cpp
+++ b/tests/membership/reconfiguration.cpp
@@ -24,14 +24,14 @@
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        cluster.members[0]->cut = true;
+        cluster.nodes[0]->partitioned = true;
         cluster.until("it knows", [&] { return !cluster.replica(0).hasQuorumContact(); });
         // So do the others, long before its links are given up.
-        const auto silent = cluster.members[0]->at();
+        const auto silent = cluster.nodes[0]->ownAddress();
         cluster.until("it is heard no more", [&] {
-            return !cluster.replica(1).hearsPeer(silent) && !cluster.replica(2).hearsPeer(silent);
+            return !cluster.replica(1).isPeerReachable(silent) && !cluster.replica(2).isPeerReachable(silent);
         });
-        CPPUNIT_ASSERT(cluster.replica(1).hearsPeer(cluster.members[2]->at()));
+        CPPUNIT_ASSERT(cluster.replica(1).isPeerReachable(cluster.nodes[2]->ownAddress()));
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), cluster.replica(1).connectedPeerCount());
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(0, "lost", 3600 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("-"),
@@ -40,7 +40,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(1, "two"));
         CPPUNIT_ASSERT_EQUAL(std::string("one"),
                              cluster.replica(0).known(control_plane::kConfigurationKey).value);
-        cluster.members[0]->cut = false;
+        cluster.nodes[0]->partitioned = false;
         cluster.until("contact is back", [&] { return cluster.replica(0).hasQuorumContact(); });
         // In contact means read from a majority since.
         CPPUNIT_ASSERT_EQUAL(std::string("two"),
@@ -55,13 +55,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
         const auto first = cluster.replica(0).members();
         for (int at = 0; at < 6; ++at) {
-            if (!first.contains(cluster.members[at]->at())) continue;
+            if (!first.contains(cluster.nodes[at]->ownAddress())) continue;
             const auto epoch = cluster.replica(at).epoch().number;
-            const auto gone = cluster.members[at]->at();
-            cluster.members[at]->kill();
+            const auto gone = cluster.nodes[at]->ownAddress();
+            cluster.nodes[at]->kill();
             int witness = -1;
             for (int other = 0; other < 6; ++other)
-                if (!cluster.members[other]->gone) witness = other;
+                if (!cluster.nodes[other]->stopped) witness = other;
             cluster.until("its place is taken", [&] {
                 return cluster.replica(witness).epoch().number > epoch &&
                        !cluster.replica(witness).members().contains(gone) &&
@@ -70,14 +70,14 @@
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(witness).members().size());
             CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(witness));
         }
-        cluster.until("all know the same members", [&] { return cluster.registers().size() == 1; });
+        cluster.until("all know the same members", [&] { return cluster.memberSets().size() == 1; });
         // Two of the first come back with their disks: they are spares, and are told so.
         for (int at = 0; at < 2; ++at)
-            if (cluster.members[at]->gone) {
+            if (cluster.nodes[at]->stopped) {
                 cluster.launch(at, false);
                 cluster.until("it knows its place", [&] {
                     return cluster.replica(at).hasQuorumContact() && !cluster.replica(at).isVotingMember() &&
-                           !cluster.replica(at).members().contains(cluster.members[at]->at());
+                           !cluster.replica(at).members().contains(cluster.nodes[at]->ownAddress());
                 });
                 CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(at));
             }
@@ -97,9 +97,9 @@
         const int gone = votingMembers[0];
         const int full = votingMembers[1];
         const int other = votingMembers[2];
-        cluster.members[gone]->kill();
+        cluster.nodes[gone]->kill();
         cluster.until("it has sealed", [&] {
-            return cluster.disks[full].image().second["standing"].find("\"next\"") != std::string::npos;
+            return cluster.disks[full].snapshot().second["standing"].find("\"next\"") != std::string::npos;
         });
         cluster.disks[full].set(cluster.disks[full].full, true);
         cluster.until("the place is taken", [&] {
@@ -109,7 +109,7 @@
         CPPUNIT_ASSERT(!cluster.replica(full).isVotingMember());
         cluster.disks[full].set(cluster.disks[full].full, false);
         cluster.until("it counts again", [&] { return cluster.replica(full).isVotingMember(); });
-        cluster.members[spare]->kill();
+        cluster.nodes[spare]->kill();
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.read(other));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.write(full, "three"));
     }
@@ -132,21 +132,21 @@
         int witness = 0;
         while (cluster.replica(witness).isVotingMember()) ++witness;
         for (const int at : first) {
-            cluster.members[at]->kill();
-            takesOver(cluster.members[at]->at(), witness);
+            cluster.nodes[at]->kill();
+            takesOver(cluster.nodes[at]->ownAddress(), witness);
         }
         cluster.launch(first[0], false);
-        const auto back = cluster.members[first[0]]->at();
+        const auto back = cluster.nodes[first[0]]->ownAddress();
         cluster.until("it is a spare", [&] { return cluster.replica(first[0]).hasQuorumContact(); });
         // Members go on falling, one at a time and never a spare (a second loss that nobody knows
         // of yet), until it is needed.
         while (!cluster.replica(witness).members().contains(back)) {
             int next = 0;
             while (next == witness ||
-                   !cluster.replica(witness).members().contains(cluster.members[next]->at()))
+                   !cluster.replica(witness).members().contains(cluster.nodes[next]->ownAddress()))
                 ++next;
-            cluster.members[next]->kill();
-            takesOver(cluster.members[next]->at(), witness);
+            cluster.nodes[next]->kill();
+            takesOver(cluster.nodes[next]->ownAddress(), witness);
         }
         CPPUNIT_ASSERT(cluster.replica(witness).members().contains(back));
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(first[0]));
@@ -171,10 +171,10 @@
             if (at != late) others.push_back(at);
         cluster.until("all hold it", [&] {
             return std::all_of(cluster.disks.begin(), cluster.disks.end(), [](Disk& disk) {
-                return disk.image().first[control_plane::kConfigurationKey].value == "one";
+                return disk.snapshot().first[control_plane::kConfigurationKey].value == "one";
             });
         });
-        for (auto& member : cluster.members) member->kill();
+        for (auto& node : cluster.nodes) node->kill();
         for (const int at : others) cluster.launch(at, false);
         cluster.until("they are in contact", [&] { return cluster.hasQuorumContact(others); });
         const Nanos since = now();
@@ -200,15 +200,16 @@
         for (int at = 0; at < 4; ++at)
             if (cluster.replica(at).isVotingMember() && at != holds) {
                 // In the place of the other member that comes first, as if it had been thought absent.
-                const auto disk = cluster.disks[spare].image().second.at("disk");
-                std::erase_if(next.members,
-                              [&](const auto& one) { return one.address == cluster.members[at]->at(); });
-                next.members.push_back({cluster.members[spare]->at(), disk, cluster.zone(spare), "r"});
+                const auto disk = cluster.disks[spare].snapshot().second.at("disk");
+                std::erase_if(next.members, [&](const auto& one) {
+                    return one.address == cluster.nodes[at]->ownAddress();
+                });
+                next.members.push_back({cluster.nodes[spare]->ownAddress(), disk, cluster.zone(spare), "r"});
                 std::sort(next.members.begin(), next.members.end());
                 break;
             }
-        cluster.members[holds]->kill();
-        auto image = cluster.disks[holds].image();
+        cluster.nodes[holds]->kill();
+        auto image = cluster.disks[holds].snapshot();
         image.first["epoch/2"] = {{1, 77}, {1, 77}, membership::encode(next).dump()};
         cluster.disks[holds].restore(image);
         cluster.launch(holds, false);
@@ -224,22 +225,22 @@
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        const auto image = cluster.disks[1].image();
+        const auto image = cluster.disks[1].snapshot();
         for (const auto* value : {"two", "three", "four"})
             CPPUNIT_ASSERT_EQUAL(std::string(value), cluster.write(0, value));
         cluster.until("it has them", [&] {
-            return cluster.disks[1].image().first[control_plane::kConfigurationKey].value == "four";
+            return cluster.disks[1].snapshot().first[control_plane::kConfigurationKey].value == "four";
         });
         const auto disk = image.second.at("disk");
-        cluster.members[1]->kill();
+        cluster.nodes[1]->kill();
         cluster.disks[1].restore(image);
         cluster.launch(1, false);
         cluster.until("it votes again", [&] {
             return cluster.replica(1).isVotingMember() && cluster.replica(1).hasQuorumContact();
         });
-        CPPUNIT_ASSERT(cluster.disks[1].image().second.at("disk") != disk);
+        CPPUNIT_ASSERT(cluster.disks[1].snapshot().second.at("disk") != disk);
         cluster.until("the others know",
-                      [&] { return !cluster.replica(0).epoch().find(cluster.members[1]->at(), disk); });
+                      [&] { return !cluster.replica(0).epoch().find(cluster.nodes[1]->ownAddress(), disk); });
         CPPUNIT_ASSERT_EQUAL(std::string("four"), cluster.read(1));
     }
 
@@ -260,13 +261,13 @@
             of.until("it has left", [&] { return left; });
         };
         leave(cluster, leaver);
-        CPPUNIT_ASSERT(!cluster.replica(leaver).members().contains(cluster.members[leaver]->at()));
+        CPPUNIT_ASSERT(!cluster.replica(leaver).members().contains(cluster.nodes[leaver]->ownAddress()));
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(leaver).members().size());
-        cluster.members[leaver]->kill();
+        cluster.nodes[leaver]->kill();
         const int other = (leaver + 1) % 4;
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(other));
         leave(cluster, other);  // there is no spare now
-        CPPUNIT_ASSERT(cluster.replica(other).members().contains(cluster.members[other]->at()));
+        CPPUNIT_ASSERT(cluster.replica(other).members().contains(cluster.nodes[other]->ownAddress()));
         Cluster alone(1);
         alone.tolerance = [](config::BootstrapSettings&) {};
         alone.launch(0, true);
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -78,8 +78,8 @@
     CPPUNIT_TEST(largeConfiguration);
     CPPUNIT_TEST_SUITE_END();
 
-    static const std::string& value(const Member& member) {
-        return member.replica->known(control_plane::kConfigurationKey).value;
+    static const std::string& value(const ControlNode& node) {
+        return node.replica->known(control_plane::kConfigurationKey).value;
     }
     static bool votes(Cluster& cluster, const std::vector<int>& all) {
         return cluster.hasQuorumContact(all) && std::all_of(all.begin(), all.end(), [&](int at) {
@@ -104,8 +104,8 @@
                     before.until("all three vote", [&] { return votes(before, {0, 1, 2}); });
                     change(before, 0, valueOf(0));
                     before.until("all three have it", [&] {
-                        return std::all_of(before.members.begin(), before.members.end(),
-                                           [&](const auto& member) { return !value(*member).empty(); });
+                        return std::all_of(before.nodes.begin(), before.nodes.end(),
+                                           [&](const auto& node) { return !value(*node).empty(); });
                     });
                     // They go down; their disks outlive them.
                     machines.port = before.port, machines.disks.swap(before.disks);
@@ -115,20 +115,20 @@
                 if (empty) machines.disks[2].restore({});
                 const auto newest = valueOf(count);
                 machines.until("what the two had to say to each other is over", [&] {
-                    return value(*machines.members[0]) == newest && value(*machines.members[1]) == newest;
+                    return value(*machines.nodes[0]) == newest && value(*machines.nodes[1]) == newest;
                 });
                 machines.launch(2, false);
                 auto& cost = costs.emplace_back();
-                const auto third = machines.members[2]->at();
-                for (const auto& member : machines.members)
-                    member->overheard = [&cost, third, all = member->at() == third](
+                const auto third = machines.nodes[2]->ownAddress();
+                for (const auto& node : machines.nodes)
+                    node->onDelivered = [&cost, third, all = node->ownAddress() == third](
                                             const PeerConnection& link, const Json& message) {
                         // Pings say that one is there, whatever there is to catch up with.
                         const bool ping = message.at("t") == "ping" || message.at("t") == "pong";
                         if ((all || link.peer == third) && !ping) cost.add(message);
                     };
                 machines.until("the third knows the newest",
-                               [&] { return value(*machines.members[2]) == newest && votes(machines, {2}); });
+                               [&] { return value(*machines.nodes[2]) == newest && votes(machines, {2}); });
             }
             // Rounds that meet one another begin anew, so counts differ a little from run to run.
             flat(empty ? "control node, empty disk" : "control node, old disk", costs, 100,
