--- a/src/control_plane/catch_up.cpp
+++ b/src/control_plane/catch_up.cpp
@@ -18,14 +18,14 @@
 
 Task<> CatchUp::readAll() {
     readingAll_ = true;
-    bool all = true;
+    bool allRead = true;
     for (const auto& key : kKeys) {
-        if (!all) break;
+        if (!allRead) break;
         const auto value = co_await proposer_.read(key, kSecond);
-        all = value.has_value();
+        allRead = value.has_value();
     }
     readingAll_ = false;
-    if (all && contact_.isReachable() && !contact_.hasContact()) contact_.establish();
+    if (allRead && contact_.isReachable() && !contact_.hasContact()) contact_.establish();
 }
 
 void CatchUp::check() {
--- a/src/control_plane/catch_up.hpp
+++ b/src/control_plane/catch_up.hpp
@@ -1,8 +1,8 @@
-/// Reads keys from a majority: all of them before contact counts as established, and later those of which
-/// another replica knows more.
+/// Reads keys from a majority: all keys before quorum contact counts as established, and later each key of
+/// which another replica has a newer value.
 ///
-/// Runs on the event loop's thread, beside the checks of contact and membership, which never wait for it. The
-/// object outlives its coroutines.
+/// Runs on the event loop's thread, concurrently with the checks of contact and membership, which never wait
+/// for it. The object outlives its coroutines.
 #pragma once
 
 #include "control_plane/proposer.hpp"
@@ -14,9 +14,11 @@
     CatchUp(transport::asio::io_context& io, Proposer& proposer, ReplicaStorage& storage,
             QuorumContactMonitor& contact, Learner& learner);
 
-    /// Reads every key, and then establishes contact if a majority is still in reach. One at a time.
+    /// Reads every key, then establishes contact if a majority is still reachable. Does nothing while a run
+    /// is in progress.
     void startReadingAll();
-    /// Retains what this disk lacks, and starts to read the keys that it is behind in. In contact only.
+    /// Writes known values that this disk lacks, and starts to read the keys that are behind. Requires quorum
+    /// contact.
     void check();
 
   private:
--- a/src/control_plane/control_plane.cpp
+++ b/src/control_plane/control_plane.cpp
@@ -30,7 +30,7 @@
     return (static_cast<std::uint64_t>(random()) << 32) | random();
 }
 
-/// Connects the parts of the process: hands each message and event to the part that it is for.
+/// Owns the components of the process, and dispatches messages and events to them.
 class ControlPlane {
   public:
     ControlPlane(config::BootstrapSettings boot, bool metrics);
@@ -40,7 +40,7 @@
     std::string address() const { return boot_.peerAddress(boot_.ip); }
 
     // Connections with other processes.
-    std::shared_ptr<PeerConnection::Callbacks> makeConnectionEvents();
+    std::shared_ptr<PeerConnection::Callbacks> makeConnectionCallbacks();
     Json hello() const;
     void onMessage(PeerConnection& connection, const Json& message);
     void onHello(PeerConnection& connection, const Json& message);
@@ -56,7 +56,7 @@
     void onMembershipChanged();
     Task<> readRolloutsFirst();
 
-    // Reports to the other control plane processes.
+    // Reports to the other control nodes.
     std::set<std::string> reachablePeers() const;
     void sendStateReport();
     Task<> sendStateReports();
@@ -70,7 +70,7 @@
     asio::io_context io_{1};
     ReplicaNode replica_;
     tcp::acceptor adminAcceptor_, peerAcceptor_;
-    std::shared_ptr<PeerConnection::Callbacks> connectionEvents_;
+    std::shared_ptr<PeerConnection::Callbacks> connectionCallbacks_;
     PeerDialers peers_;
     ProxyRegistry proxies_;
     subscription::ConfigurationCache cache_{{}};
@@ -90,8 +90,8 @@
                ReplicaNode::onDisk(boot_)),
       adminAcceptor_(listen(io_, boot_.controlPlaneAddress)),
       peerAcceptor_(listen(io_, address())),
-      connectionEvents_(makeConnectionEvents()),
-      peers_(io_, address(), connectionEvents_),
+      connectionCallbacks_(makeConnectionCallbacks()),
+      peers_(io_, address(), connectionCallbacks_),
       proxies_(io_),
       publisher_(cache_, proxies_, [this] { return replica_.hasQuorumContact(); }),
       leases_(
@@ -110,14 +110,14 @@
 
 // ---- Connections with other processes. ----
 
-std::shared_ptr<PeerConnection::Callbacks> ControlPlane::makeConnectionEvents() {
-    auto events = std::make_shared<PeerConnection::Callbacks>();
-    events->makeHello = [this](PeerConnection&) { return hello(); };
-    events->onMessage = [this](PeerConnection& connection, const Json& message) {
+std::shared_ptr<PeerConnection::Callbacks> ControlPlane::makeConnectionCallbacks() {
+    auto callbacks = std::make_shared<PeerConnection::Callbacks>();
+    callbacks->makeHello = [this](PeerConnection&) { return hello(); };
+    callbacks->onMessage = [this](PeerConnection& connection, const Json& message) {
         onMessage(connection, message);
     };
-    events->onClosed = [this](PeerConnection& connection) { onDisconnected(connection); };
-    return events;
+    callbacks->onClosed = [this](PeerConnection& connection) { onDisconnected(connection); };
+    return callbacks;
 }
 
 Json ControlPlane::hello() const { return encodeHello(replica_.helloFields(), boot_.name, address()); }
@@ -138,7 +138,7 @@
             return proxies_.onAcknowledgement(connection.peer, decodeAcknowledgement(message));
         case MessageType::vote:
             return rollouts_.onVote(decodeVote(message));
-        default:  // of a later version, say
+        default:  // possibly of a later version
             return;
     }
 }
@@ -156,7 +156,8 @@
     if (ownConnection.get() == &connection)
         replica_.onPeerConnected(hello.address, connection.shared_from_this());
     else if (!ownConnection)
-        peers_.retryNow(hello.address);  // after a loss of all, those that are up first wait for the others
+        peers_.retryNow(
+            hello.address);  // it is up; skipping the backoff speeds up recovery after an outage of all
     replica_.onHello(message);
     for (const auto& member : hello.members) peers_.dial(member);
     sendStateReport();
@@ -201,14 +202,14 @@
     }
 }
 
-/// Other members, or contact has come or gone: new members are dialled, and proxies get another hello.
+/// Called when the members or the quorum contact changed. Dials new members and sends proxies a new hello.
 void ControlPlane::onMembershipChanged() {
     dialMembers();
     for (const auto& [_, proxy] : proxies_.proxies()) proxy.connection->send(hello());
     publisher_.broadcastDigest();
 }
 
-/// Proxies get no rollouts before these have been read from a majority.
+/// Sends proxies no rollouts before these were read from a majority.
 Task<> ControlPlane::readRolloutsFirst() {
     for (bool read = false; !read;) {
         const auto value = co_await replica_.read(kRolloutsKey, kSecond);
@@ -218,7 +219,7 @@
     publisher_.onRolloutsLearned(replica_.known(kRolloutsKey).value);
 }
 
-// ---- Reports to the other control plane processes. ----
+// ---- Reports to the other control nodes. ----
 
 std::set<std::string> ControlPlane::reachablePeers() const {
     std::set<std::string> reachable;
@@ -237,7 +238,8 @@
     peers_.broadcast(PeerConnection::encode(encodeStateReport(report)));
 }
 
-/// At once where another process comes to be reachable, or ceases to be: the leases depend on it.
+/// Sends reports at an interval, and at once when the set of reachable processes changes, because the leases
+/// depend on it.
 Task<> ControlPlane::sendStateReports() {
     std::set<std::string> reported;
     for (Nanos reportedAt = 0;;) {
@@ -250,7 +252,7 @@
     }
 }
 
-// ---- Status, start and end. ----
+// ---- Status, start and shutdown. ----
 
 StatusReport ControlPlane::status() const {
     StatusReport report;
@@ -290,7 +292,7 @@
 }
 
 void ControlPlane::startTasks() {
-    spawn(io_, "peer_connections", servePeerConnections(io_, peerAcceptor_, connectionEvents_));
+    spawn(io_, "peer_connections", servePeerConnections(io_, peerAcceptor_, connectionCallbacks_));
     spawn(io_, "admin_server", adminServer_.serve(adminAcceptor_));
     spawn(io_, "replica", replica_.run());
     spawn(io_, "read_rollouts", readRolloutsFirst());
--- a/src/control_plane/disk_identity.cpp
+++ b/src/control_plane/disk_identity.cpp
@@ -12,21 +12,22 @@
 
 namespace {
 
-// A store from before there were epochs: its members are the first epoch, each on the disk that it had then.
-consensus::EpochState firstEpoch(const std::string& addresses) {
-    consensus::EpochState first{{1, {}}, true, {}, {}};
-    for (std::size_t from = 0, to = 0; from < addresses.size(); from = to + 1) {
-        to = std::min(addresses.find(',', from), addresses.size());
-        const auto address = addresses.substr(from, to - from);
-        first.epoch.members.push_back({address, "first-" + address, "", ""});
+// A store written before epochs were introduced has a list of member addresses. These become epoch 1, each
+// with a disk id derived from its address.
+consensus::EpochState epochOfLegacyStore(const std::string& addresses) {
+    consensus::EpochState state{{1, {}}, true, {}, {}};
+    for (std::size_t begin = 0, end = 0; begin < addresses.size(); begin = end + 1) {
+        end = std::min(addresses.find(',', begin), addresses.size());
+        const auto address = addresses.substr(begin, end - begin);
+        state.epoch.members.push_back({address, "first-" + address, "", ""});
     }
-    return first;
+    return state;
 }
 
 consensus::EpochState foundingEpoch(const std::vector<std::string>& seeds) {
-    consensus::EpochState founding{{0, {}}, true, {}, {}};
-    for (const auto& seed : seeds) founding.epoch.members.push_back({seed, "", "", ""});
-    return founding;
+    consensus::EpochState state{{0, {}}, true, {}, {}};
+    for (const auto& seed : seeds) state.epoch.members.push_back({seed, "", "", ""});
+    return state;
 }
 
 }  // namespace
@@ -41,22 +42,23 @@
             stored.update.epochState = membership::decodeEpochState(Json::parse(notes[kStandingNote]));
         if (!notes[kWritesNote].empty()) stored.writes = std::stoull(notes[kWritesNote]);
         if (!notes[kWitnessNote].empty())
-            stored.witnessed = Json::parse(notes[kWitnessNote]).get<std::map<std::string, std::uint64_t>>();
+            stored.witnessedWriteCounts =
+                Json::parse(notes[kWitnessNote]).get<std::map<std::string, std::uint64_t>>();
         return stored;
     }
     if (const auto& members = notes[kOldMembersNote]; !members.empty()) {
         stored.disk = "first-" + rules.address;
-        stored.update.epochState = firstEpoch(members);
+        stored.update.epochState = epochOfLegacyStore(members);
         return stored;
     }
     stored.isFounder = stored.update.states.empty() && rules.bootstrap &&
                        std::binary_search(rules.seeds.begin(), rules.seeds.end(), rules.address);
     if (stored.isFounder) stored.update.epochState = foundingEpoch(rules.seeds);
-    stored.disk = drawDiskId();
+    stored.disk = generateDiskId();
     return stored;
 }
 
-std::string drawDiskId() {
+std::string generateDiskId() {
     std::random_device random;
     char text[17];
     std::snprintf(text, sizeof text, "%08x%08x", random(), random());
--- a/src/control_plane/disk_identity.hpp
+++ b/src/control_plane/disk_identity.hpp
@@ -1,7 +1,8 @@
-/// Which disk a replica has, read from the notes beside its register states. Pure but for drawDiskId.
+/// The identity of a replica's disk, read from the notes that are stored beside the register states. Pure
+/// except for generateDiskId.
 ///
-/// A replica is its address together with the random id that was written when its disk was first used. A lost
-/// disk therefore never answers for what it held: the machine comes back as another member.
+/// A replica is identified by its address and a random disk id, which is written when the disk is first used.
+/// A machine that has lost its disk therefore returns as another member, and never answers for lost state.
 #pragma once
 
 #include <array>
@@ -16,33 +17,33 @@
 
 using Notes = std::map<std::string, std::string>;
 
-/// Names of the notes that are read at the start: part of the disk format.
-inline const std::string kWritesNote = "writes";    ///< how often the disk was ever written, decimal
-inline const std::string kWitnessNote = "witness";  ///< JSON object: highest write count seen, by disk
+/// Names of the notes that are read at the start. They are part of the disk format.
+inline const std::string kWritesNote = "writes";  ///< number of writes since the disk was first used, decimal
+inline const std::string kWitnessNote = "witness";  ///< JSON object: highest write count seen, by disk id
 inline const std::array<std::string, 5> kStoredNotes{storage::kDiskNote, storage::kStandingNote, kWritesNote,
                                                      kWitnessNote, storage::kOldMembersNote};
 
-/// What a replica is told of founding by its settings.
+/// Settings that decide whether a replica founds the register.
 struct FoundingRules {
-    std::string address;             ///< its own
+    std::string address;             ///< this replica's
     std::vector<std::string> seeds;  ///< internal addresses, sorted
-    bool bootstrap = false;          ///< this is the first start of the register
+    bool bootstrap = false;          ///< the register is started for the first time
 };
 
-/// What a disk holds, and whose it is.
+/// The contents and identity of a disk.
 struct StoredReplica {
-    std::string disk;          ///< identity; a new one where `isNew`
+    std::string disk;          ///< disk id; newly generated if `isNew`
     consensus::Update update;  ///< register states and epoch state
     std::uint64_t writes = 0;
-    std::map<std::string, std::uint64_t> witnessed;  ///< by disk
-    bool isNew = false;                              ///< the identity must be written before anything is said
-    bool isFounder = false;                          ///< epoch 0 begins with the seeds
+    std::map<std::string, std::uint64_t> witnessedWriteCounts;  ///< highest count seen, by disk id
+    bool isNew = false;      ///< the id must be written before any message is sent
+    bool isFounder = false;  ///< begins in epoch 0, whose members are the seeds
 };
 
-/// Throws nlohmann::json::exception or std::invalid_argument on notes that no replica has written.
+/// Throws nlohmann::json::exception or std::invalid_argument on malformed notes.
 StoredReplica readIdentity(consensus::RegisterStates states, Notes notes, const FoundingRules& rules);
 
-/// A random identity of 16 hexadecimal digits.
-std::string drawDiskId();
+/// A random disk id of 16 hexadecimal digits.
+std::string generateDiskId();
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/epoch_tracker.cpp
+++ b/src/control_plane/epoch_tracker.cpp
@@ -11,15 +11,15 @@
 
 void EpochTracker::restore() {
     const auto& stored = storage_.acceptor().epochState();
-    if (stored.open) open_ = stored.epoch;
-    follow(notice());
+    if (stored.open) openEpoch_ = stored.epoch;
+    handleNotice(notice());
 }
 
-void EpochTracker::follow(const EpochNotice& notice) {
-    if (notice.epoch.number > open_.number) adopt(notice.epoch);
+void EpochTracker::handleNotice(const EpochNotice& notice) {
+    if (notice.epoch.number > openEpoch_.number) adopt(notice.epoch);
     if (!notice.reconfiguration) return;
     const auto& to = notice.reconfiguration->second;
-    if (to.number <= open_.number || (reconfiguration_ && reconfiguration_->second.number >= to.number))
+    if (to.number <= openEpoch_.number || (reconfiguration_ && reconfiguration_->second.number >= to.number))
         return;
     noteDecided(notice.reconfiguration->first, to);
 }
@@ -33,8 +33,8 @@
 
 void EpochTracker::adopt(const consensus::Epoch& epoch) {
     const auto& acceptor = storage_.acceptor();
-    const bool wasMember = open_.number == 0 || acceptor.isMember(open_);
-    open_ = epoch;
+    const bool wasMember = openEpoch_.number == 0 || acceptor.isMember(openEpoch_);
+    openEpoch_ = epoch;
     openedAt_ = now();
     if (reconfiguration_ && reconfiguration_->second.number <= epoch.number) reconfiguration_.reset();
     Json members = Json::array();
@@ -48,30 +48,31 @@
 }
 
 void EpochTracker::install() {
-    if (open_.number == 0 || isInstalled()) return;
+    if (openEpoch_.number == 0 || isInstalled()) return;
     consensus::Request request;
     request.kind = consensus::Request::Kind::install;
-    request.epoch = open_.number;
-    request.to = open_;
+    request.epoch = openEpoch_.number;
+    request.to = openEpoch_;
     request.open = true;
     storage_.submit(std::move(request));
 }
 
 bool EpochTracker::isInstalled() const {
     const auto& stored = storage_.acceptor().epochState();
-    return stored.epoch.number > open_.number || (stored.epoch.number == open_.number && stored.open);
+    return stored.epoch.number > openEpoch_.number ||
+           (stored.epoch.number == openEpoch_.number && stored.open);
 }
 
 std::set<std::string> EpochTracker::memberAddresses() const {
     std::set<std::string> addresses;
-    for (const auto& member : open_.members) addresses.insert(member.address);
+    for (const auto& member : openEpoch_.members) addresses.insert(member.address);
     return addresses;
 }
 
 EpochNotice EpochTracker::notice() const {
     const auto& stored = storage_.acceptor().epochState();
     EpochNotice notice;
-    notice.epoch = stored.open && stored.epoch.number > open_.number ? stored.epoch : open_;
+    notice.epoch = stored.open && stored.epoch.number > openEpoch_.number ? stored.epoch : openEpoch_;
     if (stored.next) notice.reconfiguration = {stored.epoch, *stored.next};
     else if (!stored.open && stored.before) notice.reconfiguration = {*stored.before, stored.epoch};
     else notice.reconfiguration = reconfiguration_;
--- a/src/control_plane/epoch_tracker.hpp
+++ b/src/control_plane/epoch_tracker.hpp
@@ -1,4 +1,4 @@
-/// Which epoch is open, and which reconfiguration has been decided and is not known to be done.
+/// Tracks which epoch is open, and a reconfiguration that is decided but not known to be complete.
 ///
 /// Runs on the event loop's thread.
 #pragma once
@@ -15,28 +15,29 @@
 
 class EpochTracker {
   public:
-    /// `onOpened`: a newer epoch is known to be open, and is on its way to this disk.
+    /// `onOpened` is called when a newer epoch is known to be open; its write to this disk has been queued.
     EpochTracker(ReplicaStorage& storage, std::function<void()> onOpened);
 
-    /// Takes over what is on the disk; once, when that is loaded.
+    /// Restores the state from the disk. Called once, after it is loaded.
     void restore();
-    /// What a replica, this one included, knows of epochs.
-    void follow(const EpochNotice& notice);
-    /// A newer epoch is open.
+    /// Merges what another replica, or this one, knows of epochs.
+    void handleNotice(const EpochNotice& notice);
+    /// Switches to a newer epoch that is open.
     void adopt(const consensus::Epoch& epoch);
-    /// Puts the open epoch on this disk where it isn't: until then this replica answers nothing of it.
+    /// Writes the open epoch to this disk unless it is there. Until then this replica answers no request of
+    /// it.
     void install();
-    /// The members of `from` have decided that `to` follows.
+    /// Records that the members of `from` have decided on `to` as its successor.
     void noteDecided(const consensus::Epoch& from, const consensus::Epoch& to);
-    /// Counts the time since the decision anew: carrying it out has just failed here.
+    /// Restarts the delay before the decided change is attempted, after an attempt here has failed.
     void restartSuccessorDelay();
 
-    /// Number 0: founding, or nothing is known.
-    const consensus::Epoch& open() const { return open_; }
-    bool isFounded() const { return open_.number > 0; }
-    Nanos openedAt() const { return openedAt_; }  ///< when this replica heard of it; 0: from its disk
+    /// Its number is 0 during founding, and while no epoch is known.
+    const consensus::Epoch& openEpoch() const { return openEpoch_; }
+    bool isFounded() const { return openEpoch_.number > 0; }
+    Nanos openedAt() const { return openedAt_; }  ///< when this replica learned of it; 0 if read from disk
     std::set<std::string> memberAddresses() const;
-    /// The open epoch, or a newer one, is on this disk.
+    /// Whether the open epoch, or a newer one, is on this disk.
     bool isInstalled() const;
     const std::optional<std::pair<consensus::Epoch, consensus::Epoch>>& reconfiguration() const {
         return reconfiguration_;
@@ -47,7 +48,7 @@
   private:
     ReplicaStorage& storage_;
     std::function<void()> onOpened_;
-    consensus::Epoch open_;
+    consensus::Epoch openEpoch_;
     Nanos openedAt_ = 0;
     std::optional<std::pair<consensus::Epoch, consensus::Epoch>> reconfiguration_;  // from, to
     Nanos reconfigurationSince_ = 0;
--- a/src/control_plane/learner.cpp
+++ b/src/control_plane/learner.cpp
@@ -9,9 +9,9 @@
 
 using namespace transport;
 
-// For so long a value that was accepted is left to its proposer, who tells when it is in force: a read before
-// that would only get in its way.
-constexpr Nanos kLeaveToProposer = 200 * kMillisecond;
+// How long an accepted value is left to its proposer, which reports when it is in force. An earlier read
+// would only interfere with the proposal.
+constexpr Nanos kProposerGracePeriod = 200 * kMillisecond;
 
 }  // namespace
 
@@ -20,8 +20,8 @@
 
 const KnownValue& Learner::known(const std::string& key) const {
     static const KnownValue kNone;
-    const auto at = known_.find(key);
-    return at == known_.end() ? kNone : at->second;
+    const auto it = known_.find(key);
+    return it == known_.end() ? kNone : it->second;
 }
 
 consensus::RegisterState Learner::asState(const std::string& key) const {
@@ -42,9 +42,9 @@
     if (proposalNumber <= known.proposalNumber) return;
     const bool isNewValue = value != known.value;
     known = {proposalNumber, value};
-    if (const auto at = acceptedAt_.find(key);
-        at != acceptedAt_.end() && storage_.acceptor().state(key).accepted <= proposalNumber)
-        acceptedAt_.erase(at);
+    if (const auto it = acceptedAt_.find(key);
+        it != acceptedAt_.end() && storage_.acceptor().state(key).accepted <= proposalNumber)
+        acceptedAt_.erase(it);
     retain(key);
     if (isNewValue) onLearned_(key);
 }
@@ -56,38 +56,38 @@
         learn(key, proposalNumber, std::string(state.value));
 }
 
-void Learner::noteHeldByPeer(const std::string& key, const consensus::ProposalNumber& proposalNumber) {
-    auto& held = heldByPeers_[key];
-    if (proposalNumber <= held.proposalNumber) return;
-    // Since when there is something to catch up with.
-    if (held.proposalNumber <= known(key).proposalNumber) held.since = now();
-    held.proposalNumber = proposalNumber;
+void Learner::noteAcceptedByPeer(const std::string& key, const consensus::ProposalNumber& proposalNumber) {
+    auto& acceptance = acceptedByPeers_[key];
+    if (proposalNumber <= acceptance.proposalNumber) return;
+    // `since` is when this replica first fell behind.
+    if (acceptance.proposalNumber <= known(key).proposalNumber) acceptance.since = now();
+    acceptance.proposalNumber = proposalNumber;
 }
 
 void Learner::noteSynced(const consensus::RegisterStates& states) {
     for (const auto& [key, state] : states) {
         if (state.accepted <= known(key).proposalNumber) continue;
-        if (const auto at = inForce_.find(key); at != inForce_.end() && at->second == state.accepted)
+        if (const auto it = inForce_.find(key); it != inForce_.end() && it->second == state.accepted)
             learn(key, state.accepted, state.value);
         else acceptedAt_[key] = now();
     }
 }
 
 void Learner::noteRead(const std::string& key) {
-    const auto at = acceptedAt_.find(key);
-    if (at != acceptedAt_.end() && now() - at->second > kLeaveToProposer) acceptedAt_.erase(at);
+    const auto it = acceptedAt_.find(key);
+    if (it != acceptedAt_.end() && now() - it->second > kProposerGracePeriod) acceptedAt_.erase(it);
 }
 
 bool Learner::isBehind(const std::string& key) const {
-    if (storage_.acceptor().epochState().next) return false;  // sealed: no read could end
+    if (storage_.acceptor().epochState().next) return false;  // sealed: a read cannot succeed
     const auto& proposalNumber = known(key).proposalNumber;
     const auto inForce = inForce_.find(key);
     if (inForce != inForce_.end() && inForce->second > proposalNumber) return true;
     const auto accepted = acceptedAt_.find(key);
-    if (accepted != acceptedAt_.end() && now() - accepted->second > kLeaveToProposer) return true;
-    const auto held = heldByPeers_.find(key);
-    return held != heldByPeers_.end() && held->second.proposalNumber > proposalNumber &&
-           now() - held->second.since > kLeaveToProposer;
+    if (accepted != acceptedAt_.end() && now() - accepted->second > kProposerGracePeriod) return true;
+    const auto acceptance = acceptedByPeers_.find(key);
+    return acceptance != acceptedByPeers_.end() && acceptance->second.proposalNumber > proposalNumber &&
+           now() - acceptance->second.since > kProposerGracePeriod;
 }
 
 void Learner::retain(const std::string& key) {
@@ -96,7 +96,7 @@
     if (!storage_.isOpen() || !storage_.isConfirmed() || known.proposalNumber.round == 0 ||
         acceptor.state(key).accepted >= known.proposalNumber)
         return;
-    if (storage_.isQueueFull()) return;  // the disk hangs
+    if (storage_.isQueueFull()) return;  // the disk is stalled
     if (!acceptor.isVotingMember()) {
         if (statesToRetain(key)) storage_.submitRetained(key);
         return;
--- a/src/control_plane/learner.hpp
+++ b/src/control_plane/learner.hpp
@@ -1,7 +1,7 @@
-/// The values that are known to be in force, and the signs that there are newer ones.
+/// Tracks the values that are known to be in force, and the signs that newer ones exist.
 ///
-/// Runs on the event loop's thread. What is in force is also kept on this replica's disk, so that a
-/// non-member holds every value when it becomes a member, and a member that was down has what it missed.
+/// Runs on the event loop's thread. Values in force are also written to this replica's disk, so that a
+/// non-member has all of them when it becomes a member, and a restarted member gets those that it missed.
 #pragma once
 
 #include <functional>
@@ -15,52 +15,53 @@
 
 /// A value that a majority has accepted, under this number or a higher one.
 struct KnownValue {
-    consensus::ProposalNumber proposalNumber;  ///< round 0: none is known
+    consensus::ProposalNumber proposalNumber;  ///< round 0: no value is known
     std::string value;
 };
 
 class Learner {
   public:
-    /// `onLearned`: another value of the key is in force than was known.
+    /// `onLearned` is called when the known value of a key changes.
     Learner(ReplicaStorage& storage, std::function<void(const std::string& key)> onLearned);
 
     const KnownValue& known(const std::string& key) const;
     std::size_t knownCount() const { return known_.size(); }
-    consensus::RegisterState asState(const std::string& key) const;  ///< of the known value
-    consensus::RegisterStates asStates() const;                      ///< of all keys with one
+    consensus::RegisterState asState(const std::string& key) const;  ///< the known value
+    consensus::RegisterStates asStates() const;                      ///< of all keys with a known value
 
-    /// The value is in force under this number. Older numbers are ignored.
+    /// Records that the value is in force with this number. Older numbers are ignored.
     void learn(const std::string& key, const consensus::ProposalNumber& proposalNumber,
                const std::string& value);
-    /// A proposer told that a number is in force: learnt where this disk has accepted it, else read later.
+    /// Handles a proposer's report that a number is in force. The value is learned at once if this disk has
+    /// accepted that number, else it is read later.
     void noteInForce(const std::string& key, const consensus::ProposalNumber& proposalNumber);
-    /// A peer has accepted this number; whether it is in force is not known.
-    void noteHeldByPeer(const std::string& key, const consensus::ProposalNumber& proposalNumber);
-    /// The own disk has synced these states on a request.
+    /// Records that a peer has accepted this number, which may or may not be in force.
+    void noteAcceptedByPeer(const std::string& key, const consensus::ProposalNumber& proposalNumber);
+    /// Records states that this replica's disk has synced for a request.
     void noteSynced(const consensus::RegisterStates& states);
-    /// The key was read: what the own disk had accepted long ago is settled.
+    /// Records that the key was read from a majority, which settles what this disk accepted before.
     void noteRead(const std::string& key);
 
-    /// Whether the key should be read: another is known to have more, or to hold what was accepted long
-    /// enough ago that its proposer had time to tell the end.
+    /// Whether the key should be read: a newer number is known to be in force, or a peer or this disk has
+    /// accepted a newer value and its proposer has had enough time to report the result.
     bool isBehind(const std::string& key) const;
-    /// Puts the known value on this disk, if it is not there.
+    /// Writes the known value to this disk, unless it is there.
     void retain(const std::string& key);
-    /// What a non-member's disk is to hold of the key as of now; none where it holds as much, or has become a
-    /// member: a member's states change by requests alone.
+    /// The state of the key that a non-member's disk should store. Null if it is up to date, or if this
+    /// replica is a member: a member's states change by requests only.
     std::optional<consensus::RegisterStates> statesToRetain(const std::string& key) const;
 
   private:
-    struct Sighting {
+    struct PeerAcceptance {
         consensus::ProposalNumber proposalNumber;
         Nanos since = 0;
     };
     ReplicaStorage& storage_;
     std::function<void(const std::string& key)> onLearned_;
     std::map<std::string, KnownValue> known_;
-    std::map<std::string, consensus::ProposalNumber> inForce_;  // as proposers told
-    std::map<std::string, Sighting> heldByPeers_;
-    std::map<std::string, Nanos> acceptedAt_;  // the own disk's states that are not yet known to be in force
+    std::map<std::string, consensus::ProposalNumber> inForce_;  // highest number that proposers have reported
+    std::map<std::string, PeerAcceptance> acceptedByPeers_;
+    std::map<std::string, Nanos> acceptedAt_;  // time of acceptance by this disk, until known to be in force
 };
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/membership_planner.cpp
+++ b/src/control_plane/membership_planner.cpp
@@ -30,7 +30,7 @@
     return membership::unmetTolerance(members, tolerance());
 }
 
-Nanos MembershipPlanner::absentAfter() const {
+Nanos MembershipPlanner::absenceTimeout() const {
     return boot_.controlReplaceAfter > 0 ? boot_.controlReplaceAfter : boot_.syncTime * 6 / 10;
 }
 
@@ -40,7 +40,7 @@
            std::any_of(peers.begin(), peers.end(), [](const auto& peer) { return peer.second.eligible; });
 }
 
-// `accepted`: the number that a disk has accepted at a key.
+// `accepted` returns the proposal number that a disk has accepted for a key.
 template <typename Accepted>
 bool MembershipPlanner::isComplete(Accepted accepted) const {
     return std::all_of(kKeys.begin(), kKeys.end(),
@@ -56,17 +56,17 @@
 
 Candidate MembershipPlanner::candidate(const Peer& peer) const {
     const auto accepted = [&](const std::string& key) {
-        const auto at = peer.accepted.find(key);
-        return at == peer.accepted.end() ? consensus::ProposalNumber{} : at->second;
+        const auto it = peer.accepted.find(key);
+        return it == peer.accepted.end() ? consensus::ProposalNumber{} : it->second;
     };
     const bool isMember =
-        epochs_.isFounded() && epochs_.open().find(peer.member.address, peer.member.disk).has_value();
-    // A member that was out of reach while contact was lost, or that others have made one, has had no chance
-    // to be heard. One that lost its membership for its absence is not there as a spare either.
-    const Nanos since = isMember ? std::max(contact_.contactSince(), epochs_.openedAt()) : 0;
-    const Nanos silent = now() - std::max(peer.heardAt, since);
-    const Nanos limit = isMember ? absentAfter() : std::min(kSilentAfter, absentAfter());
-    return {peer.member, isComplete(accepted), !peer.leaving && silent <= limit};
+        epochs_.isFounded() && epochs_.openEpoch().find(peer.member.address, peer.member.disk).has_value();
+    // A member's silence counts from when contact was regained or its epoch opened: before that, it could not
+    // be reached. A replica that was removed as a member for its absence is not a present spare either.
+    const Nanos since = isMember ? std::max(contact_.lastUnreachableAt(), epochs_.openedAt()) : 0;
+    const Nanos silence = now() - std::max(peer.lastMessageAt, since);
+    const Nanos limit = isMember ? absenceTimeout() : std::min(kPeerSilenceTimeout, absenceTimeout());
+    return {peer.member, isComplete(accepted), !peer.leaving && silence <= limit};
 }
 
 std::vector<Candidate> MembershipPlanner::candidates() const {
@@ -78,10 +78,10 @@
         if (anyEligible && !peer.eligible) continue;
         all.push_back(candidate(peer));
     }
-    // Members not heard of since this replica began.
-    const Nanos since = std::max(contact_.contactSince(), epochs_.openedAt());
-    if (epochs_.isFounded() && now() - since <= absentAfter())
-        for (const auto& member : epochs_.open().members)
+    // Members from which no message was received since this replica started.
+    const Nanos since = std::max(contact_.lastUnreachableAt(), epochs_.openedAt());
+    if (epochs_.isFounded() && now() - since <= absenceTimeout())
+        for (const auto& member : epochs_.openEpoch().members)
             if (member.address != address_ && !peers_.find(member.address))
                 all.push_back({member, false, true});
     return all;
@@ -89,8 +89,8 @@
 
 std::vector<Candidate> MembershipPlanner::spares() const {
     auto all = candidates();
-    std::erase_if(all, [&](const auto& one) {
-        return !one.present || epochs_.open().find(one.member.address, one.member.disk);
+    std::erase_if(all, [&](const auto& entry) {
+        return !entry.present || epochs_.openEpoch().find(entry.member.address, entry.member.disk);
     });
     return all;
 }
@@ -98,19 +98,19 @@
 std::vector<consensus::Member> MembershipPlanner::planned(bool withoutSelf) const {
     auto all = candidates();
     if (withoutSelf)
-        for (auto& one : all) one.present = one.present && one.member.address != address_;
-    const auto members = epochs_.isFounded() ? epochs_.open().members : std::vector<consensus::Member>{};
+        for (auto& entry : all) entry.present = entry.present && entry.member.address != address_;
+    const auto members = epochs_.isFounded() ? epochs_.openEpoch().members : std::vector<consensus::Member>{};
     return membership::planMembers(members, all, tolerance());
 }
 
-std::string MembershipPlanner::proposerInTurn() const {
+std::string MembershipPlanner::preferredProposer() const {
     std::vector<std::string> present;
-    for (const auto& one : candidates())
-        if (one.present &&
-            epochs_.open().find(one.member.address, epochs_.isFounded() ? one.member.disk : ""))
-            present.push_back(one.member.address);
-    const auto turn = hashing::rendezvousSelect(present, "members", 1);
-    return turn.empty() ? "" : turn.front();
+    for (const auto& entry : candidates())
+        if (entry.present &&
+            epochs_.openEpoch().find(entry.member.address, epochs_.isFounded() ? entry.member.disk : ""))
+            present.push_back(entry.member.address);
+    const auto preferred = hashing::rendezvousSelect(present, "members", 1);
+    return preferred.empty() ? "" : preferred.front();
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/membership_planner.hpp
+++ b/src/control_plane/membership_planner.hpp
@@ -1,6 +1,6 @@
-/// Which members there should be, by what this replica knows of the others.
+/// Computes which replicas should be members, from what this replica knows of its peers.
 ///
-/// Decides only; runs on the event loop's thread. The rules are membership::planMembers's.
+/// Starts no change itself. Runs on the event loop's thread. membership::planMembers defines the rules.
 #pragma once
 
 #include <string>
@@ -17,18 +17,18 @@
                       EpochTracker& epochs, QuorumContactMonitor& contact, Learner& learner);
 
     std::vector<membership::Candidate> candidates() const;
-    /// Those of candidates() that are present and no members of the open epoch.
+    /// The candidates that are present and not members of the open epoch.
     std::vector<membership::Candidate> spares() const;
-    /// The members that there should be; `withoutSelf`: this replica is about to end.
+    /// The members that there should be. `withoutSelf`: this replica is shutting down.
     std::vector<consensus::Member> planned(bool withoutSelf) const;
-    /// The address of the present member whose turn it is to propose a reconfiguration; "": none.
-    std::string proposerInTurn() const;
-    /// The losses that the settings allow and these members don't survive, such as "1 zone".
+    /// The address of the present member that proposes reconfigurations first; "" if none is present.
+    std::string preferredProposer() const;
+    /// The losses that these members do not survive although the settings require it, such as "1 zone".
     std::vector<std::string> unmetTolerance(const std::vector<consensus::Member>& members) const;
 
   private:
     membership::FaultTolerance tolerance() const;
-    Nanos absentAfter() const;
+    Nanos absenceTimeout() const;
     bool isAnyEligible() const;
     membership::Candidate self() const;
     membership::Candidate candidate(const Peer& peer) const;
--- a/src/control_plane/peer_dialers.cpp
+++ b/src/control_plane/peer_dialers.cpp
@@ -6,18 +6,18 @@
 
 void PeerDialers::dial(const std::string& address) {
     if (address == self_ || dials(address)) return;
-    const auto dialer = std::make_shared<Dialer>(io_, address, owner_);
+    const auto dialer = std::make_shared<Dialer>(io_, address, callbacks_);
     dialers_[address] = dialer;
     dialer->start();
 }
 
 void PeerDialers::retryNow(const std::string& address) {
-    if (const auto at = dialers_.find(address); at != dialers_.end()) at->second->retryNow();
+    if (const auto it = dialers_.find(address); it != dialers_.end()) it->second->retryNow();
 }
 
 std::shared_ptr<PeerConnection> PeerDialers::connectionTo(const std::string& address) const {
-    const auto at = dialers_.find(address);
-    return at == dialers_.end() ? nullptr : at->second->connection();
+    const auto it = dialers_.find(address);
+    return it == dialers_.end() ? nullptr : it->second->connection();
 }
 
 std::vector<std::string> PeerDialers::connected() const {
--- a/src/control_plane/peer_dialers.hpp
+++ b/src/control_plane/peer_dialers.hpp
@@ -1,4 +1,4 @@
-// Outgoing connections to the other control plane processes, one dialer for each address.
+// Outgoing connections to the other control nodes, one dialer for each address.
 #pragma once
 
 #include <map>
@@ -13,18 +13,19 @@
 /// Runs on the event loop's thread.
 class PeerDialers {
   public:
-    /// `self`: this process's own address, which is never dialled. `owner` gets the connections' events.
+    /// `self`: this process's own address, which is never dialed. `callbacks` receives the connections'
+    /// events.
     PeerDialers(transport::asio::io_context& io, std::string self,
-                std::shared_ptr<transport::PeerConnection::Callbacks> owner)
-        : io_(io), self_(std::move(self)), owner_(std::move(owner)) {}
+                std::shared_ptr<transport::PeerConnection::Callbacks> callbacks)
+        : io_(io), self_(std::move(self)), callbacks_(std::move(callbacks)) {}
 
-    /// Keeps a connection to `address` from now on.
+    /// Connects to `address`, and reconnects whenever the connection is lost.
     void dial(const std::string& address);
-    /// `address` has just been heard of, so it is up: no pause before the next attempt.
+    /// Skips the backoff before the next attempt: a message from `address` shows that it is up.
     void retryNow(const std::string& address);
 
     bool dials(const std::string& address) const { return dialers_.contains(address); }
-    /// Null where it is not open.
+    /// Null if no connection is open.
     std::shared_ptr<transport::PeerConnection> connectionTo(const std::string& address) const;
     /// Addresses of the open connections.
     std::vector<std::string> connected() const;
@@ -33,7 +34,7 @@
   private:
     transport::asio::io_context& io_;
     const std::string self_;
-    std::shared_ptr<transport::PeerConnection::Callbacks> owner_;
+    std::shared_ptr<transport::PeerConnection::Callbacks> callbacks_;
     std::map<std::string, std::shared_ptr<transport::Dialer>> dialers_;  // by address
 };
 
--- a/src/control_plane/peer_directory.cpp
+++ b/src/control_plane/peer_directory.cpp
@@ -5,8 +5,8 @@
 namespace lichenlanding::control_plane {
 
 const Peer* PeerDirectory::find(const std::string& address) const {
-    const auto at = peers_.find(address);
-    return at == peers_.end() ? nullptr : &at->second;
+    const auto it = peers_.find(address);
+    return it == peers_.end() ? nullptr : &it->second;
 }
 
 void PeerDirectory::update(const PeerStatus& status, Nanos now) {
@@ -17,13 +17,13 @@
     peer.epoch = status.epoch;
     peer.isMember = status.isMember;
     peer.accepted = status.accepted;
-    peer.heardAt = now;
+    peer.lastMessageAt = now;
 }
 
 void PeerDirectory::update(const Pong& pong, Nanos now) {
     auto& peer = peers_[pong.address];
-    peer.heardAt = now;
-    peer.answeredAt = std::max(peer.answeredAt, pong.sentAt);
+    peer.lastMessageAt = now;
+    peer.answeredPingSentAt = std::max(peer.answeredPingSentAt, pong.sentAt);
     peer.epoch = pong.epoch;
     peer.isMember = pong.isMember;
     peer.accepted = pong.accepted;
@@ -31,10 +31,10 @@
 }
 
 void PeerDirectory::update(const Ping& ping, Nanos now) {
-    const auto at = peers_.find(ping.address);
-    if (at == peers_.end()) return;
-    at->second.heardAt = now;
-    at->second.epoch = ping.epoch;
+    const auto it = peers_.find(ping.address);
+    if (it == peers_.end()) return;
+    it->second.lastMessageAt = now;
+    it->second.epoch = ping.epoch;
 }
 
 void PeerDirectory::connect(const std::string& address,
@@ -43,8 +43,8 @@
 }
 
 std::shared_ptr<transport::PeerConnection> PeerDirectory::connection(const std::string& address) const {
-    const auto at = connections_.find(address);
-    return at == connections_.end() ? nullptr : at->second;
+    const auto it = connections_.find(address);
+    return it == connections_.end() ? nullptr : it->second;
 }
 
 void PeerDirectory::broadcast(const transport::EncodedMessage& message) const {
--- a/src/control_plane/peer_directory.hpp
+++ b/src/control_plane/peer_directory.hpp
@@ -1,4 +1,4 @@
-/// The other replicas: what each last told of itself, and the connection that replies come back on.
+/// The other replicas: the last status received from each, and the connection for messages to it.
 ///
 /// Runs on the event loop's thread. Times are transport::now().
 #pragma once
@@ -13,28 +13,29 @@
 namespace lichenlanding::control_plane {
 
 struct Peer {
-    consensus::Member member;  ///< its address is "" where only a pong of it has come yet
+    consensus::Member member;  ///< the address is "" until a status is received; a pong alone has none
     bool eligible = false, leaving = false;
-    bool isMember = false;  ///< of the newest epoch on its disk
+    bool isMember = false;  ///< a member of the newest epoch on its disk
     std::uint64_t epoch = 0;
     AcceptedNumbers accepted;
-    Nanos heardAt = 0;     ///< any message of it; 0: none
-    Nanos answeredAt = 0;  ///< when the last ping that it answered was sent; 0: none
+    Nanos lastMessageAt = 0;       ///< when any message was last received; 0: never
+    Nanos answeredPingSentAt = 0;  ///< send time of the newest ping that it has answered; 0: none
 };
 
 class PeerDirectory {
   public:
     const std::map<std::string, Peer>& peers() const { return peers_; }  ///< by address
-    const Peer* find(const std::string& address) const;                  ///< null: never heard of
+    const Peer* find(const std::string& address) const;                  ///< null if unknown
 
     void update(const PeerStatus& status, Nanos now);
     void update(const Pong& pong, Nanos now);
-    /// A ping without a status; ignored where nothing is known of its sender.
+    /// For a ping without a status. Ignored if the sender is unknown.
     void update(const Ping& ping, Nanos now);
 
     void connect(const std::string& address, std::shared_ptr<transport::PeerConnection> connection);
     void disconnect(const std::string& address) { connections_.erase(address); }
-    std::shared_ptr<transport::PeerConnection> connection(const std::string& address) const;  ///< or null
+    /// Null if none is open.
+    std::shared_ptr<transport::PeerConnection> connection(const std::string& address) const;
     std::size_t connectedCount() const { return connections_.size(); }
     /// Sends to every connected peer.
     void broadcast(const transport::EncodedMessage& message) const;
--- a/src/control_plane/peer_messages.cpp
+++ b/src/control_plane/peer_messages.cpp
@@ -50,9 +50,9 @@
     return encoded;
 }
 
-AcceptedNumbers decodeAcceptedNumbers(const Json& from) {
+AcceptedNumbers decodeAcceptedNumbers(const Json& encoded) {
     AcceptedNumbers accepted;
-    for (const auto& [key, proposalNumber] : from.items())
+    for (const auto& [key, proposalNumber] : encoded.items())
         accepted[key] = messages::decodeProposalNumber(proposalNumber);
     return accepted;
 }
@@ -70,16 +70,16 @@
             {kAccepted, encode(status.accepted)}};
 }
 
-PeerStatus decodeStatus(const Json& from) {
+PeerStatus decodeStatus(const Json& encoded) {
     PeerStatus status;
-    status.member = {from.at(kAddress).get<std::string>(), from.at(kDisk).get<std::string>(),
-                     from.at(kZone).get<std::string>(), from.at(kRegion).get<std::string>()};
-    from.at(kEligible).get_to(status.eligible);
-    from.at(kLeaving).get_to(status.leaving);
-    from.at(kEpoch).get_to(status.epoch);
-    from.at(kIsMember).get_to(status.isMember);
-    status.accepted = decodeAcceptedNumbers(from.at(kAccepted));
-    from.at(kWrites).get_to(status.writes);
+    status.member = {encoded.at(kAddress).get<std::string>(), encoded.at(kDisk).get<std::string>(),
+                     encoded.at(kZone).get<std::string>(), encoded.at(kRegion).get<std::string>()};
+    encoded.at(kEligible).get_to(status.eligible);
+    encoded.at(kLeaving).get_to(status.leaving);
+    encoded.at(kEpoch).get_to(status.epoch);
+    encoded.at(kIsMember).get_to(status.isMember);
+    status.accepted = decodeAcceptedNumbers(encoded.at(kAccepted));
+    encoded.at(kWrites).get_to(status.writes);
     return status;
 }
 
@@ -88,12 +88,12 @@
     return Json::array({stage.step, *stage.key, stage.proposalStep});
 }
 
-RequestStage decodeStage(const Json& from) {
+RequestStage decodeStage(const Json& encoded) {
     RequestStage stage;
-    from.at(0).get_to(stage.step);
-    if (from.size() == 1) return stage;
-    stage.key = from.at(1).get<std::string>();
-    from.at(2).get_to(stage.proposalStep);
+    encoded.at(0).get_to(stage.step);
+    if (encoded.size() == 1) return stage;
+    stage.key = encoded.at(1).get<std::string>();
+    encoded.at(2).get_to(stage.proposalStep);
     return stage;
 }
 
@@ -121,13 +121,13 @@
     return encoded;
 }
 
-Ping decodePing(const Json& from) {
+Ping decodePing(const Json& encoded) {
     Ping ping;
-    if (from.contains(kStatus)) ping.status = decodeStatus(from.at(kStatus));
-    from.at(kAddress).get_to(ping.address);
-    from.at(kDisk).get_to(ping.disk);
-    from.at(kSentAt).get_to(ping.sentAt);
-    from.at(kEpoch).get_to(ping.epoch);
+    if (encoded.contains(kStatus)) ping.status = decodeStatus(encoded.at(kStatus));
+    encoded.at(kAddress).get_to(ping.address);
+    encoded.at(kDisk).get_to(ping.disk);
+    encoded.at(kSentAt).get_to(ping.sentAt);
+    encoded.at(kEpoch).get_to(ping.epoch);
     return ping;
 }
 
@@ -140,19 +140,19 @@
             {kIsMember, pong.isMember},
             {kPingedDisk, pong.pingedDisk},
             {kAccepted, encode(pong.accepted)},
-            {kWitnessedWrites, pong.witnessedWrites}};
+            {kWitnessedWrites, pong.witnessedWriteCount}};
 }
 
-Pong decodePong(const Json& from) {
+Pong decodePong(const Json& encoded) {
     Pong pong;
-    from.at(kAddress).get_to(pong.address);
-    from.at(kSentAt).get_to(pong.sentAt);
-    from.at(kEpoch).get_to(pong.epoch);
-    from.at(kIsMember).get_to(pong.isMember);
-    pong.accepted = decodeAcceptedNumbers(from.at(kAccepted));
-    from.at(kDisk).get_to(pong.disk);
-    from.at(kPingedDisk).get_to(pong.pingedDisk);
-    from.at(kWitnessedWrites).get_to(pong.witnessedWrites);
+    encoded.at(kAddress).get_to(pong.address);
+    encoded.at(kSentAt).get_to(pong.sentAt);
+    encoded.at(kEpoch).get_to(pong.epoch);
+    encoded.at(kIsMember).get_to(pong.isMember);
+    pong.accepted = decodeAcceptedNumbers(encoded.at(kAccepted));
+    encoded.at(kDisk).get_to(pong.disk);
+    encoded.at(kPingedDisk).get_to(pong.pingedDisk);
+    encoded.at(kWitnessedWrites).get_to(pong.witnessedWriteCount);
     return pong;
 }
 
@@ -165,12 +165,12 @@
     return encoded;
 }
 
-EpochNotice decodeEpochNotice(const Json& from) {
+EpochNotice decodeEpochNotice(const Json& encoded) {
     EpochNotice notice;
-    notice.epoch = membership::decodeEpoch(from.at(kEpoch));
-    if (from.contains(kSuccessor))
-        notice.reconfiguration = {membership::decodeEpoch(from.at(kPredecessor)),
-                                  membership::decodeEpoch(from.at(kSuccessor))};
+    notice.epoch = membership::decodeEpoch(encoded.at(kEpoch));
+    if (encoded.contains(kSuccessor))
+        notice.reconfiguration = {membership::decodeEpoch(encoded.at(kPredecessor)),
+                                  membership::decodeEpoch(encoded.at(kSuccessor))};
     return notice;
 }
 
@@ -181,9 +181,9 @@
             {kRequest, membership::encode(message.request)}};
 }
 
-RequestMessage decodeRequestMessage(const Json& from) {
-    return {from.at(kId).get<std::uint64_t>(), decodeStage(from.at(kStage)),
-            membership::decodeRequest(from.at(kRequest))};
+RequestMessage decodeRequestMessage(const Json& encoded) {
+    return {encoded.at(kId).get<std::uint64_t>(), decodeStage(encoded.at(kStage)),
+            membership::decodeRequest(encoded.at(kRequest))};
 }
 
 Json encode(const ReplyMessage& message) {
@@ -193,9 +193,9 @@
             {kReply, membership::encode(message.reply)}};
 }
 
-ReplyMessage decodeReplyMessage(const Json& from) {
-    return {from.at(kId).get<std::uint64_t>(), decodeStage(from.at(kStage)),
-            membership::decodeReply(from.at(kReply))};
+ReplyMessage decodeReplyMessage(const Json& encoded) {
+    return {encoded.at(kId).get<std::uint64_t>(), decodeStage(encoded.at(kStage)),
+            membership::decodeReply(encoded.at(kReply))};
 }
 
 Json encode(const LearnMessage& message) {
@@ -204,12 +204,12 @@
             {kProposalNumber, messages::encode(message.proposalNumber)}};
 }
 
-LearnMessage decodeLearnMessage(const Json& from) {
-    return {from.at(kKey).get<std::string>(), messages::decodeProposalNumber(from.at(kProposalNumber))};
+LearnMessage decodeLearnMessage(const Json& encoded) {
+    return {encoded.at(kKey).get<std::string>(), messages::decodeProposalNumber(encoded.at(kProposalNumber))};
 }
 
-AcceptedNumbers decodeKnownMessage(const Json& from) {
-    return decodeAcceptedNumbers(from.at(kProposalNumbers));
+AcceptedNumbers decodeKnownMessage(const Json& encoded) {
+    return decodeAcceptedNumbers(encoded.at(kProposalNumbers));
 }
 
 Json encode(const ReplicaHello& hello) {
@@ -220,8 +220,8 @@
             {kNotice, encode(hello.notice)}};
 }
 
-PeerStatus decodeHelloStatus(const Json& from) { return decodeStatus(from.at(kStatus)); }
+PeerStatus decodeHelloStatus(const Json& encoded) { return decodeStatus(encoded.at(kStatus)); }
 
-EpochNotice decodeHelloNotice(const Json& from) { return decodeEpochNotice(from.at(kNotice)); }
+EpochNotice decodeHelloNotice(const Json& encoded) { return decodeEpochNotice(encoded.at(kNotice)); }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/proposer.cpp
+++ b/src/control_plane/proposer.cpp
@@ -10,13 +10,13 @@
 using namespace transport;
 using consensus::Proposal;
 
-constexpr Nanos kAttemptWithin = 450 * kMillisecond;  // one proposal; then another one
-constexpr int kRereads = 3;                           // of a read that meets a proposal under way
-constexpr Nanos kFirstPause = 30 * kMillisecond;      // between two proposals, at most so long
-constexpr Nanos kLongestPause = 250 * kMillisecond;
-constexpr Nanos kLeastPause = 2 * kMillisecond;
-constexpr Nanos kUnreachablePause = 10 * kMillisecond;  // who asks again and again is slowed down by no more
-constexpr int kMaxUnreachable = 10;  // just after an epoch has opened its members have not answered yet
+constexpr Nanos kAttemptTimeout = 450 * kMillisecond;  // of one proposal, before a new one is made
+constexpr int kMaxRereads = 3;                         // of a read that finds a pending proposal
+constexpr Nanos kInitialBackoff = 30 * kMillisecond;   // upper bound of the first delay between proposals
+constexpr Nanos kMaxBackoff = 250 * kMillisecond;
+constexpr Nanos kMinBackoff = 2 * kMillisecond;
+constexpr Nanos kUnreachableRetryDelay = 10 * kMillisecond;  // also slows down callers that retry at once
+constexpr int kMaxUnreachableRetries = 10;  // just after an epoch opens, its members have not answered yet
 
 const consensus::Change kUnchanged = [](const std::string& value) { return value; };
 
@@ -47,13 +47,13 @@
     const consensus::Epoch epoch_;
 };
 
-// One proposal from its first request to its end.
+// One proposal, from its first request to its result or timeout.
 struct Proposer::Attempt {
     std::uint64_t id = 0;
     std::shared_ptr<ProposalExchange> exchange;
-    Nanos until = 0;
-    bool readOnly = false;      // ends where it would have to complete another's proposal
-    bool foundPending = false;  // and has ended for that
+    Nanos deadline = 0;
+    bool readOnly = false;      // stops instead of completing another replica's pending proposal
+    bool foundPending = false;  // stopped for that reason
 };
 
 Proposer::Proposer(asio::io_context& io, RequestBroker& broker, PeerDirectory& peers, EpochTracker& epochs,
@@ -66,28 +66,29 @@
       learner_(learner),
       address_(std::move(address)) {}
 
-Task<std::optional<std::string>> Proposer::update(std::string key, consensus::Change change, Nanos within,
+Task<std::optional<std::string>> Proposer::update(std::string key, consensus::Change change, Nanos timeout,
                                                   bool readFirst) {
-    return propose(std::move(key), std::move(change), within, readFirst, 0);
+    return propose(std::move(key), std::move(change), timeout, readFirst, 0);
 }
 
-Task<std::optional<std::string>> Proposer::read(std::string key, Nanos within) {
-    return propose(std::move(key), kUnchanged, within, true, kRereads);
+Task<std::optional<std::string>> Proposer::read(std::string key, Nanos timeout) {
+    return propose(std::move(key), kUnchanged, timeout, true, kMaxRereads);
 }
 
-Task<std::optional<std::string>> Proposer::propose(std::string key, consensus::Change change, Nanos within,
-                                                   bool readFirst, int rereads) {
-    const Nanos end = now() + within;
+Task<std::optional<std::string>> Proposer::propose(std::string key, consensus::Change change, Nanos timeout,
+                                                   bool readFirst, int rereadsLeft) {
+    const Nanos deadline = now() + timeout;
     std::mt19937 random(static_cast<unsigned>(now()) ^ proposerNumber(address_));
-    Nanos pause = kFirstPause;
-    consensus::RegisterState highestSeen;  // by the attempts before: need not be told again
-    for (int unreachable = 0; now() < end;) {
+    Nanos backoff = kInitialBackoff;
+    consensus::RegisterState highestSeen;  // by earlier attempts, so that acceptors need not send it again
+    for (int unreachableRetries = 0; now() < deadline;) {
         if (!contact_.isReachable()) {
-            co_await sleep(kUnreachablePause);
-            if (!contact_.hasContact() || ++unreachable > kMaxUnreachable) co_return std::nullopt;
+            co_await sleep(kUnreachableRetryDelay);
+            if (!contact_.hasContact() || ++unreachableRetries > kMaxUnreachableRetries)
+                co_return std::nullopt;
             continue;
         }
-        const auto epoch = epochs_.open();
+        const auto epoch = epochs_.openEpoch();
         auto& highestRound = highestRounds_[key];
         if (const auto known = learner_.asState(key); known.accepted >= highestSeen.accepted)
             highestSeen = known;
@@ -95,29 +96,30 @@
         Attempt attempt;
         attempt.exchange = std::make_shared<ProposalExchange>(io_, std::move(proposal), epoch);
         attempt.id = broker_.begin(attempt.exchange);
-        const Nanos began = now();
-        attempt.until = std::min(end, began + kAttemptWithin);
-        attempt.readOnly = readFirst && rereads > 0;
+        const Nanos startedAt = now();
+        attempt.deadline = std::min(deadline, startedAt + kAttemptTimeout);
+        attempt.readOnly = readFirst && rereadsLeft > 0;
         co_await runAttempt(attempt);
         broker_.end(attempt.id);
-        const auto& ended = attempt.exchange->proposal;
-        highestRound = std::max(highestRound, ended.highestRound());
-        highestSeen = ended.highestSeen();
-        if (ended.step() == Proposal::Step::done) {
-            noteInForce(key, ended);
-            co_return ended.value();
+        const auto& proposed = attempt.exchange->proposal;
+        highestRound = std::max(highestRound, proposed.highestRound());
+        highestSeen = proposed.highestSeen();
+        if (proposed.step() == Proposal::Step::done) {
+            noteInForce(key, proposed);
+            co_return proposed.value();
         }
         if (attempt.foundPending) {
-            --rereads;
+            --rereadsLeft;
         } else {
             readFirst = false;
-            highestRound = std::max(highestRound, ended.proposalNumber().round);
+            highestRound = std::max(highestRound, proposed.proposalNumber().round);
         }
-        // As long as the way takes, at random, and longer each time: else those that meet once meet for ever.
-        const Nanos most = std::clamp(2 * (now() - began), pause, kLongestPause);
-        const auto extra = static_cast<Nanos>(random() % static_cast<std::uint64_t>(most));
-        co_await sleep(kLeastPause + extra);
-        pause = std::min(2 * pause, kLongestPause);
+        // Random, in proportion to the duration of the attempt, and growing: proposers that conflict once
+        // would otherwise conflict for ever.
+        const Nanos maxJitter = std::clamp(2 * (now() - startedAt), backoff, kMaxBackoff);
+        const auto jitter = static_cast<Nanos>(random() % static_cast<std::uint64_t>(maxJitter));
+        co_await sleep(kMinBackoff + jitter);
+        backoff = std::min(2 * backoff, kMaxBackoff);
     }
     co_return std::nullopt;
 }
@@ -125,14 +127,14 @@
 Task<> Proposer::runAttempt(Attempt& attempt) {
     const auto& proposal = attempt.exchange->proposal;
     const auto epoch = attempt.exchange->targetEpoch().number;
-    for (bool sent = false; now() < attempt.until && epochs_.open().number == epoch;) {
+    for (bool sent = false; now() < attempt.deadline && epochs_.openEpoch().number == epoch;) {
         const auto step = proposal.step();
         if (step == Proposal::Step::done || step == Proposal::Step::lost) break;
         attempt.foundPending = attempt.readOnly && step == Proposal::Step::prepare;
         if (attempt.foundPending) break;
         if (!sent) broker_.send(attempt.id);
         sent = true;
-        if (co_await attempt.exchange->progress.wait(attempt.until)) sent = proposal.step() == step;
+        if (co_await attempt.exchange->progress.wait(attempt.deadline)) sent = proposal.step() == step;
     }
 }
 
--- a/src/control_plane/proposer.hpp
+++ b/src/control_plane/proposer.hpp
@@ -1,4 +1,4 @@
-/// Proposals at a key of the register: a read, or a value that follows from the one in force.
+/// Runs proposals for a key of the register: reads, and updates computed from the value in force.
 ///
 /// Runs on the event loop's thread; the object outlives its coroutines.
 #pragma once
@@ -15,7 +15,7 @@
 
 namespace lichenlanding::control_plane {
 
-/// What tells this replica's proposals from all others' in the same round.
+/// A number derived from the address that orders proposals of different replicas in the same round.
 std::uint32_t proposerNumber(const std::string& address);
 
 class Proposer {
@@ -23,20 +23,20 @@
     Proposer(transport::asio::io_context& io, RequestBroker& broker, PeerDirectory& peers,
              EpochTracker& epochs, QuorumContactMonitor& contact, Learner& learner, std::string address);
 
-    /// Ends with the value in force after `change`; none where no majority could be had within this time, and
-    /// at once out of contact. `readFirst`: first see whether a majority agrees on a value that needs no
-    /// change.
-    Task<std::optional<std::string>> update(std::string key, consensus::Change change, Nanos within,
+    /// Returns the value in force after `change`; nullopt if no majority answers within `timeout`
+    /// (nanoseconds), and at once without quorum contact. `readFirst`: begins with a read, which is enough if
+    /// a majority agrees on a value that `change` leaves as it is.
+    Task<std::optional<std::string>> update(std::string key, consensus::Change change, Nanos timeout,
                                             bool readFirst = true);
-    /// Ends with the value in force. One that meets a proposal under way looks again before it completes that
-    /// in its proposer's place: where the way takes long, readers would otherwise hinder proposers, and each
-    /// other, without end.
-    Task<std::optional<std::string>> read(std::string key, Nanos within);
+    /// Returns the value in force; nullopt as for update(). A read that finds a pending proposal repeats the
+    /// read a few times before it completes that proposal itself: with long round trips, readers would
+    /// otherwise keep outbidding proposers and each other.
+    Task<std::optional<std::string>> read(std::string key, Nanos timeout);
 
   private:
     class ProposalExchange;
     struct Attempt;
-    Task<std::optional<std::string>> propose(std::string key, consensus::Change change, Nanos within,
+    Task<std::optional<std::string>> propose(std::string key, consensus::Change change, Nanos timeout,
                                              bool readFirst, int rereads);
     Task<> runAttempt(Attempt& attempt);
     void noteInForce(const std::string& key, const consensus::Proposal& proposal);
@@ -48,7 +48,7 @@
     QuorumContactMonitor& contact_;
     Learner& learner_;
     const std::string address_;
-    std::map<std::string, std::uint64_t> highestRounds_;  // seen, by key
+    std::map<std::string, std::uint64_t> highestRounds_;  // seen so far, by key
 };
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/quorum_contact_monitor.cpp
+++ b/src/control_plane/quorum_contact_monitor.cpp
@@ -17,7 +17,7 @@
       epochs_(epochs),
       learner_(learner),
       hooks_(std::move(hooks)),
-      contactSince_(now()) {}
+      lastUnreachableAt_(now()) {}
 
 // ---- Contact. ----
 
@@ -26,24 +26,24 @@
         if (!hasContact_) hooks_.onReachable();
         return;
     }
-    contactSince_ = now();
+    lastUnreachableAt_ = now();
     if (!hasContact_) return;
     hasContact_ = false;
-    log("quorum_contact_lost", {{"step", "contact"}, {"epoch", epochs_.open().number}});
+    log("quorum_contact_lost", {{"step", "contact"}, {"epoch", epochs_.openEpoch().number}});
     hooks_.onContactChanged();
 }
 
 void QuorumContactMonitor::establish() {
     hasContact_ = true;
-    const auto epoch = epochs_.open().number;
-    if (!hadContact_) log("register_synchronized", {{"epoch", epoch}, {"keys", learner_.knownCount()}});
-    hadContact_ = true;
+    const auto epoch = epochs_.openEpoch().number;
+    if (!everHadContact_) log("register_synchronized", {{"epoch", epoch}, {"keys", learner_.knownCount()}});
+    everHadContact_ = true;
     log("quorum_contact_established", {{"epoch", epoch}});
     hooks_.onContactChanged();
 }
 
 bool QuorumContactMonitor::isReachable() const {
-    const auto& epoch = epochs_.open();
+    const auto& epoch = epochs_.openEpoch();
     if (epoch.members.empty()) return false;
     std::size_t reachable = 0;
     for (const auto& member : epoch.members) reachable += isReachable(member);
@@ -51,35 +51,38 @@
 }
 
 bool QuorumContactMonitor::isReachable(const consensus::Member& member) const {
-    const auto& epoch = epochs_.open();
+    const auto& epoch = epochs_.openEpoch();
     if (member.address == address_)
         return storage_.isConfirmed() && storage_.acceptor().isMember(epoch) && epochs_.isInstalled();
     const auto* peer = peers_.find(member.address);
-    // One that has not heard of a new epoch yet is in reach all the same; one that is ahead is asked first.
+    // A peer that does not know the newest epoch yet is reachable all the same. One in a newer epoch is not:
+    // this replica must learn that epoch first.
     if (!peer || peer->epoch > epoch.number) return false;
-    // Of the founding only addresses are known: one whose disk is new is no founder.
+    // During founding only addresses are known. A peer whose disk is new is not a founder.
     if (epoch.number > 0 ? peer->member.disk != member.disk : !peer->isMember) return false;
-    return answeredLately(*peer);
+    return answeredRecently(*peer);
 }
 
-bool QuorumContactMonitor::answeredLately(const Peer& peer) const {
-    return peer.answeredAt > 0 && now() - peer.answeredAt <= boot_.controlContactTime;
+bool QuorumContactMonitor::answeredRecently(const Peer& peer) const {
+    return peer.answeredPingSentAt > 0 && now() - peer.answeredPingSentAt <= boot_.controlContactTime;
 }
 
-bool QuorumContactMonitor::isMajorityHeard(const consensus::Epoch& epoch) const {
-    std::size_t heard = 0;
+bool QuorumContactMonitor::isMajorityPresent(const consensus::Epoch& epoch) const {
+    std::size_t present = 0;
     for (const auto& member : epoch.members) {
         const auto* peer = peers_.find(member.address);
         if (member.address == address_)
-            heard += storage_.isOpen() && storage_.isConfirmed() && storage_.acceptor().disk() == member.disk;
-        else if (peer && peer->member.disk == member.disk) heard += now() - peer->heardAt <= kSilentAfter;
+            present +=
+                storage_.isOpen() && storage_.isConfirmed() && storage_.acceptor().disk() == member.disk;
+        else if (peer && peer->member.disk == member.disk)
+            present += now() - peer->lastMessageAt <= kPeerSilenceTimeout;
     }
-    return heard >= epoch.majority();
+    return present >= epoch.majority();
 }
 
 bool QuorumContactMonitor::isPeerReachable(const std::string& address) const {
     const auto* peer = peers_.find(address);
-    return peers_.connection(address) && peer && answeredLately(*peer);
+    return peers_.connection(address) && peer && answeredRecently(*peer);
 }
 
 // ---- Pings. ----
@@ -99,14 +102,14 @@
     status.eligible = boot_.quorumMember;
     status.leaving = leaving_;
     status.isMember = acceptor.isMember(acceptor.epochState().epoch);
-    status.epoch = epochs_.open().number;
+    status.epoch = epochs_.openEpoch().number;
     status.writes = storage_.writes();
     status.accepted = acceptedNumbers();
     return status;
 }
 
 Ping QuorumContactMonitor::makePing(bool withStatus) const {
-    Ping ping{now(), address_, epochs_.open().number, storage_.announcedDisk(), std::nullopt};
+    Ping ping{now(), address_, epochs_.openEpoch().number, storage_.announcedDisk(), std::nullopt};
     if (withStatus) ping.status = status();
     return ping;
 }
@@ -115,9 +118,9 @@
 
 void QuorumContactMonitor::pingAll() {
     auto current = status();
-    const bool isNew = current != statusSent_;
+    const bool isNew = current != lastSentStatus_;
     const auto encoded = PeerConnection::encode(encode(makePing(isNew)));
-    statusSent_ = std::move(current);
+    lastSentStatus_ = std::move(current);
     peers_.broadcast(encoded);
 }
 
@@ -127,16 +130,17 @@
 }
 
 void QuorumContactMonitor::noteAccepted(const AcceptedNumbers& accepted) {
-    // Whoever holds less than another reads: a reconfiguration raises numbers too, and no proposer tells.
-    for (const auto& [key, proposalNumber] : accepted) learner_.noteHeldByPeer(key, proposalNumber);
+    // A replica that is behind a peer reads the key. Reconfigurations raise numbers too, and no proposer
+    // reports those.
+    for (const auto& [key, proposalNumber] : accepted) learner_.noteAcceptedByPeer(key, proposalNumber);
 }
 
 void QuorumContactMonitor::noteStatus(const PeerStatus& status) {
     if (status.member.address == address_) return;
     peers_.update(status, now());
     noteAccepted(status.accepted);
-    if (status.member.disk.empty()) return;  // not open yet
-    storage_.noteWrites(status.member.disk, status.writes);
+    if (status.member.disk.empty()) return;  // its store is not open yet
+    storage_.noteWriteCount(status.member.disk, status.writes);
 }
 
 void QuorumContactMonitor::handlePing(const Ping& ping, PeerConnection& connection) {
@@ -146,27 +150,27 @@
     Pong pong;
     pong.sentAt = ping.sentAt;
     pong.address = address_;
-    pong.epoch = epochs_.open().number;
+    pong.epoch = epochs_.openEpoch().number;
     pong.disk = storage_.announcedDisk();
     pong.isMember = acceptor.isMember(acceptor.epochState().epoch);
     pong.pingedDisk = ping.disk;
     pong.accepted = acceptedNumbers();
-    pong.witnessedWrites = storage_.witnessedWrites(ping.disk);
+    pong.witnessedWriteCount = storage_.witnessedWriteCount(ping.disk);
     connection.send(encode(pong));
-    if (ping.epoch < epochs_.open().number) connection.send(encode(epochs_.notice()));
+    if (ping.epoch < epochs_.openEpoch().number) connection.send(encode(epochs_.notice()));
 }
 
 void QuorumContactMonitor::handlePong(const Pong& pong, PeerConnection& connection) {
     peers_.update(pong, now());
     noteAccepted(pong.accepted);
     checkOwnIdentity(pong);
-    if (pong.epoch < epochs_.open().number) connection.send(encode(epochs_.notice()));
+    if (pong.epoch < epochs_.openEpoch().number) connection.send(encode(epochs_.notice()));
 }
 
 void QuorumContactMonitor::checkOwnIdentity(const Pong& pong) {
     if (pong.pingedDisk != storage_.acceptor().disk() || !storage_.isOpen()) return;
-    if (pong.witnessedWrites > storage_.writes())
-        return storage_.renewIdentity("others saw a later life of it");
+    if (pong.witnessedWriteCount > storage_.writes())
+        return storage_.replaceIdentity("peers have seen a higher write count of this disk");
     if (!storage_.isConfirmed()) storage_.noteConfirmation(pong.address, pong.disk);
     if (epochs_.isFounded() && !hasContact_ && isReachable()) hooks_.onReachable();
 }
--- a/src/control_plane/quorum_contact_monitor.hpp
+++ b/src/control_plane/quorum_contact_monitor.hpp
@@ -1,8 +1,8 @@
-/// Whether a majority of the open epoch's members is in reach: pings, their answers, and what follows.
+/// Detects by pings whether a majority of the open epoch's members is reachable ("quorum contact").
 ///
-/// Runs on the event loop's thread. Out of contact nothing is confirmed, no lease is kept, and what is told
-/// to proxies is told as not sure. Answers are dated by when their ping was sent, so a standstill of this
-/// process never looks like contact.
+/// Runs on the event loop's thread. Without contact no update is acknowledged, no lease is held, and messages
+/// to proxies are marked as unconfirmed. An answer counts from the time when its ping was sent, so that a
+/// stall of this process cannot look like contact.
 #pragma once
 
 #include <functional>
@@ -16,52 +16,52 @@
 
 namespace lichenlanding::control_plane {
 
-/// Without a message for so long, a replica that is no member is not counted on.
-inline constexpr Nanos kSilentAfter = 1000 * transport::kMillisecond;
+/// A non-member that has sent no message for this long counts as absent.
+inline constexpr Nanos kPeerSilenceTimeout = 1000 * transport::kMillisecond;
 
 class QuorumContactMonitor {
   public:
     struct Hooks {
         std::function<void()> onContactChanged;
-        std::function<void()>
-            onReachable;  ///< a majority answers, and contact is not there: keys must be read
+        /// Called when a majority answers while there is no contact: keys must be read.
+        std::function<void()> onReachable;
     };
     QuorumContactMonitor(const config::BootstrapSettings& boot, PeerDirectory& peers, ReplicaStorage& storage,
                          EpochTracker& epochs, Learner& learner, Hooks hooks);
 
-    /// A majority answers, and every key was read from a majority since that is so.
+    /// Whether a majority answers and every key was read from a majority since it does.
     bool hasContact() const { return hasContact_; }
-    /// Every key was read: contact is there from now on. Only where isReachable().
+    /// Establishes contact, after every key was read. Requires isReachable().
     void establish();
-    /// A majority of the open epoch has answered of late, with the disks that it names.
+    /// Whether a majority of the open epoch has answered recently, on the disks that the epoch names.
     bool isReachable() const;
-    /// A majority of an epoch that may not be open yet was heard of late, with the disks that it names.
-    bool isMajorityHeard(const consensus::Epoch& epoch) const;
-    /// This peer is connected and has answered a ping of late.
+    /// Whether messages from a majority of `epoch`, which may not be open yet, were received recently, from
+    /// the disks that it names.
+    bool isMajorityPresent(const consensus::Epoch& epoch) const;
+    /// Whether this peer is connected and has answered a ping recently.
     bool isPeerReachable(const std::string& address) const;
-    Nanos contactSince() const {
-        return contactSince_;
-    }  ///< when no majority was in reach, for the last time
+    /// The last time at which no majority was reachable.
+    Nanos lastUnreachableAt() const { return lastUnreachableAt_; }
     bool isLeaving() const { return leaving_; }
 
-    /// Looks whether contact is lost, or can be had again.
+    /// Checks whether contact is lost, or can be established again.
     void check();
-    /// Tells all peers that this process is about to end.
+    /// Notifies all peers that this process is shutting down.
     void announceLeaving();
-    /// A ping to every peer, with the own status where that is new.
+    /// Sends a ping to every peer, with the own status if that has changed.
     void pingAll();
-    /// A ping with the own status.
+    /// Sends a ping with the own status.
     void ping(transport::PeerConnection& connection) const;
     PeerStatus status() const;  ///< of this replica
 
-    void noteStatus(const PeerStatus& status);  ///< ignored where it is this replica's own
+    void noteStatus(const PeerStatus& status);  ///< ignored if it is this replica's own
     void handlePing(const Ping& ping, transport::PeerConnection& connection);
     void handlePong(const Pong& pong, transport::PeerConnection& connection);
 
   private:
     Ping makePing(bool withStatus) const;
     AcceptedNumbers acceptedNumbers() const;
-    bool answeredLately(const Peer& peer) const;
+    bool answeredRecently(const Peer& peer) const;
     bool isReachable(const consensus::Member& member) const;
     void checkOwnIdentity(const Pong& pong);
     void noteAccepted(const AcceptedNumbers& accepted);
@@ -73,9 +73,9 @@
     EpochTracker& epochs_;
     Learner& learner_;
     Hooks hooks_;
-    bool hasContact_ = false, hadContact_ = false, leaving_ = false;
-    Nanos contactSince_;
-    std::optional<PeerStatus> statusSent_;  // what all connected peers were last told
+    bool hasContact_ = false, everHadContact_ = false, leaving_ = false;
+    Nanos lastUnreachableAt_;
+    std::optional<PeerStatus> lastSentStatus_;  // the last status sent to all connected peers
 };
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/reconfiguration_driver.cpp
+++ b/src/control_plane/reconfiguration_driver.cpp
@@ -11,15 +11,15 @@
 using namespace transport;
 using consensus::Reconfiguration;
 
-// Between two looks at the members while nothing is pending: it costs most of a check in calm times.
-constexpr Nanos kPlanEvery = 150 * kMillisecond;
-// For enough machines to survive all that the settings name, before fewer of them found the register.
-constexpr Nanos kFoundingPatience = 2000 * kMillisecond;
-constexpr Nanos kDeferFor = 400 * kMillisecond;  // to the one whose turn it is to change the members
+// Interval of planning while no change is pending. Planning is the most expensive part of a check.
+constexpr Nanos kPlanInterval = 150 * kMillisecond;
+// Founding waits this long for enough machines to survive all losses in the settings; then fewer will do.
+constexpr Nanos kFoundingWait = 2000 * kMillisecond;
+constexpr Nanos kDeferral = 400 * kMillisecond;  // to the preferred proposer
 constexpr std::uint64_t kJitterMilliseconds = 200;
-constexpr Nanos kChangeWithin = 1500 * kMillisecond;
-constexpr Nanos kAskAgainEvery = 150 * kMillisecond;
-constexpr Nanos kStepDownPause = 50 * kMillisecond;
+constexpr Nanos kChangeTimeout = 1500 * kMillisecond;
+constexpr Nanos kResendInterval = 150 * kMillisecond;
+constexpr Nanos kStepDownRetryDelay = 50 * kMillisecond;
 
 }  // namespace
 
@@ -70,8 +70,8 @@
 
 void ReconfigurationDriver::check() {
     const bool pending =
-        !contact_.hasContact() || epochs_.reconfiguration() || wantedSince_ > 0 || acceptedSince_ > 0;
-    if (running_ || (!pending && now() - checkedAt_ < kPlanEvery)) return;
+        !contact_.hasContact() || epochs_.reconfiguration() || dueSince_ > 0 || acceptedSince_ > 0;
+    if (running_ || (!pending && now() - checkedAt_ < kPlanInterval)) return;
     checkedAt_ = now();
     spawn(io_, "members", step());
 }
@@ -88,11 +88,11 @@
         co_await resumeDecided(jitter);
         co_return;
     }
-    const auto& open = epochs_.open();
+    const auto& openEpoch = epochs_.openEpoch();
     const auto& acceptor = storage_.acceptor();
     const bool outOfContact = epochs_.isFounded() && !contact_.hasContact();
-    if (!contact_.isReachable() || !acceptor.isMember(open) || outOfContact) co_return;
-    if (acceptor.state(consensus::successorKey(open)).accepted.round > 0) {
+    if (!contact_.isReachable() || !acceptor.isMember(openEpoch) || outOfContact) co_return;
+    if (acceptor.state(consensus::successorKey(openEpoch)).accepted.round > 0) {
         co_await resumeAccepted(jitter);
         co_return;
     }
@@ -100,25 +100,25 @@
     co_await proposeIfDue();
 }
 
-// Decided, and not known to be open: whoever began it may be gone.
+// Completes a change that is decided but not known to be open; its proposer may have failed.
 Task<> ReconfigurationDriver::resumeDecided(Nanos jitter) {
-    if (now() - epochs_.reconfigurationSince() < kDeferFor / 2 + jitter) co_return;
+    if (now() - epochs_.reconfigurationSince() < kDeferral / 2 + jitter) co_return;
     const auto [from, to] = *epochs_.reconfiguration();
-    // A seal can't be taken back: not before those who are to go on are there.
-    if (!storage_.acceptor().epochState().next && !contact_.isMajorityHeard(to)) co_return;
+    // A seal is irreversible, so it must wait until a majority of the new members is present.
+    if (!storage_.acceptor().epochState().next && !contact_.isMajorityPresent(to)) co_return;
     running_ = true;
-    const bool done = co_await carryOut(from, to);
+    const bool done = co_await execute(from, to);
     if (!done) epochs_.restartSuccessorDelay();
     running_ = false;
 }
 
-// This disk has accepted a next epoch and nobody completed it: it may be decided, and must not take effect by
-// surprise later.
+// Completes the proposal of a next epoch that this disk has accepted. It may have been decided, and would
+// otherwise take effect at an arbitrary later time.
 Task<> ReconfigurationDriver::resumeAccepted(Nanos jitter) {
     if (acceptedSince_ == 0) acceptedSince_ = now();
-    if (now() - acceptedSince_ < kDeferFor + jitter) co_return;
+    if (now() - acceptedSince_ < kDeferral + jitter) co_return;
     acceptedSince_ = 0;
-    const auto& accepted = storage_.acceptor().state(consensus::successorKey(epochs_.open()));
+    const auto& accepted = storage_.acceptor().state(consensus::successorKey(epochs_.openEpoch()));
     auto members = membership::decodeEpoch(Json::parse(accepted.value)).members;
     co_await proposeEpoch(std::move(members));
 }
@@ -126,94 +126,95 @@
 Task<> ReconfigurationDriver::proposeIfDue() {
     auto target = planner_.planned(false);
     const bool founded = epochs_.isFounded();
-    if (target.empty() || (founded && target == epochs_.open().members)) {
-        wantedSince_ = 0;
+    if (target.empty() || (founded && target == epochs_.openEpoch().members)) {
+        dueSince_ = 0;
         co_return;
     }
-    if (wantedSince_ == 0) wantedSince_ = now();
-    if (!founded && now() - startedAt_ < kFoundingPatience && !planner_.unmetTolerance(target).empty())
-        co_return;
-    const auto turn = planner_.proposerInTurn();
-    if (!turn.empty() && turn != address_ && now() - wantedSince_ < kDeferFor) co_return;
-    wantedSince_ = 0;
+    if (dueSince_ == 0) dueSince_ = now();
+    if (!founded && now() - startedAt_ < kFoundingWait && !planner_.unmetTolerance(target).empty()) co_return;
+    const auto preferred = planner_.preferredProposer();
+    if (!preferred.empty() && preferred != address_ && now() - dueSince_ < kDeferral) co_return;
+    dueSince_ = 0;
     co_await proposeEpoch(std::move(target));
 }
 
 Task<bool> ReconfigurationDriver::proposeEpoch(std::vector<consensus::Member> members) {
     running_ = true;
-    const auto from = epochs_.open();
+    const auto from = epochs_.openEpoch();
     const consensus::Epoch proposed{from.number + 1, std::move(members)};
     Json names = Json::array();
     for (const auto& member : proposed.members) names.push_back(member.address);
     log("epoch_proposed", {{"epoch", proposed.number}, {"members", names}});
     const auto value = membership::encode(proposed).dump();
-    const consensus::Change firstStays = [value](const std::string& held) {
-        return held.empty() ? value : held;
+    const consensus::Change keepExisting = [value](const std::string& current) {
+        return current.empty() ? value : current;
     };
     const auto key = consensus::successorKey(from);
-    const auto decided = co_await proposer_.update(key, firstStays, kChangeWithin, false);
+    const auto decided = co_await proposer_.update(key, keepExisting, kChangeTimeout, false);
     bool done = false;
-    if (decided && epochs_.open().number == from.number) {
+    if (decided && epochs_.openEpoch().number == from.number) {
         const auto to = membership::decodeEpoch(Json::parse(*decided));
         epochs_.noteDecided(from, to);
-        if (contact_.isMajorityHeard(to)) done = co_await carryOut(from, to);
+        if (contact_.isMajorityPresent(to)) done = co_await execute(from, to);
     }
     running_ = false;
     co_return done;
 }
 
-Task<bool> ReconfigurationDriver::carryOut(consensus::Epoch from, consensus::Epoch to) {
+Task<bool> ReconfigurationDriver::execute(consensus::Epoch from, consensus::Epoch to) {
     Reconfiguration reconfiguration(from, to, proposerNumber(address_), learner_.asStates());
     const auto exchange = std::make_shared<ReconfigurationExchange>(io_, std::move(reconfiguration));
     const auto id = broker_.begin(exchange);
     using Step = Reconfiguration::Step;
     const auto currentStep = [&exchange] { return exchange->reconfiguration.step(); };
-    const Nanos end = now() + kChangeWithin;
-    Nanos next = 0;
-    while (now() < end && epochs_.open().number < to.number && currentStep() != Step::done &&
+    const Nanos deadline = now() + kChangeTimeout;
+    Nanos nextSendAt = 0;
+    while (now() < deadline && epochs_.openEpoch().number < to.number && currentStep() != Step::done &&
            currentStep() != Step::lost) {
-        if (now() >= next) {
+        if (now() >= nextSendAt) {
             broker_.send(id);
-            next = now() + kAskAgainEvery;
+            nextSendAt = now() + kResendInterval;
         }
-        if (co_await exchange->progress.wait(std::min(end, next))) next = 0;
+        if (co_await exchange->progress.wait(std::min(deadline, nextSendAt))) nextSendAt = 0;
     }
     broker_.end(id);
     const bool done = currentStep() == Step::done;
-    if (done && epochs_.open().number < to.number) epochs_.adopt(to);
-    if (epochs_.open().number == to.number)
+    if (done && epochs_.openEpoch().number < to.number) epochs_.adopt(to);
+    if (epochs_.openEpoch().number == to.number)
         peers_.broadcast(PeerConnection::encode(encode(epochs_.notice())));
     co_return done;
 }
 
-bool ReconfigurationDriver::isOwnMember(const std::vector<consensus::Member>& members) const {
+bool ReconfigurationDriver::containsSelf(const std::vector<consensus::Member>& members) const {
     return std::any_of(members.begin(), members.end(),
                        [&](const auto& member) { return member.address == address_; });
 }
 
 Task<> ReconfigurationDriver::stepDown() {
     contact_.announceLeaving();
-    if (!contact_.hasContact() || !storage_.acceptor().isMember(epochs_.open())) co_return;
-    // A spare may have the newest value still to write.
-    const Nanos end = now() + kChangeWithin;
-    while (now() < end && isOwnMember(epochs_.open().members) && !planner_.spares().empty()) {
+    if (!contact_.hasContact() || !storage_.acceptor().isMember(epochs_.openEpoch())) co_return;
+    // Retries, because a spare may not have written the newest value yet.
+    const Nanos deadline = now() + kChangeTimeout;
+    while (now() < deadline && containsSelf(epochs_.openEpoch().members) && !planner_.spares().empty()) {
         auto target = planner_.planned(true);
-        if (!running_ && !isOwnMember(target)) co_await proposeEpoch(std::move(target));
-        else co_await sleep(kStepDownPause);
+        if (!running_ && !containsSelf(target)) co_await proposeEpoch(std::move(target));
+        else co_await sleep(kStepDownRetryDelay);
     }
-    if (isOwnMember(epochs_.open().members))
-        log("membership_kept", {{"step", "leave"}, {"members", epochs_.open().members.size()}});
+    if (containsSelf(epochs_.openEpoch().members))
+        log("membership_kept", {{"step", "leave"}, {"members", epochs_.openEpoch().members.size()}});
 }
 
 void ReconfigurationDriver::reportUnmetTolerance() {
     std::string unmet;
     if (epochs_.isFounded())
-        for (const auto& loss : planner_.unmetTolerance(epochs_.open().members))
+        for (const auto& loss : planner_.unmetTolerance(epochs_.openEpoch().members))
             unmet += (unmet.empty() ? "" : ", ") + loss;
     if (unmet == unmetTolerance_) return;
     unmetTolerance_ = unmet;
     log(unmet.empty() ? "fault_tolerance_met" : "fault_tolerance_unmet",
-        {{"epoch", epochs_.open().number}, {"loss_of", unmet}, {"members", epochs_.open().members.size()}});
+        {{"epoch", epochs_.openEpoch().number},
+         {"loss_of", unmet},
+         {"members", epochs_.openEpoch().members.size()}});
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/reconfiguration_driver.hpp
+++ b/src/control_plane/reconfiguration_driver.hpp
@@ -1,8 +1,8 @@
-/// Changes of the members: proposes the next epoch when one is due, completes what was left halfway, and
-/// carries out what has been decided (seal, transfer, open).
+/// Drives changes of the members: proposes the next epoch when a change is due, completes unfinished
+/// proposals, and executes decided changes (seal, transfer, open).
 ///
 /// Runs on the event loop's thread; the object outlives its coroutines. At most one change runs here at a
-/// time; other replicas may run the same one.
+/// time; other replicas may run the same one concurrently.
 #pragma once
 
 #include <random>
@@ -21,23 +21,23 @@
                           QuorumContactMonitor& contact, Learner& learner, MembershipPlanner& planner,
                           std::string address);
 
-    /// Looks at the members, at most once in an interval while nothing is pending; see step().
+    /// Starts step(), at most once per interval while no change is pending.
     void check();
-    /// Before an end by SIGTERM: hands this replica's place on where there is a spare.
+    /// Called on SIGTERM: replaces this replica by a spare, if there is one, before the process exits.
     Task<> stepDown();
-    /// Logs the losses that the members don't survive, when that has changed.
+    /// Logs the required losses that the members do not survive, whenever these change.
     void reportUnmetTolerance();
 
   private:
     class ReconfigurationExchange;
-    /// One change that was left halfway is completed, one that is due is proposed.
+    /// Completes an unfinished change, or else proposes one that is due.
     Task<> step();
     Task<> resumeDecided(Nanos jitter);
     Task<> resumeAccepted(Nanos jitter);
     Task<> proposeIfDue();
     Task<bool> proposeEpoch(std::vector<consensus::Member> members);
-    Task<bool> carryOut(consensus::Epoch from, consensus::Epoch to);
-    bool isOwnMember(const std::vector<consensus::Member>& members) const;
+    Task<bool> execute(consensus::Epoch from, consensus::Epoch to);
+    bool containsSelf(const std::vector<consensus::Member>& members) const;
     Nanos drawJitter() const;
 
     transport::asio::io_context& io_;
@@ -51,10 +51,10 @@
     MembershipPlanner& planner_;
     const std::string address_;
     const Nanos startedAt_;
-    bool running_ = false;  // a change is proposed or carried out here
+    bool running_ = false;  // a change is being proposed or executed here
     Nanos checkedAt_ = 0;
-    Nanos acceptedSince_ = 0;     // this disk has accepted a next epoch that nobody has completed; 0: none
-    Nanos wantedSince_ = 0;       // other members should be there; 0: none
+    Nanos acceptedSince_ = 0;     // since when this disk has an accepted but uncompleted next epoch; 0: none
+    Nanos dueSince_ = 0;          // since when a change of the members is due; 0: none is
     std::string unmetTolerance_;  // as last logged
 };
 
--- a/src/control_plane/register_keys.hpp
+++ b/src/control_plane/register_keys.hpp
@@ -8,7 +8,7 @@
 
 inline const std::string kConfigurationKey = "configuration", kRolloutsKey = "rollouts",
                          kLeasesKey = "duties";
-/// Every key that outlives a change of epoch; the successor keys of epochs are not among them.
+/// All keys that are transferred to the next epoch. The epochs' successor keys are not among them.
 inline const std::array<std::string, 3> kKeys{kConfigurationKey, kRolloutsKey, kLeasesKey};
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/replica_node.cpp
+++ b/src/control_plane/replica_node.cpp
@@ -7,8 +7,8 @@
 
 using namespace transport;
 
-constexpr Nanos kCheckEvery = 50 * kMillisecond;
-constexpr Nanos kPingEvery = 300 * kMillisecond;
+constexpr Nanos kCheckInterval = 50 * kMillisecond;
+constexpr Nanos kPingInterval = 300 * kMillisecond;
 
 std::vector<std::string> seedAddresses(const config::BootstrapSettings& boot) {
     std::vector<std::string> seeds;
@@ -38,12 +38,12 @@
 
 ReplicaStorage::Hooks ReplicaNode::storageHooks() {
     ReplicaStorage::Hooks hooks;
-    hooks.openEpoch = [this]() -> const consensus::Epoch& { return epochs_.open(); };
+    hooks.openEpoch = [this]() -> const consensus::Epoch& { return epochs_.openEpoch(); };
     hooks.statesToRetain = [this](const std::string& key) { return learner_.statesToRetain(key); };
     hooks.onStatesSynced = [this](const consensus::RegisterStates& states) { learner_.noteSynced(states); };
-    hooks.onEpochStateSynced = [this] { epochs_.follow(epochs_.notice()); };
-    hooks.onFirstOpened = [this] { contact_.pingAll(); };
-    hooks.onRenewed = [this] {
+    hooks.onEpochStateSynced = [this] { epochs_.handleNotice(epochs_.notice()); };
+    hooks.onIdentityCreated = [this] { contact_.pingAll(); };
+    hooks.onIdentityReplaced = [this] {
         for (const auto& key : kKeys) learner_.retain(key);
     };
     return hooks;
@@ -61,18 +61,18 @@
 
 void ReplicaNode::onEpochOpened() {
     broker_.notifyAll();
-    contact_.pingAll();  // who answers as one of its members is in contact
+    contact_.pingAll();  // contact needs answers from the new epoch's members
     callbacks_.onMembershipChanged();
 }
 
 Task<> ReplicaNode::run() {
     for (Nanos pingedAt = 0;;) {
-        co_await sleep(kCheckEvery);
+        co_await sleep(kCheckInterval);
         if (!storage_.isOpen()) continue;
-        if (now() - pingedAt >= kPingEvery) {
+        if (now() - pingedAt >= kPingInterval) {
             pingedAt = now();
             contact_.pingAll();
-            // Again where the disk has refused it.
+            // Retries after a failed write.
             if (storage_.isConfirmed() && storage_.isIdle()) epochs_.install();
             reconfiguration_.reportUnmetTolerance();
         }
@@ -83,13 +83,13 @@
     }
 }
 
-Task<std::optional<std::string>> ReplicaNode::update(std::string key, consensus::Change change, Nanos within,
+Task<std::optional<std::string>> ReplicaNode::update(std::string key, consensus::Change change, Nanos timeout,
                                                      bool readFirst) {
-    return proposer_.update(std::move(key), std::move(change), within, readFirst);
+    return proposer_.update(std::move(key), std::move(change), timeout, readFirst);
 }
 
-Task<std::optional<std::string>> ReplicaNode::read(std::string key, Nanos within) {
-    return proposer_.read(std::move(key), within);
+Task<std::optional<std::string>> ReplicaNode::read(std::string key, Nanos timeout) {
+    return proposer_.read(std::move(key), timeout);
 }
 
 // ---- Messages. ----
@@ -104,7 +104,8 @@
 
 Json ReplicaNode::helloFields() const {
     ReplicaHello hello;
-    // Itself too: who is heard of may be chosen as a member, and a reconfiguration asks the new ones.
+    // Includes this replica: any known replica may become a member, and a reconfiguration must be able to
+    // reach the new members.
     hello.members = epochs_.memberAddresses();
     hello.members.insert(address_);
     if (!isFounded()) hello.members.insert(seeds_.begin(), seeds_.end());
@@ -117,7 +118,7 @@
 
 void ReplicaNode::onHello(const Json& hello) {
     contact_.noteStatus(decodeHelloStatus(hello));
-    epochs_.follow(decodeHelloNotice(hello));
+    epochs_.handleNotice(decodeHelloNotice(hello));
 }
 
 bool ReplicaNode::handleMessage(PeerConnection& connection, const Json& message) {
@@ -144,7 +145,7 @@
             contact_.handlePong(decodePong(message), connection);
             break;
         case PeerMessageType::epochNotice:
-            epochs_.follow(decodeEpochNotice(message));
+            epochs_.handleNotice(decodeEpochNotice(message));
             break;
         case PeerMessageType::other:
             return false;
@@ -153,7 +154,7 @@
 }
 
 void ReplicaNode::handleRequest(PeerConnection& connection, const Json& message) {
-    if (!storage_.acceptsRequests()) return;  // the disk hangs: no reply, as from a machine that is down
+    if (!storage_.acceptsRequests()) return;  // the disk is stalled: no reply, as if the machine were down
     auto request = decodeRequestMessage(message);
     storage_.submit(std::move(request.request),
                     [to = connection.weak_from_this(), id = request.id,
@@ -165,7 +166,7 @@
 void ReplicaNode::handleReply(const PeerConnection& connection, const Json& message) {
     const auto reply = decodeReplyMessage(message);
     if (const auto* peer = peers_.find(connection.peer))
-        storage_.noteWrites(peer->member.disk, reply.reply.writes);
+        storage_.noteWriteCount(peer->member.disk, reply.reply.writes);
     broker_.handleReply(reply, connection.peer);
 }
 
@@ -174,20 +175,21 @@
 Json ReplicaNode::describeMembers() const {
     Json members = Json::array();
     for (const auto& member : epoch().members) {
-        Json one{{"address", member.address}, {"disk", member.disk}, {"zone", member.zone}};
+        Json entry{{"address", member.address}, {"disk", member.disk}, {"zone", member.zone}};
         const auto* peer = peers_.find(member.address);
         if (member.address != address_)
-            one["heard_ms_ago"] =
-                !peer || peer->heardAt == 0 ? Json(nullptr) : Json((now() - peer->heardAt) / kMillisecond);
-        members.push_back(std::move(one));
+            entry["heard_ms_ago"] = !peer || peer->lastMessageAt == 0
+                                        ? Json(nullptr)
+                                        : Json((now() - peer->lastMessageAt) / kMillisecond);
+        members.push_back(std::move(entry));
     }
     return members;
 }
 
 Json ReplicaNode::describe() const {
     Json spares = Json::array();
-    for (const auto& one : planner_.spares())
-        spares.push_back({{"address", one.member.address}, {"whole", one.complete}});
+    for (const auto& spare : planner_.spares())
+        spares.push_back({{"address", spare.member.address}, {"whole", spare.complete}});
     Json unmet = Json::array();
     if (isFounded())
         for (const auto& loss : planner_.unmetTolerance(epoch().members)) unmet.push_back(loss);
--- a/src/control_plane/replica_node.hpp
+++ b/src/control_plane/replica_node.hpp
@@ -1,9 +1,9 @@
-/// This process's replica of the register: owner of the parts that store, propose, learn and change members,
-/// and the one place where messages come in.
+/// This process's replica of the register. Owns the components for storage, proposals, learning and
+/// membership, and dispatches incoming messages to them.
 ///
-/// Everything runs on the event loop's thread, but for the writes on the disk's thread (replica_storage.hpp).
-/// The object outlives the event loop's run. The rules are consensus.hpp's and membership.hpp's; what holds,
-/// and why, is in docs/design/control.md.
+/// Runs on the event loop's thread, except for disk writes (see replica_storage.hpp). The object must outlive
+/// the run of the event loop. consensus.hpp and membership.hpp define the rules; docs/design/control.md
+/// explains the guarantees.
 #pragma once
 
 #include <functional>
@@ -33,50 +33,51 @@
   public:
     using Known = KnownValue;
     using Opener = ReplicaStorage::Opener;
-    /// What the host does with the replica.
+    /// Notifications to the host.
     struct Callbacks {
-        std::function<void(const std::string& key)> onValueLearned;  ///< another value of a key is in force
-        std::function<void()> onMembershipChanged;  ///< other members, or contact has come or gone
+        std::function<void(const std::string& key)> onValueLearned;  ///< the known value of a key has changed
+        std::function<void()> onMembershipChanged;  ///< the members or the quorum contact changed
     };
 
     ReplicaNode(transport::asio::io_context& io, const config::BootstrapSettings& boot, Callbacks callbacks,
                 Opener opener);
 
-    /// Opens a store in the settings' data_dir.
+    /// Opens a store in the setting `data_dir`.
     static Opener onDisk(const config::BootstrapSettings& boot) { return ReplicaStorage::onDisk(boot); }
 
-    /// Opens the disk and takes over what is on it; before run(). Throws StorageError where no store can be
-    /// opened.
+    /// Opens the store and restores the state from it. Call before run(). Throws StorageError if no store can
+    /// be opened.
     void open();
-    /// A message of a connected replica. False where it is none that replicas exchange; throws
-    /// nlohmann::json::exception on one of another shape.
+    /// Handles a message from a connected replica. Returns false if it is not a message between replicas.
+    /// Throws nlohmann::json::exception if a field is missing or has the wrong type.
     bool handleMessage(PeerConnection& connection, const Json& message);
-    /// A connection to the replica at this address is open; replies to this replica's requests come on it.
+    /// Called when a connection to the replica at this address opens. Requests and their replies use it.
     void onPeerConnected(const std::string& address, std::shared_ptr<PeerConnection> connection);
     void onPeerDisconnected(const std::string& address);
-    /// The fields of a hello that tell others of this replica; "members" are the addresses to link to.
+    /// The replica's fields of a hello; "members" are the addresses to connect to.
     Json helloFields() const;
-    void onHello(const Json& hello);  ///< another replica's
+    void onHello(const Json& hello);  ///< from another replica
 
-    /// See Proposer::update and Proposer::read. Within: nanoseconds.
-    Task<std::optional<std::string>> update(std::string key, consensus::Change change, Nanos within,
+    /// See Proposer::update and Proposer::read. `timeout` is in nanoseconds.
+    Task<std::optional<std::string>> update(std::string key, consensus::Change change, Nanos timeout,
                                             bool readFirst = true);
-    Task<std::optional<std::string>> read(std::string key, Nanos within);
+    Task<std::optional<std::string>> read(std::string key, Nanos timeout);
 
     const Known& known(const std::string& key) const { return learner_.known(key); }
     /// See QuorumContactMonitor::hasContact.
     bool hasQuorumContact() const { return contact_.hasContact(); }
     bool isFounded() const { return epochs_.isFounded(); }
-    bool isVotingMember() const { return storage_.isVotingMember(); }  ///< it is part of majorities
+    bool isVotingMember() const { return storage_.isVotingMember(); }  ///< it counts towards majorities
     std::set<std::string> members() const { return epochs_.memberAddresses(); }
-    const consensus::Epoch& epoch() const { return epochs_.open(); }  ///< number 0: founding, or none known
+    /// Its number is 0 during founding, and while no epoch is known.
+    const consensus::Epoch& epoch() const { return epochs_.openEpoch(); }
     bool isPeerReachable(const std::string& address) const { return contact_.isPeerReachable(address); }
     std::size_t connectedPeerCount() const { return peers_.connectedCount(); }
-    Json describe() const;  ///< for the `status` command
+    Json describe() const;  ///< for the admin call `status`
 
-    /// Keeps contact, members and known values up to date, without end.
+    /// Keeps contact, members and known values up to date. Never returns.
     Task<> run();
-    /// Before an end by SIGTERM: hands this replica's place on where there is a spare.
+    /// Called on SIGTERM: replaces this replica by a spare, if there is one, before the process exits.
     Task<> stepDown() { return reconfiguration_.stepDown(); }
 
   private:
--- a/src/control_plane/replica_storage.cpp
+++ b/src/control_plane/replica_storage.cpp
@@ -16,8 +16,8 @@
 using storage::kDiskNote, storage::kStandingNote;
 
 constexpr std::size_t kMaxQueuedJobs = 64;
-constexpr double kStoreShareOfDisk = 0.6;  // of the disk that the store may take
-constexpr Nanos kRetryWriteAfter = 100 * kMillisecond;
+constexpr double kStoreDiskShare = 0.6;  // the part of `disk_mb` that the store may use
+constexpr Nanos kWriteRetryDelay = 100 * kMillisecond;
 
 }  // namespace
 
@@ -27,16 +27,16 @@
 ReplicaStorage::~ReplicaStorage() { diskThread_.join(); }
 
 ReplicaStorage::Opener ReplicaStorage::onDisk(const config::BootstrapSettings& boot) {
-    const auto folder = boot.dataDir + "/promptbook";
-    const auto bytes = static_cast<std::size_t>(std::max(boot.diskMegabytes, 16) * kStoreShareOfDisk) << 20;
-    return [folder, bytes](bool replace) {
-        if (replace) std::filesystem::remove_all(folder);
-        std::filesystem::create_directories(folder);
-        return std::make_unique<storage::LmdbReplicaStore>(folder, bytes);
+    const auto directory = boot.dataDir + "/promptbook";
+    const auto bytes = static_cast<std::size_t>(std::max(boot.diskMegabytes, 16) * kStoreDiskShare) << 20;
+    return [directory, bytes](bool replace) {
+        if (replace) std::filesystem::remove_all(directory);
+        std::filesystem::create_directories(directory);
+        return std::make_unique<storage::LmdbReplicaStore>(directory, bytes);
     };
 }
 
-// ---- The identity of the disk. ----
+// ---- Disk identity. ----
 
 void ReplicaStorage::load() {
     consensus::RegisterStates states;
@@ -45,8 +45,8 @@
         store_ = opener_(false);
         states = store_->states();
         for (const auto& name : kStoredNotes) notes[name] = store_->note(name);
-    } catch (const storage::StorageError& damaged) {
-        log("store_corrupt", {{"step", "open"}, {"error", damaged.what()}});
+    } catch (const storage::StorageError& error) {
+        log("store_corrupt", {{"step", "open"}, {"error", error.what()}});
         store_.reset();
         store_ = opener_(true);
         notes.clear();
@@ -55,7 +55,7 @@
     auto stored = readIdentity(std::move(states), std::move(notes), founding_);
     isNew_ = stored.isNew;
     writes_ = stored.writes;
-    witnessed_ = std::move(stored.witnessed);
+    witnessedWriteCounts_ = std::move(stored.witnessedWriteCounts);
     acceptor_ = consensus::Acceptor(founding_.address, stored.disk);
     acceptor_.apply(stored.update);
     log("store_opened", {{"disk", stored.disk},
@@ -71,26 +71,26 @@
         confirmIdentity();
         return;
     }
-    // The identity, and at the first start that this is a founder, are synced before anything is said.
+    // The disk id, and a founder's first epoch, must be synced before any message is sent.
     Job job;
     job.update.epochState = acceptor_.epochState();
     job.notes[kDiskNote] = acceptor_.disk();
     job.onSynced = [this] {
         open_ = true;
         confirmed_ = true;
-        hooks_.onFirstOpened();
+        hooks_.onIdentityCreated();
     };
     enqueue(std::move(job));
 }
 
-void ReplicaStorage::noteWrites(const std::string& disk, std::uint64_t writes) {
-    auto& highest = witnessed_[disk];
+void ReplicaStorage::noteWriteCount(const std::string& disk, std::uint64_t writes) {
+    auto& highest = witnessedWriteCounts_[disk];
     highest = std::max(highest, writes);
 }
 
-std::uint64_t ReplicaStorage::witnessedWrites(const std::string& disk) const {
-    const auto at = witnessed_.find(disk);
-    return at == witnessed_.end() ? 0 : at->second;
+std::uint64_t ReplicaStorage::witnessedWriteCount(const std::string& disk) const {
+    const auto it = witnessedWriteCounts_.find(disk);
+    return it == witnessedWriteCounts_.end() ? 0 : it->second;
 }
 
 void ReplicaStorage::noteConfirmation(const std::string& address, const std::string& disk) {
@@ -100,27 +100,27 @@
 
 void ReplicaStorage::confirmIdentity() {
     if (confirmed_ || !open_) return;
-    // Where its epoch has passed, the members of that one may be gone for good, and nothing of it is answered
-    // any more: only those of the newest are asked, if this disk is one of them.
+    // If a newer epoch is open, the members of the stored one may be lost for good, and requests of it are
+    // not answered any more. The newest epoch's members must confirm then, if this disk is one of them.
     const auto& stored = acceptor_.epochState().epoch;
-    const auto& open = hooks_.openEpoch();
-    const auto& epoch = open.number > stored.number ? open : stored;
+    const auto& openEpoch = hooks_.openEpoch();
+    const auto& epoch = openEpoch.number > stored.number ? openEpoch : stored;
     const auto confirming =
         std::count_if(epoch.members.begin(), epoch.members.end(), [&](const auto& member) {
             if (member.address == founding_.address) return true;
-            const auto at = confirmations_.find(member.address);
-            return at != confirmations_.end() && (epoch.number == 0 || at->second == member.disk);
+            const auto it = confirmations_.find(member.address);
+            return it != confirmations_.end() && (epoch.number == 0 || it->second == member.disk);
         });
     if (acceptor_.isMember(epoch) && static_cast<std::size_t>(confirming) < epoch.majority()) return;
     confirmed_ = true;
-    if (!jobs_.empty() && !working_) startQueue();
+    if (!jobs_.empty() && !processing_) startQueue();
 }
 
-void ReplicaStorage::renewIdentity(const char* reason) {
+void ReplicaStorage::replaceIdentity(const char* reason) {
     log("disk_identity_replaced", {{"step", "identity"}, {"why", reason}, {"disk", acceptor_.disk()}});
     const auto epochState = acceptor_.epochState();
     const auto states = acceptor_.states();
-    acceptor_ = consensus::Acceptor(founding_.address, drawDiskId());
+    acceptor_ = consensus::Acceptor(founding_.address, generateDiskId());
     acceptor_.apply({{}, epochState});
     jobs_.clear();
     retainedKeys_.clear();
@@ -134,12 +134,12 @@
     job.onSynced = [this] {
         open_ = true;
         confirmed_ = true;
-        hooks_.onRenewed();
+        hooks_.onIdentityReplaced();
     };
     enqueue(std::move(job));
 }
 
-// ---- The queue: one job after the other, each synced before its reply. ----
+// ---- Job queue: jobs run one at a time, and each is synced before its reply. ----
 
 bool ReplicaStorage::isQueueFull() const { return jobs_.size() >= kMaxQueuedJobs; }
 
@@ -161,19 +161,19 @@
 
 void ReplicaStorage::enqueue(Job job) {
     jobs_.push_back(std::move(job));
-    if (working_ || (open_ && !confirmed_)) return;
+    if (processing_ || (open_ && !confirmed_)) return;
     startQueue();
 }
 
 void ReplicaStorage::startQueue() {
-    working_ = true;
+    processing_ = true;
     spawn(io_, "register copy", processQueue());
 }
 
 std::optional<consensus::Update> ReplicaStorage::evaluate(const Job& job, consensus::Reply& reply) {
     std::optional<consensus::Update> update;
     if (job.request) {
-        // An epoch that has passed, also where that is not on this disk yet.
+        // Rejects requests of an earlier epoch, even if the newer one is not on this disk yet.
         const auto openEpoch = hooks_.openEpoch().number;
         if (job.request->kind != consensus::Request::Kind::install && job.request->epoch < openEpoch) {
             reply.rejected = true;
@@ -207,54 +207,54 @@
             const auto disk = acceptor_.disk();
             const bool synced = co_await write(*update, job.notes);
             if (!synced) {
-                // No reply, as from a machine that is down; what is retained is looked at again later.
+                // No reply, as if the machine were down. Keys to retain are submitted again by later checks.
                 if (job.request || job.retainedKey) continue;
                 jobs_.push_back(std::move(job));
-                co_await sleep(kRetryWriteAfter);
+                co_await sleep(kWriteRetryDelay);
                 continue;
             }
-            if (acceptor_.disk() != disk) continue;  // renewed meanwhile
+            if (acceptor_.disk() != disk) continue;  // the id was replaced in the meantime
             applySynced(job, *update);
         }
         reply.writes = writes_;
         if (job.onReply) job.onReply(reply);
         if (job.onSynced) job.onSynced();
     }
-    working_ = false;
+    processing_ = false;
 }
 
 void ReplicaStorage::addBookkeeping(consensus::Update& update, Notes& notes) const {
     if (update.epochState) {
         notes[kStandingNote] = membership::encode(*update.epochState).dump();
-        if (update.epochState->open)  // what the acceptor drops is dropped on the disk
+        if (update.epochState->open)  // the acceptor drops older successor keys, so delete them here too
             for (const auto& [key, _] : acceptor_.states())
                 if (consensus::isSuccessorKey(key) &&
                     key != consensus::successorKey(update.epochState->epoch))
                     update.states.emplace(key, consensus::RegisterState{});
     }
     notes[kWritesNote] = std::to_string(writes_ + 1);
-    notes[kWitnessNote] = Json(witnessed_).dump();
+    notes[kWitnessNote] = Json(witnessedWriteCounts_).dump();
 }
 
 Task<bool> ReplicaStorage::write(consensus::Update update, Notes notes) {
     addBookkeeping(update, notes);
-    AsyncEvent finished(io_);
+    AsyncEvent progress(io_);
     std::string failure;
-    bool ended = false;
+    bool completed = false;
     asio::post(diskThread_, [&] {
         try {
             if (!store_) store_ = opener_(false);
             store_->write(update.states, notes);
         } catch (const std::exception& error) {
             failure = error.what();
-            store_.reset();  // LMDB takes no more after some failures: opened anew with the next write
+            store_.reset();  // LMDB stays unusable after some failures; the next write reopens it
         }
         asio::post(io_, [&] {
-            ended = true;
-            finished.notify();
+            completed = true;
+            progress.notify();
         });
     });
-    while (!ended) co_await finished.wait(now() + 3600 * kSecond);
+    while (!completed) co_await progress.wait(now() + 3600 * kSecond);
     const bool synced = failure.empty();
     if (synced) ++writes_;
     else log("store_write_failed", {{"step", "write"}, {"error", failure}});
--- a/src/control_plane/replica_storage.hpp
+++ b/src/control_plane/replica_storage.hpp
@@ -1,9 +1,9 @@
-/// A replica's own copy of the register: the acceptor, and the disk that every change of it is synced to
-/// before anybody is told.
+/// A replica's own copy of the register: the acceptor, and the disk to which each of its changes is synced
+/// before a reply is sent.
 ///
-/// Runs on the event loop's thread; the store itself is opened at the start there and written on one thread
-/// of its own. Requests are evaluated one after the other: the next one begins when the disk has synced the
-/// one before. The object outlives the event loop's run.
+/// Runs on the event loop's thread, which opens the store at the start; writes run on a thread of their own.
+/// Requests are evaluated one at a time: the next one begins when the update of the previous one is synced.
+/// The object must outlive the run of the event loop.
 #pragma once
 
 #include <boost/asio/thread_pool.hpp>
@@ -24,66 +24,69 @@
 
 class ReplicaStorage {
   public:
-    /// Opens the store; with `replace`, what is there is damaged and is removed first. Throws StorageError.
-    /// Called on the event loop's thread and on the disk's.
+    /// Opens the store. With `replace`, an existing store is damaged and is deleted first. Throws
+    /// StorageError. Called on the event loop's thread and on the disk thread.
     using Opener = std::function<std::unique_ptr<storage::ReplicaStore>(bool replace)>;
     using ReplyHandler = std::function<void(const consensus::Reply&)>;
 
-    /// What the storage asks of, and tells, the rest of the replica.
+    /// Queries and notifications to the rest of the replica.
     struct Hooks {
-        std::function<const consensus::Epoch&()> openEpoch;  ///< the newest that is known to be open
-        /// What a non-member's disk is to hold of a key as of now; none: nothing more than it has.
+        std::function<const consensus::Epoch&()> openEpoch;  ///< the newest epoch known to be open
+        /// The state of a key that a non-member's disk should store; null if it is up to date.
         std::function<std::optional<consensus::RegisterStates>(const std::string& key)> statesToRetain;
-        /// A request has changed these states; they are synced.
+        /// Called when the states that a request has changed are synced.
         std::function<void(const consensus::RegisterStates&)> onStatesSynced;
         std::function<void()> onEpochStateSynced;
-        std::function<void()> onFirstOpened;  ///< a new disk's identity is synced
-        std::function<void()> onRenewed;      ///< the identity that replaces another is synced
+        std::function<void()> onIdentityCreated;   ///< the id of a new disk is synced
+        std::function<void()> onIdentityReplaced;  ///< the id that replaces another one is synced
     };
 
     ReplicaStorage(transport::asio::io_context& io, FoundingRules founding, Opener opener, Hooks hooks);
-    ~ReplicaStorage();  ///< waits for the write that the disk's thread is in
+    ~ReplicaStorage();  ///< waits for the write in progress
 
-    /// A store in the settings' data_dir.
+    /// Opens a store in the setting `data_dir`.
     static Opener onDisk(const config::BootstrapSettings& boot);
 
-    /// Reads the store into the acceptor. A damaged store is replaced by an empty one: nothing is guessed.
+    /// Reads the store into the acceptor. A damaged store is replaced by an empty one; nothing is recovered
+    /// from it.
     void load();
-    /// Starts to answer requests; a new disk once its identity is synced.
+    /// Starts to answer requests; on a new disk, once its id is synced.
     void activate();
 
     const consensus::Acceptor& acceptor() const { return acceptor_; }
-    bool isOpen() const { return open_; }  ///< an identity is on the disk
-    /// Nobody has seen a later state of this disk than it holds; until then no request is answered.
+    bool isOpen() const { return open_; }  ///< the disk id is synced
+    /// Whether a majority of the epoch's members has confirmed that no newer state of this disk was seen, as
+    /// there would be after a restore from an old image. Until then no request is answered.
     bool isConfirmed() const { return confirmed_; }
     bool isVotingMember() const { return confirmed_ && acceptor_.isVotingMember(); }
     std::string announcedDisk() const { return open_ ? acceptor_.disk() : ""; }  ///< "" until it is open
     std::uint64_t writes() const { return writes_; }
 
-    /// Whether another request may wait for the disk; where not, a request is dropped as on a machine that is
-    /// down.
+    /// Whether another request may be queued. If not, requests are dropped without a reply, as if the machine
+    /// were down.
     bool acceptsRequests() const;
     bool isQueueFull() const;
-    bool isWriting() const { return working_; }
-    bool isIdle() const { return jobs_.empty() && !working_; }
+    bool isWriting() const { return processing_; }
+    bool isIdle() const { return jobs_.empty() && !processing_; }
 
-    /// Evaluates a request. `onReply` is called when its update is synced, and never where that fails.
+    /// Evaluates a request. `onReply` is called when its update is synced, and never if that fails.
     void submit(consensus::Request request, ReplyHandler onReply = {});
-    /// Writes what Hooks::statesToRetain gives for the key when its turn comes.
+    /// Queues a write of what Hooks::statesToRetain returns for the key at that time.
     void submitRetained(const std::string& key);
 
-    /// Another replica has told how often a disk was written.
-    void noteWrites(const std::string& disk, std::uint64_t writes);
-    std::uint64_t witnessedWrites(const std::string& disk) const;  ///< the highest told; 0: none
-    /// The replica at this address, on this disk, has seen no later state of the own disk.
+    /// Records another replica's report of a disk's write count.
+    void noteWriteCount(const std::string& disk, std::uint64_t writes);
+    std::uint64_t witnessedWriteCount(const std::string& disk) const;  ///< the highest reported; 0: none
+    /// The replica at this address, on this disk, has seen no newer state of the own disk.
     void noteConfirmation(const std::string& address, const std::string& disk);
-    /// Confirms the own disk if a majority of its epoch has done so.
+    /// Marks the own disk as confirmed once a majority of its epoch has confirmed it.
     void confirmIdentity();
-    /// The disk holds less than others have seen of it: it goes on as another one, which never answered.
-    void renewIdentity(const char* reason);
+    /// Gives the disk a new id, because it has lost writes that peers have seen. Under the new id it has
+    /// never answered a request.
+    void replaceIdentity(const char* reason);
 
   private:
-    /// One turn of the disk: a request to the acceptor, a key to retain, or an update as it is.
+    /// A queue entry: a request to the acceptor, a key to retain, or an unconditional update.
     struct Job {
         std::optional<consensus::Request> request;
         ReplyHandler onReply;
@@ -105,15 +108,15 @@
     Opener opener_;
     Hooks hooks_;
     consensus::Acceptor acceptor_;
-    std::unique_ptr<storage::ReplicaStore> store_;  // the disk's thread's, while a write runs
+    std::unique_ptr<storage::ReplicaStore> store_;  // used by the disk thread only while a write runs
     transport::asio::thread_pool diskThread_{1};
     std::deque<Job> jobs_;
-    std::set<std::string> retainedKeys_;  // that wait in the queue
-    bool working_ = false;                // processQueue runs
+    std::set<std::string> retainedKeys_;  // in the queue
+    bool processing_ = false;             // processQueue is running
     bool open_ = false, confirmed_ = false, isNew_ = false;
     std::uint64_t writes_ = 0;
-    std::map<std::string, std::uint64_t> witnessed_;    // by disk
-    std::map<std::string, std::string> confirmations_;  // disk by address
+    std::map<std::string, std::uint64_t> witnessedWriteCounts_;  // highest count seen, by disk id
+    std::map<std::string, std::string> confirmations_;           // disk id of the confirming peer, by address
 };
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/request_broker.cpp
+++ b/src/control_plane/request_broker.cpp
@@ -21,11 +21,11 @@
     for (const auto& [id, exchange] : exchanges_) send(id, *exchange, &address);
 }
 
-void RequestBroker::send(std::uint64_t id, const Exchange& exchange, const std::string* only) {
+void RequestBroker::send(std::uint64_t id, const Exchange& exchange, const std::string* onlyTo) {
     for (const auto& staged : exchange.requests()) {
-        transport::EncodedMessage encoded;  // once for all members
+        transport::EncodedMessage encoded;  // encoded once for all members
         for (const auto& member : exchange.targetEpoch().members) {
-            if (only && member.address != *only) continue;
+            if (onlyTo && member.address != *onlyTo) continue;
             if (member.address == address_) {
                 sendToSelf(id, staged);
                 continue;
@@ -47,14 +47,14 @@
 }
 
 void RequestBroker::handleReply(const ReplyMessage& message, const std::string& from) {
-    const auto at = exchanges_.find(message.id);
-    if (at == exchanges_.end()) return;
-    auto& exchange = *at->second;
+    const auto it = exchanges_.find(message.id);
+    if (it == exchanges_.end()) return;
+    auto& exchange = *it->second;
     const auto& members = exchange.targetEpoch().members;
-    const auto place = std::find_if(members.begin(), members.end(),
-                                    [&](const auto& member) { return member.address == from; });
-    if (place == members.end()) return;
-    const auto member = static_cast<std::uint32_t>(place - members.begin());
+    const auto sender = std::find_if(members.begin(), members.end(),
+                                     [&](const auto& member) { return member.address == from; });
+    if (sender == members.end()) return;
+    const auto member = static_cast<std::uint32_t>(sender - members.begin());
     if (exchange.handleReply(member, message.stage, message.reply)) exchange.progress.notify();
 }
 
--- a/src/control_plane/request_broker.hpp
+++ b/src/control_plane/request_broker.hpp
@@ -1,5 +1,5 @@
-/// Sends the requests of proposals and reconfigurations to the members that they ask, this replica included,
-/// and hands each reply to the one that waits for it.
+/// Sends the requests of proposals and reconfigurations to the members of their epoch, including this
+/// replica, and delivers each reply to the exchange that waits for it.
 ///
 /// Runs on the event loop's thread.
 #pragma once
@@ -19,43 +19,43 @@
     consensus::Request request;
 };
 
-/// One proposal or reconfiguration that is under way.
+/// A proposal or reconfiguration in progress.
 class Exchange {
   public:
     explicit Exchange(transport::asio::io_context& io) : progress(io) {}
     virtual ~Exchange() = default;
-    virtual const consensus::Epoch& targetEpoch() const = 0;  ///< whose members are asked
-    virtual std::vector<StagedRequest> requests() const = 0;  ///< of the present step
-    /// `member`: the place of the sender in targetEpoch(). True where requests() has changed.
+    virtual const consensus::Epoch& targetEpoch() const = 0;  ///< receives the requests
+    virtual std::vector<StagedRequest> requests() const = 0;  ///< of the current step
+    /// `member` is the sender's index in targetEpoch(). Returns whether requests() has changed.
     virtual bool handleReply(std::uint32_t member, const RequestStage& stage,
                              const consensus::Reply& reply) = 0;
 
-    transport::AsyncEvent progress;  ///< notified when requests() has changed, and when an epoch opens
+    transport::AsyncEvent progress;  ///< notified when requests() changes and when an epoch opens
 };
 
 class RequestBroker {
   public:
     RequestBroker(ReplicaStorage& storage, PeerDirectory& peers, std::string address);
 
-    /// Registers an exchange under a new id. Nothing is sent yet.
+    /// Registers an exchange under a new id. Sends nothing yet.
     std::uint64_t begin(std::shared_ptr<Exchange> exchange);
-    /// Replies that come later are dropped.
+    /// Unregisters an exchange. Later replies to it are dropped.
     void end(std::uint64_t id) { exchanges_.erase(id); }
-    /// Sends the present requests to all members that they ask.
+    /// Sends the current requests to all members of the target epoch.
     void send(std::uint64_t id);
-    /// Sends the present requests of every exchange to a peer that has just connected.
+    /// Sends the current requests of every exchange to a peer that has just connected.
     void onPeerConnected(const std::string& address);
     void handleReply(const ReplyMessage& message, const std::string& from);
-    /// Lets each exchange look at the open epoch anew.
+    /// Wakes up every exchange, so that it checks the open epoch again.
     void notifyAll();
 
   private:
-    void send(std::uint64_t id, const Exchange& exchange, const std::string* only);
+    void send(std::uint64_t id, const Exchange& exchange, const std::string* onlyTo);
     void sendToSelf(std::uint64_t id, const StagedRequest& staged);
 
     ReplicaStorage& storage_;
     PeerDirectory& peers_;
-    const std::string address_;  // this replica's
+    const std::string address_;  // of this replica
     std::map<std::uint64_t, std::shared_ptr<Exchange>> exchanges_;
     std::uint64_t lastId_ = 0;
 };
--- a/tests/control_plane/peer_messages.cpp
+++ b/tests/control_plane/peer_messages.cpp
@@ -1,4 +1,4 @@
-// The messages between replicas, field by field: their JSON forms are the wire protocol.
+// The JSON encoding of the messages between replicas, which is the wire protocol.
 #include "control_plane/peer_messages.hpp"
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -26,20 +26,20 @@
     return {{"a:1", "d-a", "z1", "r"}, true, false, true, 1, 7, {{"configuration", {3, 9}}}};
 }
 
-// The messages that the previous version sent, as in tests/fixtures/previous_version/README.md.
-std::vector<Json> messagesOfThePreviousVersion() {
+// Messages recorded from the previous version; see tests/fixtures/previous_version/README.md.
+std::vector<Json> messagesOfPreviousVersion() {
     std::vector<Json> messages;
-    std::ifstream lines(std::string(FIXTURES) + "/previous_version/messages.txt");
-    for (std::string name, digits; lines >> name >> digits;) {
+    std::ifstream file(std::string(FIXTURES) + "/previous_version/messages.txt");
+    for (std::string name, hex; file >> name >> hex;) {
         std::string frame;
-        for (std::size_t at = 0; at + 1 < digits.size(); at += 2)
-            frame += static_cast<char>(std::stoi(digits.substr(at, 2), nullptr, 16));
+        for (std::size_t at = 0; at + 1 < hex.size(); at += 2)
+            frame += static_cast<char>(std::stoi(hex.substr(at, 2), nullptr, 16));
         messages.push_back(Json::from_cbor(transport::decompress(frame)));
     }
     return messages;
 }
 
-// The message read and written again; null where it is none that replicas exchange.
+// Decodes and encodes a message. Null if it is not a message between replicas.
 Json reencoded(const Json& message) {
     switch (typeOf(message)) {
         case PeerMessageType::request:
@@ -67,11 +67,11 @@
     CPPUNIT_TEST(encodesPongs);
     CPPUNIT_TEST(encodesEpochNotices);
     CPPUNIT_TEST(encodesRequestsAndReplies);
-    CPPUNIT_TEST(encodesWhatIsInForce);
+    CPPUNIT_TEST(encodesLearnAndKnownMessages);
     CPPUNIT_TEST(encodesHellos);
-    CPPUNIT_TEST(tellsTypesApart);
-    CPPUNIT_TEST(refusesMissingFields);
-    CPPUNIT_TEST(keepsMessagesOfThePreviousVersion);
+    CPPUNIT_TEST(recognizesTypes);
+    CPPUNIT_TEST(rejectsMissingFields);
+    CPPUNIT_TEST(reencodesMessagesOfPreviousVersion);
     CPPUNIT_TEST_SUITE_END();
 
   public:
@@ -95,7 +95,7 @@
                 "held":{"rollouts":[2,4]}})");
         CPPUNIT_ASSERT_EQUAL(expected, encode(pong));
         CPPUNIT_ASSERT_EQUAL(expected, encode(decodePong(expected)));
-        // One that holds nothing says so with an empty object.
+        // Without accepted values the field is an empty object.
         CPPUNIT_ASSERT_EQUAL(Json::object(), encode(Pong{}).at("held"));
     }
 
@@ -113,7 +113,7 @@
         CPPUNIT_ASSERT(decoded.reconfiguration == notice.reconfiguration);
     }
 
-    // A proposal's stage has its step alone, a reconfiguration's has the key and its proposal's step too.
+    // The stage of a proposal is its step. That of a reconfiguration also has a key and the proposal's step.
     void encodesRequestsAndReplies() {
         RequestMessage request;
         request.id = 6;
@@ -147,7 +147,7 @@
         CPPUNIT_ASSERT_EQUAL(encoded, encode(decodeReplyMessage(encoded)));
     }
 
-    void encodesWhatIsInForce() {
+    void encodesLearnAndKnownMessages() {
         const auto learn = Json::parse(R"({"t":"learn","key":"duties","ballot":[4,2]})");
         CPPUNIT_ASSERT_EQUAL(learn, encode(LearnMessage{"duties", {4, 2}}));
         CPPUNIT_ASSERT_EQUAL(learn, encode(decodeLearnMessage(learn)));
@@ -167,7 +167,7 @@
         CPPUNIT_ASSERT(decodeHelloNotice(expected).epoch == kEpochOne);
     }
 
-    void tellsTypesApart() {
+    void recognizesTypes() {
         const std::map<std::string, PeerMessageType> types{{"reg", PeerMessageType::request},
                                                            {"reply", PeerMessageType::reply},
                                                            {"learn", PeerMessageType::learn},
@@ -180,34 +180,33 @@
         CPPUNIT_ASSERT_THROW(typeOf(Json::object()), Json::exception);
     }
 
-    void refusesMissingFields() {
-        const std::vector<Json> whole{encode(Ping{5, "a:1", 1, "d-a", status()}), encode(Pong{}),
-                                      encode(EpochNotice{kEpochOne, {{kEpochOne, kEpochTwo}}})};
-        for (const auto& message : whole)
+    void rejectsMissingFields() {
+        const std::vector<Json> complete{encode(Ping{5, "a:1", 1, "d-a", status()}), encode(Pong{}),
+                                         encode(EpochNotice{kEpochOne, {{kEpochOne, kEpochTwo}}})};
+        for (const auto& message : complete)
             for (const auto& [field, _] : message.items()) {
-                if (field == "t" || field == "about" || field == "to")
-                    continue;  // not read, or may be absent
-                auto less = message;
-                less.erase(field);
+                if (field == "t" || field == "about" || field == "to") continue;  // not decoded, or optional
+                auto incomplete = message;
+                incomplete.erase(field);
                 const auto decode = [&] {
-                    const auto type = typeOf(less);
-                    if (type == PeerMessageType::ping) decodePing(less);
-                    else if (type == PeerMessageType::pong) decodePong(less);
-                    else decodeEpochNotice(less);
+                    const auto type = typeOf(incomplete);
+                    if (type == PeerMessageType::ping) decodePing(incomplete);
+                    else if (type == PeerMessageType::pong) decodePong(incomplete);
+                    else decodeEpochNotice(incomplete);
                 };
                 CPPUNIT_ASSERT_THROW_MESSAGE(field, decode(), Json::exception);
             }
     }
 
-    // Read into structs and written again they are the same, field by field.
-    void keepsMessagesOfThePreviousVersion() {
+    // Decoding and encoding recorded messages must not change any field.
+    void reencodesMessagesOfPreviousVersion() {
         std::set<PeerMessageType> seen;
         int hellos = 0;
-        for (const auto& message : messagesOfThePreviousVersion()) {
+        for (const auto& message : messagesOfPreviousVersion()) {
             if (!message.is_object()) continue;
-            const auto again = reencoded(message);
-            if (!again.is_null()) {
-                CPPUNIT_ASSERT_EQUAL(message, again);
+            const auto reencodedMessage = reencoded(message);
+            if (!reencodedMessage.is_null()) {
+                CPPUNIT_ASSERT_EQUAL(message, reencodedMessage);
                 seen.insert(typeOf(message));
             }
             if (message.at("t") != "hello" || !message.contains("standing")) continue;
--- a/tests/control_plane/replica_node.cpp
+++ b/tests/control_plane/replica_node.cpp
@@ -1,4 +1,4 @@
-// Replicas on disks that hang or are full, far apart, and connections that are dropped at once.
+// Replicas on stalled and full disks and with high network latency; dialers that are dropped at once.
 #include "support/replica_node_fixture.hpp"
 
 using namespace replica_fixture;
@@ -12,17 +12,17 @@
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // A disk hangs in the middle of a write: the two others are a majority, also for writes by its own
-    // control node. While two hang nothing is acknowledged, and what was written to one only may not be lost
-    // or told.
+    // With one stalled disk the two others are a majority, also for writes through the node of the stalled
+    // disk. With two stalled disks no write may be acknowledged or learned. Afterwards all nodes must agree
+    // on whether the unacknowledged write took effect.
     void acknowledgesOnlyWithAMajorityOfDisks() {
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one", 3 * kSecond));
-        auto& stuck = cluster.disks[1];
-        stuck.set(stuck.hangs, true);
+        auto& stalled = cluster.disks[1];
+        stalled.set(stalled.hangs, true);
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(0, "two", 3 * kSecond));
-        cluster.until("the disk hangs", [&] { return stuck.pendingWrites() >= 1; });  // in the middle of it
+        cluster.until("the disk stalls", [&] { return stalled.pendingWrites() >= 1; });  // in a write
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.write(1, "three", 3 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.read(2));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.read(1));
@@ -30,17 +30,17 @@
         second.set(second.hangs, true);
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(0, "four", 150 * kMillisecond));
         for (const auto& node : cluster.nodes)
-            for (const auto& told : node->learnedValues) CPPUNIT_ASSERT(told != "four");
-        stuck.set(stuck.hangs, false), second.set(second.hangs, false);
-        const auto after = cluster.read(1);  // it may have come into force or not, but then for all
+            for (const auto& value : node->learnedValues) CPPUNIT_ASSERT(value != "four");
+        stalled.set(stalled.hangs, false), second.set(second.hangs, false);
+        const auto after = cluster.read(1);  // "four" may be in force or not, but all nodes must agree
         CPPUNIT_ASSERT(after == "three" || after == "four");
         CPPUNIT_ASSERT_EQUAL(after, cluster.read(2));
         CPPUNIT_ASSERT_EQUAL(std::string("five"), cluster.write(2, "five", 3 * kSecond));
         CPPUNIT_ASSERT_EQUAL(std::string("five"), cluster.read(0));
     }
 
-    // Members and the spares are far apart: those that read what is being written don't get in its
-    // way for ever. Each write is asked for once, with the time that an operator's order has.
+    // With high latency between all replicas, nodes that read a pending value must not keep a write from
+    // succeeding. Each write is tried once, with the timeout of an admin request.
     void completesWritesBetweenDistantMembers() {
         Cluster cluster(6, 6);
         for (const auto& node : cluster.nodes) node->messageDelay = 12 * kMillisecond;
@@ -49,32 +49,34 @@
             const auto value = std::to_string(round);
             CPPUNIT_ASSERT_EQUAL(value, cluster.write(round % 6, value, 900 * kMillisecond));
         }
-        cluster.until("all know the last", [&] {
+        cluster.until("all nodes know the last value", [&] {
             return std::all_of(cluster.nodes.begin(), cluster.nodes.end(), [](const auto& node) {
                 return node->replica->known(control_plane::kConfigurationKey).value == "19";
             });
         });
     }
 
-    // A dialer that is dropped before its turn has come, as when two member lists follow each other.
+    // A dialer that is stopped before its first task runs, as when two lists of members arrive in a row, must
+    // still end.
     void endsADialerDroppedAtOnce() {
         asio::io_context io{1};
         tcp::acceptor acceptor(listen(io, "127.0.0.1:0"));
         auto owner = std::make_shared<PeerConnection::Callbacks>();
-        std::weak_ptr<Dialer> seen;
+        std::weak_ptr<Dialer> observed;
         {
             const auto address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
             auto dialer = std::make_shared<Dialer>(io, address, owner);
-            seen = dialer;
+            observed = dialer;
             dialer->start(), dialer->stop();
         }
-        CPPUNIT_ASSERT(!seen.expired());  // its turn is still to come
+        CPPUNIT_ASSERT(!observed.expired());  // its task has not run yet
         io.run_for(std::chrono::seconds(8));
         CPPUNIT_ASSERT(io.stopped());
-        CPPUNIT_ASSERT(seen.expired());
+        CPPUNIT_ASSERT(observed.expired());
     }
 
-    // A full disk gives no word; with another one that hangs there is no 200, and with room again there is.
+    // A full disk sends no replies. With another stalled disk there is no majority, so a write must not be
+    // acknowledged; once the disk has room again, it must be.
     void givesNoReplyFromAFullDisk() {
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
