--- a/src/control_plane/admin_api.cpp
+++ b/src/control_plane/admin_api.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Nanos kRegisterTimeout = 900 * kMillisecond;  // callers move on after a second
+constexpr Nanos kRegisterTimeout = 900 * kMillisecond;  // callers try another process after a second
 
 // The API's paths and calls.
 constexpr std::string_view kMetricsPath = "/metrics", kCallPath = "/api/rpc";
@@ -27,20 +27,21 @@
 
 std::string_view view(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-/// A change that leaves a value alone which it cannot read: it is called while a message of another process
-/// is handled, and whoever makes the response finds the same value unreadable.
+/// Wraps a change so that it keeps a value that cannot be decoded. Changes run while a message of another
+/// process is handled, so they must not throw; the code that makes the response then fails to decode the
+/// value.
 consensus::Change keepingUnreadable(consensus::Change change) {
-    return [change = std::move(change)](const std::string& held) {
+    return [change = std::move(change)](const std::string& current) {
         try {
-            return change(held);
+            return change(current);
         } catch (const std::exception& error) {
             log("register_value_rejected", {{"step", "admin_request"}, {"error", error.what()}});
-            return held;
+            return current;
         }
     };
 }
 
-/// Null where the body is no rollout request.
+/// Null if the body is not a valid rollout request.
 std::optional<messages::Rollout> decodeRolloutRequest(const std::string& body) {
     const auto decoded = Json::parse(body, nullptr, false);
     messages::Rollout request;
@@ -55,13 +56,14 @@
 }
 
 AdminResponse versionConflictResponse(const std::string& version) {
-    return jsonResponse(409, Json{{"error", "config_version " + version + ": acknowledged with another body"},
-                                  {"config_version", version}});
+    return jsonResponse(
+        409, Json{{"error", "config_version " + version + ": already acknowledged with a different body"},
+                  {"config_version", version}});
 }
 
 AdminResponse rolloutConflictResponse(const messages::Rollout& request) {
     return jsonResponse(409, Json{{"error", "target_version " + request.target + " of " + request.service +
-                                                ": under way by an order with another deadline"},
+                                                ": already in progress with a different deadline"},
                                   {"target_version", request.target}});
 }
 
@@ -86,17 +88,19 @@
 
 Task<AdminResponse> AdminApi::answer(const AdminRequest& request) {
     const auto target = view(request.target());
-    const auto question = target.find('?');
+    const auto queryStart = target.find('?');
     if (metrics_ && target == kMetricsPath) co_return metricsPage();
-    if (target.substr(0, question) != kCallPath) co_return errorResponse(404, "path: only /api/rpc");
+    if (target.substr(0, queryStart) != kCallPath)
+        co_return errorResponse(404, "path: only /api/rpc is served");
     if (request.method() != http::verb::post) co_return errorResponse(405, "method: must be POST");
-    const auto call = question == std::string_view::npos ? Call{} : decodeCall(target.substr(question + 1));
+    const auto call =
+        queryStart == std::string_view::npos ? Call{} : decodeCall(target.substr(queryStart + 1));
     if (call.name == kStatus) co_return jsonResponse(200, encodeStatus(status_()));
     co_return co_await answerFromRegister(call, request.body());
 }
 
-// Out of contact with a majority callers are told to go elsewhere at once: one that waits for a majority here
-// loses the time in which another process would have answered.
+// Without quorum contact the response is 503 at once, so that the caller tries another process instead of
+// waiting for a majority here.
 Task<AdminResponse> AdminApi::answerFromRegister(const Call& call, const std::string& body) {
     const bool known = call.name == kReplaceConfiguration || call.name == kReadConfiguration ||
                        call.name == kBeginRollout || call.name == kReadRollout;
@@ -109,10 +113,10 @@
         if (call.name == kBeginRollout) co_return co_await beginRollout(body);
         co_return co_await readRollout(call.service);
     } catch (const std::exception& error) {
-        // The register's value can't be read; a caller's mistakes have had their response.
+        // The register's value cannot be decoded. Invalid requests were answered before.
         log("admin_request_failed", {{"step", call.name}, {"error", error.what()}});
     }
-    co_return retryLaterResponse("register: a value that cannot be read");
+    co_return retryLaterResponse("register: the stored value cannot be decoded");
 }
 
 AdminResponse AdminApi::metricsPage() const {
@@ -130,10 +134,10 @@
         co_return jsonResponse(400, Json{{"errors", rejection.errors}});
     }
     const auto version = config::formatVersion(request.number);
-    const consensus::Change change =
-        keepingUnreadable([request](const std::string& held) { return admin::applyRequest(held, request); });
+    const consensus::Change change = keepingUnreadable(
+        [request](const std::string& current) { return admin::applyRequest(current, request); });
     const auto value = co_await register_.update(kConfigurationKey, change, kRegisterTimeout);
-    if (!value) co_return retryLaterResponse("register: no majority has synced it");
+    if (!value) co_return retryLaterResponse("register: no majority has synced the update in time");
     const auto duplicate = admin::checkDuplicate(*value, request);
     const auto inForce = config::formatVersion(admin::version(*value));
     if (duplicate == admin::DuplicateCheck::conflict) {
@@ -146,7 +150,7 @@
 
 Task<AdminResponse> AdminApi::readConfiguration() {
     const auto value = co_await register_.read(kConfigurationKey, kRegisterTimeout);
-    if (!value) co_return retryLaterResponse("register: no majority");
+    if (!value) co_return retryLaterResponse("register: no majority answered in time");
     if (value->empty()) co_return retryLaterResponse("no configuration yet");
     co_return jsonResponse(200, admin::body(*value));
 }
@@ -154,12 +158,13 @@
 Task<AdminResponse> AdminApi::beginRollout(const std::string& body) {
     const auto decoded = decodeRolloutRequest(body);
     if (!decoded)
-        co_return errorResponse(400, "must hold service_name, target_version and deadline (\"12s\")");
+        co_return errorResponse(
+            400, "body: must be JSON with service_name, target_version and deadline (such as \"12s\")");
     const auto& request = *decoded;
-    const consensus::Change change =
-        keepingUnreadable([request](const std::string& held) { return admin::addRollout(held, request); });
+    const consensus::Change change = keepingUnreadable(
+        [request](const std::string& current) { return admin::addRollout(current, request); });
     const auto value = co_await register_.update(kRolloutsKey, change, kRegisterTimeout);
-    if (!value) co_return retryLaterResponse("register: no majority has synced it");
+    if (!value) co_return retryLaterResponse("register: no majority has synced the update in time");
     const auto outcome = admin::classifyRequest(messages::decodeRollouts(*value), request);
     log("rollout_requested", {{"service", request.service},
                               {"target", request.target},
@@ -171,7 +176,7 @@
 
 Task<AdminResponse> AdminApi::readRollout(const std::string& service) {
     const auto value = co_await register_.read(kRolloutsKey, kRegisterTimeout);
-    if (!value) co_return retryLaterResponse("register: no majority");
+    if (!value) co_return retryLaterResponse("register: no majority answered in time");
     const auto rollouts = messages::decodeRollouts(*value);
     const auto* newest = admin::newestRollout(rollouts, service);
     if (!newest) co_return errorResponse(404, "of: no rollout of " + service);
--- a/src/control_plane/admin_api.hpp
+++ b/src/control_plane/admin_api.hpp
@@ -1,5 +1,5 @@
-// The admin API: configurations and rollouts requested and read, `status`, and the page of metrics.
-// docs/api/gateway.openapi.yaml describes it; AdminServer carries it over HTTP.
+// The admin API: replaces and reads the configuration, begins and reads rollouts, and returns the status and
+// the metrics page. docs/api/gateway.openapi.yaml specifies it; AdminServer serves it over HTTP.
 #pragma once
 
 #include "control_plane/admin_response.hpp"
@@ -11,19 +11,19 @@
 /// Runs on the event loop's thread.
 class AdminApi {
   public:
-    /// What is needed of the replicated register. update() and read() end with null where no majority could
-    /// be had in time (nanoseconds): then nothing is known either way.
+    /// The required operations of the replicated register. update() and read() return null if no majority
+    /// answers within `timeout` (nanoseconds); an update may or may not be in force then.
     struct Register {
         std::function<bool()> hasQuorumContact;
         std::function<Task<std::optional<std::string>>(std::string key, consensus::Change, Nanos timeout)>
             update;
         std::function<Task<std::optional<std::string>>(std::string key, Nanos timeout)> read;
-        static Register of(ReplicaNode& replica);  ///< which outlives it
+        static Register of(ReplicaNode& replica);  ///< `replica` must outlive the result
     };
 
-    /// `metrics`: GET /metrics is answered. All outlive this object.
-    AdminApi(Register its, std::function<StatusReport()> status, bool metrics)
-        : register_(std::move(its)), status_(std::move(status)), metrics_(metrics) {}
+    /// `metrics` enables GET /metrics. All must outlive this object.
+    AdminApi(Register registerAccess, std::function<StatusReport()> status, bool metrics)
+        : register_(std::move(registerAccess)), status_(std::move(status)), metrics_(metrics) {}
 
     Task<AdminResponse> answer(const AdminRequest& request);
 
--- a/src/control_plane/admin_response.cpp
+++ b/src/control_plane/admin_response.cpp
@@ -18,7 +18,7 @@
     return response;
 }
 
-// Bytes of a request that are no UTF-8 are replaced.
+// Invalid UTF-8, which may come from the request, is replaced.
 AdminResponse jsonResponse(int status, const Json& body) {
     return jsonResponse(status, body.dump(-1, ' ', false, Json::error_handler_t::replace));
 }
--- a/src/control_plane/admin_response.hpp
+++ b/src/control_plane/admin_response.hpp
@@ -15,7 +15,8 @@
 AdminResponse jsonResponse(int status, const nlohmann::json& body);
 /// {"error": what}
 AdminResponse errorResponse(int status, const std::string& what);
-/// 503 with Retry-After: nothing is promised either way, the caller asks again, here or elsewhere.
+/// 503 with Retry-After. The request may or may not have taken effect; the caller should retry, here or at
+/// another process.
 AdminResponse retryLaterResponse(const std::string& why);
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/admin_server.cpp
+++ b/src/control_plane/admin_server.cpp
@@ -20,8 +20,8 @@
 constexpr Nanos kRejectTimeout = kSecond;
 constexpr Nanos kAcceptPause = 20 * kMillisecond;
 
-/// The response to a request that could not be received; null where nobody is there to take one: it was cut,
-/// or took too long.
+/// The response to a request that could not be received. Null if the request was truncated or timed out, so
+/// that no client is waiting for a response.
 std::optional<AdminResponse> rejectionOf(const ErrorCode& code) {
     if (code == http::error::body_limit) return errorResponse(413, code.message());
     if (code == http::error::header_limit) return errorResponse(431, code.message());
@@ -38,11 +38,11 @@
         ErrorCode code;
         auto socket = co_await acceptor.async_accept(withErrorCode(code));
         if (code == asio::error::operation_aborted) co_return;
-        if (code) {  // no descriptor left, say
+        if (code) {  // for example, no file descriptor is left
             co_await sleep(kAcceptPause);
             continue;
         }
-        while (!makeRoom()) co_await placeFree_.wait(now() + kAcceptPause);
+        while (!makeRoom()) co_await connectionRemoved_.wait(now() + kAcceptPause);
         configureSocket(socket, limits_.response);
         const auto connection = std::make_shared<Connection>(std::move(socket));
         connections_.push_back(connection);
@@ -52,20 +52,21 @@
 
 void AdminServer::remove(const std::shared_ptr<Connection>& connection) {
     std::erase(connections_, connection);
-    placeFree_.notify();
+    connectionRemoved_.notify();
 }
 
-/// Idle connections give way first, then those that take longest to send, then those that take longest to
-/// receive. False where all are being answered.
+/// Drops a connection if the limit is reached: an idle one, else the one that has been sending its request
+/// for the longest time, else the one that has been receiving its response for the longest time. Returns
+/// false if all are being answered.
 bool AdminServer::makeRoom() {
     if (connections_.size() < limits_.connections) return true;
-    const auto at =
+    const auto candidate =
         std::min_element(connections_.begin(), connections_.end(), [](const auto& one, const auto& other) {
             return std::tie(one->phase, one->since) < std::tie(other->phase, other->since);
         });
-    if ((*at)->phase == Phase::answering) return false;
+    if ((*candidate)->phase == Phase::answering) return false;
     log("admin_connection_dropped", {{"step", "accept"}, {"connections", connections_.size()}});
-    const auto dropped = *at;
+    const auto dropped = *candidate;
     remove(dropped);
     dropped->stream.close();
     return true;
@@ -73,14 +74,14 @@
 
 Task<> AdminServer::run(std::shared_ptr<Connection> connection) {
     try {
-        co_await converse(*connection);
+        co_await serveRequests(*connection);
     } catch (const std::exception& error) {
         log("admin_connection_failed", {{"step", "converse"}, {"error", error.what()}});
     }
     remove(connection);
 }
 
-Task<> AdminServer::converse(Connection& connection) {
+Task<> AdminServer::serveRequests(Connection& connection) {
     while (co_await awaitRequest(connection)) {
         Parser parser;
         const auto code = co_await receive(connection, parser);
@@ -91,17 +92,17 @@
         }
         const auto request = parser.release();
         ++requests_;
-        connection.enter(Phase::answering);
+        connection.enterPhase(Phase::answering);
         auto response = co_await api_.answer(request);
         response.keep_alive(request.keep_alive());
-        const bool goesOn = co_await respond(connection, response, limits_.response);
-        if (!goesOn) co_return;
+        const bool keepOpen = co_await respond(connection, response, limits_.response);
+        if (!keepOpen) co_return;
     }
 }
 
-/// Waits for the first bytes of the next request; false where none come.
+/// Waits for the first bytes of the next request. Returns false if none arrive in time.
 Task<bool> AdminServer::awaitRequest(Connection& connection) {
-    connection.enter(Phase::idle);
+    connection.enterPhase(Phase::idle);
     if (connection.buffer.size() > 0) co_return true;
     connection.stream.expires_after(toDuration(limits_.idle));
     ErrorCode code;
@@ -115,7 +116,7 @@
 Task<ErrorCode> AdminServer::receive(Connection& connection, Parser& parser) {
     auto& stream = connection.stream;
     auto& buffer = connection.buffer;
-    connection.enter(Phase::receiving);
+    connection.enterPhase(Phase::receiving);
     parser.body_limit(kMaxBodyBytes);
     parser.header_limit(kMaxHeaderBytes);
     ErrorCode code;
@@ -131,18 +132,18 @@
     co_return code;
 }
 
-/// Whether the connection goes on.
+/// Returns whether the connection stays open.
 Task<bool> AdminServer::respond(Connection& connection, AdminResponse& response, Nanos timeout) {
     response.prepare_payload();
-    connection.enter(Phase::responding);
+    connection.enterPhase(Phase::responding);
     connection.stream.expires_after(toDuration(timeout));
     ErrorCode code;
     co_await http::async_write(connection.stream, response, withErrorCode(code));
     co_return !code && response.keep_alive();
 }
 
-// What still comes is read for a moment: a close over unread bytes is a reset, which can take the response
-// away from the caller.
+// Reads and discards further input for a short time. Closing a socket with unread bytes sends a reset, which
+// can make the client lose the response.
 Task<> AdminServer::rejectAndClose(Connection& connection, AdminResponse& response) {
     response.keep_alive(false);
     co_await respond(connection, response, kRejectTimeout);
--- a/src/control_plane/admin_server.hpp
+++ b/src/control_plane/admin_server.hpp
@@ -1,4 +1,5 @@
-// Carries the admin API over HTTP/1.1 on the control address, within bounds of time and of places.
+// Serves the admin API over HTTP/1.1 on the control address, with time limits and a maximum number of
+// connections.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -8,41 +9,41 @@
 
 namespace lichenlanding::control_plane {
 
-/// What a caller may take. Each is far beyond what an operator's client needs. Times in nanoseconds.
+/// Limits for each client, far above what an operator's client needs. Times in nanoseconds.
 struct AdminServerLimits {
     Nanos idle = 15 * transport::kSecond;      ///< between two requests on a connection
     Nanos header = 3 * transport::kSecond;     ///< from a header's first byte to its last
-    Nanos body = 30 * transport::kSecond;      ///< for a body, of 96 MiB at the most
-    Nanos response = 30 * transport::kSecond;  ///< for a response to be taken
-    std::size_t connections = 128;             ///< at once
+    Nanos body = 30 * transport::kSecond;      ///< for receiving a body, of at most 96 MiB
+    Nanos response = 30 * transport::kSecond;  ///< for sending a response
+    std::size_t connections = 128;             ///< open at the same time
 };
 
 /// Runs on the event loop's thread.
 class AdminServer {
   public:
-    /// `api` outlives this object.
+    /// `api` must outlive this object.
     AdminServer(transport::asio::io_context& io, AdminApi& api, AdminServerLimits limits = {})
-        : io_(io), api_(api), limits_(limits), placeFree_(io) {}
+        : io_(io), api_(api), limits_(limits), connectionRemoved_(io) {}
 
-    /// Serves as long as the acceptor is open. On one connection requests are answered one after the other,
-    /// in the order they came; a response goes down the connection that its request came by or nowhere. A
-    /// request goes on when its caller is gone.
+    /// Serves while the acceptor is open. Requests of one connection are answered one at a time and in order.
+    /// A response is sent only on its request's connection. A request is completed even if its client has
+    /// disconnected.
     Task<> serve(transport::tcp::acceptor& acceptor);
 
-    std::uint64_t requests() const { return requests_; }  ///< taken so far
+    std::uint64_t requests() const { return requests_; }  ///< received so far
     std::size_t connections() const { return connections_.size(); }
 
   private:
-    // In the order in which connections give way to new ones where all places are taken; one that is being
-    // answered never does.
+    // In the order in which connections are dropped in favor of new ones when the limit is reached. A
+    // connection in `answering` is never dropped.
     enum class Phase { idle, receiving, responding, answering };
     struct Connection {
         transport::beast::tcp_stream stream;
         transport::beast::flat_buffer buffer;
         Phase phase = Phase::idle;
-        Nanos since = 0;  // in the phase
+        Nanos since = 0;  // start of the phase
         explicit Connection(transport::tcp::socket socket) : stream(std::move(socket)) {}
-        void enter(Phase next) {
+        void enterPhase(Phase next) {
             phase = next;
             since = transport::now();
         }
@@ -50,7 +51,7 @@
     using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
 
     Task<> run(std::shared_ptr<Connection> connection);
-    Task<> converse(Connection& connection);
+    Task<> serveRequests(Connection& connection);
     Task<bool> awaitRequest(Connection& connection);
     Task<transport::ErrorCode> receive(Connection& connection, Parser& parser);
     Task<bool> respond(Connection& connection, AdminResponse& response, Nanos timeout);
@@ -62,7 +63,7 @@
     AdminApi& api_;
     const AdminServerLimits limits_;
     std::vector<std::shared_ptr<Connection>> connections_;
-    transport::AsyncEvent placeFree_;
+    transport::AsyncEvent connectionRemoved_;
     std::uint64_t requests_ = 0;
 };
 
--- a/src/control_plane/configuration_publisher.cpp
+++ b/src/control_plane/configuration_publisher.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// What a proxy asks for: fields of its "want".
+// Fields of a proxy's "want" message.
 constexpr const char* kWantConfiguration = "configuration";
 constexpr const char* kWantEndpoints = "held";
 
@@ -21,7 +21,7 @@
     if (value.empty()) return;
     try {
         cache_.setConfiguration(admin::version(value), std::string(admin::compressed(value)));
-    } catch (const admin::ParseError& error) {  // written by a later version, say
+    } catch (const admin::ParseError& error) {  // possibly written by a later version
         log("register_value_rejected",
             {{"step", "learn"}, {"key", kConfigurationKey}, {"error", error.what()}});
         return;
@@ -32,7 +32,7 @@
 void ConfigurationPublisher::onRolloutsLearned(const std::string& value) {
     std::int64_t number = 0;
     for (const auto& rollout : messages::decodeRollouts(value)) number = std::max(number, rollout.number);
-    const bool changed = cache_.setRollouts(number, value);  // false where ages alone are others
+    const bool changed = cache_.setRollouts(number, value);  // false if only ages have changed
     if (changed) broadcast(cache_.rolloutsMessage());
 }
 
@@ -41,14 +41,14 @@
 void ConfigurationPublisher::onWant(PeerConnection& proxy, Json want) {
     const bool contact = quorumContact_();
     if (want.contains(kWantConfiguration) && cache_.version() > 0) {
-        proxy.send(encodeOnce(configuration_, {cache_.version(), contact},
-                              [&] { return stamped(cache_.configurationMessage()); }));
+        proxy.send(encodeCached(configuration_, {cache_.version(), contact},
+                                [&] { return withCurrentContact(cache_.configurationMessage()); }));
         want.erase(kWantConfiguration);
     }
     if (cache_.wantsFullList(want)) {
         const auto& version = cache_.endpointListVersion();
-        proxy.send(encodeOnce(endpointList_, {version.term, version.sequence, contact},
-                              [&] { return stamped(cache_.fullEndpointsMessage()); }));
+        proxy.send(encodeCached(endpointList_, {version.term, version.sequence, contact},
+                                [&] { return withCurrentContact(cache_.fullEndpointsMessage()); }));
         want.erase(kWantEndpoints);
     }
     answer(proxy, want);
@@ -56,25 +56,25 @@
 
 void ConfigurationPublisher::answer(PeerConnection& proxy, const Json& message) const {
     cache_.handleMessage(message, subscription::ConfigurationCache::MessageSource::subscriber, now(),
-                         [&](Json reply) { proxy.send(stamped(std::move(reply))); });
+                         [&](Json reply) { proxy.send(withCurrentContact(std::move(reply))); });
 }
 
 void ConfigurationPublisher::sendDigest(PeerConnection& proxy) const {
-    proxy.send(stamped(cache_.digestMessage()));
+    proxy.send(withCurrentContact(cache_.digestMessage()));
 }
 
 void ConfigurationPublisher::broadcast(const Json& message) const {
-    proxies_.broadcast(PeerConnection::encode(stamped(message)));
+    proxies_.broadcast(PeerConnection::encode(withCurrentContact(message)));
 }
 
-Json ConfigurationPublisher::stamped(Json message) const {
+Json ConfigurationPublisher::withCurrentContact(Json message) const {
     return withContact(std::move(message), quorumContact_(), now() / kMillisecond);
 }
 
 template <typename Make>
-EncodedMessage ConfigurationPublisher::encodeOnce(EncodedOnce& last, Json key, Make make) {
-    if (last.key != key) last = {std::move(key), PeerConnection::encode(make())};
-    return last.encoded;
+EncodedMessage ConfigurationPublisher::encodeCached(CachedMessage& cached, Json key, Make make) {
+    if (cached.key != key) cached = {std::move(key), PeerConnection::encode(make())};
+    return cached.encoded;
 }
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/configuration_publisher.hpp
+++ b/src/control_plane/configuration_publisher.hpp
@@ -1,4 +1,5 @@
-// Sends proxies the configuration, the rollouts and the endpoint list, and answers what they ask for.
+// Sends the configuration, the rollouts and the endpoint list to proxies, and answers their requests for
+// them.
 #pragma once
 
 #include <functional>
@@ -12,15 +13,15 @@
 /// Runs on the event loop's thread.
 class ConfigurationPublisher {
   public:
-    /// Each message says whether `quorumContact` holds. All outlive this object.
+    /// Each message carries the current result of `quorumContact`. All must outlive this object.
     ConfigurationPublisher(subscription::ConfigurationCache& cache, const ProxyRegistry& proxies,
                            std::function<bool()> quorumContact)
         : cache_(cache), proxies_(proxies), quorumContact_(std::move(quorumContact)) {}
 
-    /// The register has another configuration: the value as it keeps it, "" for none yet. One that this
-    /// version can't read is logged, and what the cache has stays.
+    /// Called with the register's new value of the configuration, "" for none yet. A value that this version
+    /// cannot decode is logged, and the cache keeps its configuration.
     void onConfigurationLearned(const std::string& value);
-    /// The register has other rollouts, as it keeps them.
+    /// Called with the register's new value of the rollouts.
     void onRolloutsLearned(const std::string& value);
 
     void onDigest(transport::PeerConnection& proxy, const Json& digest);
@@ -31,20 +32,21 @@
     void broadcast(const Json& message) const;
 
   private:
-    /// A message that many proxies ask for at once, as at a start: made and encoded once for each `key`.
-    struct EncodedOnce {
+    /// Caches the last encoded message. Many proxies request the same one at once, as after a start; it is
+    /// encoded once for each `key`.
+    struct CachedMessage {
         Json key;
         transport::EncodedMessage encoded;
     };
     template <typename Make>
-    static transport::EncodedMessage encodeOnce(EncodedOnce& last, Json key, Make make);
-    Json stamped(Json message) const;
+    static transport::EncodedMessage encodeCached(CachedMessage& cached, Json key, Make make);
+    Json withCurrentContact(Json message) const;
     void answer(transport::PeerConnection& proxy, const Json& message) const;
 
     subscription::ConfigurationCache& cache_;
     const ProxyRegistry& proxies_;
     std::function<bool()> quorumContact_;
-    EncodedOnce configuration_, endpointList_;  // as last asked for
+    CachedMessage configuration_, endpointList_;  // as last requested
 };
 
 }  // namespace lichenlanding::control_plane
--- a/src/control_plane/endpoint_discovery.cpp
+++ b/src/control_plane/endpoint_discovery.cpp
@@ -10,29 +10,30 @@
 
 constexpr Nanos kPollInterval = 500 * kMillisecond;
 constexpr int kPollsPerDrain = 4;
-constexpr Nanos kRetryInterval = 300 * kMillisecond;  // after a list that could not be read to its end
+constexpr Nanos kRetryInterval = 300 * kMillisecond;  // after a list that could not be read completely
 constexpr Nanos kWithoutLeaseInterval = kRetryInterval / 3;
 constexpr Nanos kMinPause = 20 * kMillisecond;
 constexpr Nanos kDigestInterval = 5 * kSecond;
-// Backoff after a page that is answered 429: doubled each time.
+// Exponential backoff after a page is answered with status 429.
 constexpr Nanos kMinBackoff = 20 * kMillisecond, kMaxBackoff = kSecond;
-// The first pages are old by then, while the rest of the list is answered 429.
+// Maximum age of the first page while later pages are answered with 429; then the list is read again.
 constexpr Nanos kMaxListAge = 2 * kSecond;
-constexpr double kShareOfRate = 0.7;  // of the platform's requests a second that the list may use
+constexpr double kShareOfRate = 0.7;  // the part of the platform's rate limit that polling may use
 constexpr int kMaxPages = 1000;
 constexpr unsigned kTooManyRequests = 429;
 
 }  // namespace
 
-/// Between two requests, so that they stay within the platform's rate limit for all.
+/// The interval between two requests that keeps within the share of the platform's rate limit.
 Nanos EndpointDiscovery::requestGap() const {
     return boot_.platformCallsPerSecond > 0
                ? static_cast<Nanos>(1e9 / (boot_.platformCallsPerSecond * kShareOfRate))
                : 0;
 }
 
-/// Each call to the platform is priced: a list of several pages is read as often as leaves a draining pod
-/// known within half of `drain`, with a part of that for the reading itself and for telling the proxies.
+/// Requests to the platform have a cost, so a list of several pages is read only as often as is needed to
+/// detect a draining pod within half of `drain`. The rest of that half is for reading and for updating
+/// proxies.
 Nanos EndpointDiscovery::pollInterval(int pages) const {
     return pages > 1 ? std::max(kPollInterval, boot_.drainTime / kPollsPerDrain) : kPollInterval;
 }
@@ -86,8 +87,8 @@
                                            {"status", response.result_int()}});
             co_await sleep(backoff);
             backoff = std::max(firstBackoff, std::min(backoff * 2, kMaxBackoff));
-            if (!readOn(term, token.empty(), startedAt)) co_return;
-            continue;  // the same page again
+            if (!shouldRetryPage(term, token.empty(), startedAt)) co_return;
+            continue;  // retries the same page
         }
         backoff = firstBackoff;
         if (response.result_int() != 200)
@@ -102,11 +103,11 @@
     }
 }
 
-/// Whether the page that was answered 429 is to be asked for again.
-bool EndpointDiscovery::readOn(std::uint64_t term, bool firstPage, Nanos startedAt) {
-    if (term_() != term) return false;  // the lease was lost, or acquired anew
+/// Whether to retry a page that was answered with 429. If not, the list is read again from its first page.
+bool EndpointDiscovery::shouldRetryPage(std::uint64_t term, bool firstPage, Nanos startedAt) {
+    if (term_() != term) return false;  // the lease was lost, or acquired again
     if (restarted_ || firstPage || now() - startedAt <= kMaxListAge) return true;
-    // Endpoints have come and gone since the first page. Once: an old list is better than none.
+    // The first page is outdated. Restarts only once, because an outdated list is better than none.
     restarted_ = true;
     return false;
 }
@@ -114,9 +115,9 @@
 void EndpointDiscovery::onListRead(const std::vector<discovery::Endpoint>& endpoints, std::uint64_t term) {
     const bool first = !cache_.endpointsCurrent() || cache_.endpointListVersion().term != term;
     const auto change = cache_.updateEndpoints(endpoints, term);
-    if (!cache_.endpointsCurrent()) return;  // a higher term has been heard of
+    if (!cache_.endpointsCurrent()) return;  // a higher term is known
     if (!change.is_null()) broadcast_(change);
-    // Now and then digests of the whole list are compared: whatever was missed is then sent again.
+    // Digests of the whole list are sent at intervals, so that proxies detect and fetch missed changes.
     if (!first && now() - digestSentAt_ < kDigestInterval) return;
     digestSentAt_ = now();
     broadcast_(cache_.digestMessage());
--- a/src/control_plane/endpoint_list_client.cpp
+++ b/src/control_plane/endpoint_list_client.cpp
@@ -17,7 +17,7 @@
 constexpr Nanos kSilenceTimeout = 2 * kSecond;
 constexpr std::uint64_t kMaxBodyBytes = 96 << 20;
 
-// Of the platform's API.
+// Path, parameter and fields of the platform's API.
 constexpr const char* kPath = "/instances";
 constexpr const char* kTokenParameter = "?page_token=";
 constexpr const char* kListField = "instance_list";
--- a/src/control_plane/endpoint_list_client.hpp
+++ b/src/control_plane/endpoint_list_client.hpp
@@ -1,4 +1,4 @@
-// The platform's HTTP API for the list of endpoints: one connection, kept open from page to page.
+// Client of the platform's HTTP API for the list of endpoints. Uses one connection, kept open between pages.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -17,9 +17,9 @@
 /// A page of the list.
 struct EndpointListPage {
     std::vector<discovery::Endpoint> endpoints;
-    std::optional<std::string> nextToken;  ///< null: it is the last one
+    std::optional<std::string> nextToken;  ///< null on the last page
 };
-/// Throws nlohmann::json::exception on a body of another shape.
+/// Throws nlohmann::json::exception if a field is missing or has the wrong type.
 EndpointListPage decodeEndpointListPage(const std::string& body);
 
 /// Used by one coroutine, on the event loop's thread.
@@ -27,13 +27,14 @@
   public:
     using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-    /// `boot` names the platform's address, and outlives this object.
+    /// `boot` has the platform's address, and must outlive this object.
     EndpointListClient(transport::asio::io_context& io, const config::BootstrapSettings& boot);
 
-    /// Connects where there is no connection. `token` of the page, "" for the first one. Throws
-    /// boost::system::system_error where the platform can't be reached or doesn't answer in time; then
-    /// reset() comes before the next request.
+    /// Requests the page with this token, "" for the first page. Connects if there is no connection. Throws
+    /// boost::system::system_error if the platform cannot be reached or does not answer in time; call reset()
+    /// before the next request then.
     transport::Task<Response> requestPage(const std::string& token);
+    /// Closes the connection.
     void reset();
 
   private:
--- a/src/control_plane/lease_holder.cpp
+++ b/src/control_plane/lease_holder.cpp
@@ -35,8 +35,8 @@
 }
 
 leases::Lease LeaseHolder::currentLease(const std::string& lease) const {
-    const auto at = currentLeases().find(lease);
-    return at == currentLeases().end() ? leases::Lease() : at->second;
+    const auto it = currentLeases().find(lease);
+    return it == currentLeases().end() ? leases::Lease() : it->second;
 }
 
 bool LeaseHolder::holdsLease(const std::string& lease) const {
@@ -63,7 +63,7 @@
 Task<> LeaseHolder::run() {
     for (;;) {
         co_await sleep(kCheckInterval);
-        confirmed_ = replica_.hasQuorumContact();  // in contact: every key was read from a majority since
+        confirmed_ = replica_.hasQuorumContact();  // contact implies that every key was read from a majority
         if (!confirmed_) continue;
         co_await acquireUnheldLeases();
         co_await raiseTermToHighestSeen();
@@ -80,14 +80,15 @@
 
 Task<> LeaseHolder::raiseTermToHighestSeen() {
     if (highestTermSeen_() <= term(kEndpointListLease) || !holdsLease(kEndpointListLease)) co_return;
-    const auto value = co_await replica_.read(kLeasesKey, kUpdateTimeout);  // another may hold it by now
+    const auto value =
+        co_await replica_.read(kLeasesKey, kUpdateTimeout);  // another process may hold it by now
     if (value && holdsLease(kEndpointListLease) && highestTermSeen_() > term(kEndpointListLease))
         co_await acquire(kEndpointListLease, highestTermSeen_());
 }
 
 Task<> LeaseHolder::acquire(std::string lease, std::uint64_t termSeen) {
     const auto before = currentLease(lease).holder;
-    // A local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
+    // A local variable, because GCC 12 destroys temporaries of an awaited call twice.
     const consensus::Change change = leases::acquireLease(lease, self_, termSeen);
     const auto value = co_await replica_.update(kLeasesKey, change, kUpdateTimeout);
     if (!value) co_return;
--- a/src/control_plane/lease_holder.hpp
+++ b/src/control_plane/lease_holder.hpp
@@ -1,8 +1,8 @@
-// This process's part in the leases: it acquires those that nobody holds, by a ballot in the register, and
-// holds one only while it is in contact with a majority and the register names it. When to acquire is decided
-// by leases::LeaseMonitor.
+// Acquires and holds this process's leases. Leases without a holder are acquired by an update of the
+// register. A lease counts as held only while this process has quorum contact and the register names it as
+// the holder. leases::LeaseMonitor decides when to acquire.
 //
-// All of it runs on the event loop's thread.
+// Runs on the event loop's thread.
 #pragma once
 
 #include "control_plane/replica_node.hpp"
@@ -10,10 +10,10 @@
 
 namespace lichenlanding::control_plane {
 
-/// Names of the leases, in the register's value and in status.
+/// Names of the leases, in the register's value and in the admin call `status`.
 inline const std::string kEndpointListLease = "list", kRolloutsLease = "rollouts";
 
-/// A lease as `status` tells it.
+/// A lease as reported by the admin call `status`.
 struct LeaseStatus {
     std::string holder;
     std::uint64_t term = 0;
@@ -24,9 +24,10 @@
   public:
     using Addresses = std::set<std::string>;
 
-    /// `reachablePeers`: addresses of the control plane processes that have answered of late.
-    /// `highestTermSeen`: of the endpoint list, as proxies have told. A register that was founded anew from
-    /// an old copy may be below it; then the holder raises its term. All outlive this object.
+    /// `reachablePeers` returns the addresses of the control nodes that have answered recently.
+    /// `highestTermSeen` returns the highest term of the endpoint list that proxies have reported. A register
+    /// that was founded again from an old copy may have a lower one; then the holder raises its term. All
+    /// must outlive this object.
     LeaseHolder(ReplicaNode& replica, leases::ProcessIdentity self, std::function<Addresses()> reachablePeers,
                 std::function<std::uint64_t()> highestTermSeen);
 
@@ -34,10 +35,10 @@
     Task<> run();
 
     bool holdsLease(const std::string& lease) const;
-    /// Of the present holder, whoever it is; 0: never held.
+    /// The term of the current holder, which may be another process; 0 if never held.
     std::uint64_t term(const std::string& lease) const;
 
-    /// What another control plane process has reported.
+    /// Stores the reachable addresses that another control node has reported.
     void onReachability(const std::string& from, Addresses reachable);
 
     std::map<std::string, LeaseStatus> status() const;  ///< by the lease's name
@@ -61,7 +62,7 @@
     std::function<std::uint64_t()> highestTermSeen_;
     std::map<std::string, leases::LeaseMonitor> monitors_;  // by lease
     std::map<std::string, ReachabilityReport> reports_;     // by the sender's address
-    // Every key was read from a majority since contact was had again.
+    // Every key was read from a majority since contact was established.
     bool confirmed_ = false;
     // The register's value, decoded once for each proposal number.
     mutable consensus::ProposalNumber decodedAt_;
--- a/src/control_plane/link_messages.cpp
+++ b/src/control_plane/link_messages.cpp
@@ -40,8 +40,8 @@
 }  // namespace
 
 MessageType messageType(const Json& message) {
-    const auto at = kTypes.find(message.at(kType).get_ref<const std::string&>());
-    return at == kTypes.end() ? MessageType::other : at->second;
+    const auto it = kTypes.find(message.at(kType).get_ref<const std::string&>());
+    return it == kTypes.end() ? MessageType::other : it->second;
 }
 
 Hello decodeHello(const Json& message) {
@@ -83,10 +83,10 @@
 std::optional<std::vector<RolloutAge>> decodeAges(const Json& report) {
     if (!report.contains(kAges)) return std::nullopt;
     std::vector<RolloutAge> ages;
-    for (const auto& one : report.at(kAges))
+    for (const auto& entry : report.at(kAges))
         ages.push_back(
-            {one.at(0).get<std::string>(),
-             {one.at(1).get<std::int64_t>(), one.at(2).get<int>(), one.at(3).get<std::int64_t>()}});
+            {entry.at(0).get<std::string>(),
+             {entry.at(1).get<std::int64_t>(), entry.at(2).get<int>(), entry.at(3).get<std::int64_t>()}});
     return ages;
 }
 
--- a/src/control_plane/proxy_registry.cpp
+++ b/src/control_plane/proxy_registry.cpp
@@ -16,18 +16,18 @@
 }
 
 void ProxyRegistry::onDisconnected(const PeerConnection& connection) {
-    const auto at = proxies_.find(connection.peer);
-    if (at == proxies_.end() || at->second.connection.get() != &connection) return;
-    proxies_.erase(at);
+    const auto it = proxies_.find(connection.peer);
+    if (it == proxies_.end() || it->second.connection.get() != &connection) return;
+    proxies_.erase(it);
     scheduleRoster();
 }
 
 void ProxyRegistry::onAcknowledgement(const std::string& proxy, std::uint32_t version) {
-    if (const auto at = proxies_.find(proxy); at != proxies_.end()) at->second.acknowledgedVersion = version;
+    if (const auto it = proxies_.find(proxy); it != proxies_.end()) it->second.acknowledgedVersion = version;
 }
 
 void ProxyRegistry::onLost(const std::string& proxy, const std::string& reporter) {
-    if (const auto at = proxies_.find(proxy); at != proxies_.end()) at->second.lostBy.insert(reporter);
+    if (const auto it = proxies_.find(proxy); it != proxies_.end()) it->second.lostBy.insert(reporter);
 }
 
 void ProxyRegistry::broadcast(const EncodedMessage& message) const {
@@ -40,7 +40,7 @@
     return names;
 }
 
-/// One roster for all that came and went of late: at a start a whole fleet says hello at once.
+/// Combines changes within kRosterDelay into one roster, because a whole fleet may connect at once.
 void ProxyRegistry::scheduleRoster() {
     if (std::exchange(rosterScheduled_, true)) return;
     spawn(io_, "roster", sendRoster());
--- a/src/control_plane/proxy_registry.hpp
+++ b/src/control_plane/proxy_registry.hpp
@@ -1,4 +1,4 @@
-// The proxies that are connected to this control plane process, and the roster by which they find each other.
+// The proxies that are connected to this control node. Sends them the roster, by which they find each other.
 #pragma once
 
 #include <map>
@@ -16,8 +16,8 @@
     std::shared_ptr<transport::PeerConnection> connection;
     std::string address;
     std::uint64_t incarnation = 0;
-    std::uint32_t acknowledgedVersion = 0;  ///< of the configuration that it uses
-    std::set<std::string> lostBy;           ///< names of proxies that watch it and have lost it
+    std::uint32_t acknowledgedVersion = 0;  ///< of the configuration, as last acknowledged
+    std::set<std::string> lostBy;           ///< names of proxies that watch it and have lost contact with it
 };
 
 /// Runs on the event loop's thread.
@@ -28,7 +28,7 @@
     void onHello(transport::PeerConnection& connection, const Hello& hello);
     void onDisconnected(const transport::PeerConnection& connection);
     void onAcknowledgement(const std::string& proxy, std::uint32_t version);
-    /// `reporter` watches `proxy` and has lost it.
+    /// Called when `reporter`, which watches `proxy`, has lost contact with it.
     void onLost(const std::string& proxy, const std::string& reporter);
 
     void broadcast(const transport::EncodedMessage& message) const;
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -11,7 +11,7 @@
 
 constexpr Nanos kRunInterval = 200 * kMillisecond;
 constexpr Nanos kUpdateTimeout = 900 * kMillisecond;
-// A restart of all control plane processes loses no more of a rollout's age.
+// Upper bound of the age that a rollout loses when all control nodes restart.
 constexpr Nanos kWriteAgesInterval = kSecond;
 
 constexpr const char* kCompletedState = "completed";
@@ -19,7 +19,8 @@
 
 std::string voteKey(const std::string& service, const std::string& target) { return service + "\n" + target; }
 
-// A request for one service and version may come again, with another deadline, once the first has ended.
+// Includes the deadline, because a finished rollout of the same service and version may be requested again
+// with another one.
 std::string requestKey(const messages::Rollout& rollout) {
     return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.term);
 }
@@ -37,31 +38,31 @@
     return rollout;
 }
 
-/// Replaces `before` by `after`, unless the rollout has left that stage: what is decided stays decided,
-/// whichever process advances it.
+/// Replaces `before` by `after`, unless the rollout has left that stage. A decision is therefore final,
+/// whichever process made it.
 std::string applyMove(const std::string& value, const messages::Rollout& before,
                       const messages::Rollout& after) {
     auto rollouts = messages::decodeRollouts(value);
     std::int64_t highest = 0;
-    for (const auto& one : rollouts) highest = std::max(highest, one.number);
+    for (const auto& rollout : rollouts) highest = std::max(highest, rollout.number);
     bool changed = false;
-    for (auto& one : rollouts) {
-        if (!isSameRequest(one, after) || !one.running() || one.stage != before.stage) continue;
-        one = after;
-        one.number = highest + 1;
+    for (auto& rollout : rollouts) {
+        if (!isSameRequest(rollout, after) || !rollout.running() || rollout.stage != before.stage) continue;
+        rollout = after;
+        rollout.number = highest + 1;
         changed = true;
     }
     return changed ? messages::encode(rollouts) : value;
 }
 
-/// The ages known here, where they are above those that the register has.
+/// Raises the ages in the register's value to those known here.
 std::string applyAges(const std::string& value, const verdict::Ages& ages, Nanos now) {
     auto rollouts = messages::decodeRollouts(value);
-    for (auto& one : rollouts) {
-        if (!one.running()) continue;
-        const auto age = ages.at(requestKey(one), now);
-        one.age = std::max(one.age, age.order);
-        if (age.stage == one.stage) one.inStage = std::max(one.inStage, age.inStage);
+    for (auto& rollout : rollouts) {
+        if (!rollout.running()) continue;
+        const auto age = ages.at(requestKey(rollout), now);
+        rollout.age = std::max(rollout.age, age.order);
+        if (age.stage == rollout.stage) rollout.inStage = std::max(rollout.inStage, age.inStage);
     }
     return messages::encode(rollouts);
 }
@@ -114,17 +115,17 @@
     }
 }
 
-RolloutController::Tally RolloutController::tally(const messages::Rollout& rollout) const {
+RolloutController::VoteTally RolloutController::countVotes(const messages::Rollout& rollout) const {
     const auto key = voteKey(rollout.service, rollout.target);
     const auto voters = hashing::rendezvousSelect(proxyNames_(), key, verdict::kVoterCount);
-    Tally tally;
+    VoteTally tally;
     tally.counts.voters = voters.size();
     const auto votes = votes_.find(key);
     if (votes == votes_.end()) return tally;
     for (const auto& voter : voters) {
-        const auto at = votes->second.find(voter);
-        if (at == votes->second.end() || now() - at->second.receivedAt > verdict::kVoteLife) continue;
-        const auto& vote = at->second.vote;
+        const auto it = votes->second.find(voter);
+        if (it == votes->second.end() || now() - it->second.receivedAt > verdict::kVoteLife) continue;
+        const auto& vote = it->second.vote;
         tally.counts.on += vote.verdict == Verdict::on && vote.stage == rollout.stage;
         tally.counts.back += vote.verdict == Verdict::back;
         tally.messages.push_back(vote.message);
@@ -133,7 +134,7 @@
 }
 
 Task<> RolloutController::advance(messages::Rollout rollout) {
-    const auto votes = tally(rollout);
+    const auto votes = countVotes(rollout);
     const auto age = ages_.at(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
     const auto move = verdict::nextMove(rollout.stage, votes.counts, age.order, inStage, rollout.term);
@@ -150,7 +151,8 @@
     co_await writeMove(rollout, after);
 }
 
-// In both, the change is a local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
+// In both functions `change` is a local variable, because GCC 12 destroys temporaries of an awaited call
+// twice.
 Task<> RolloutController::writeMove(messages::Rollout before, messages::Rollout after) {
     const consensus::Change change = [before, after](const std::string& value) {
         return applyMove(value, before, after);
--- a/src/control_plane/rollout_controller.hpp
+++ b/src/control_plane/rollout_controller.hpp
@@ -1,7 +1,7 @@
 // Advances rollouts while this process holds their lease: counts the proxies' votes and moves each rollout
 // from stage to stage in the register.
 //
-// All of it runs on the event loop's thread.
+// Runs on the event loop's thread.
 #pragma once
 
 #include "control_plane/link_messages.hpp"
@@ -12,23 +12,24 @@
 
 class RolloutController {
   public:
-    /// `holdsLease`: whether this process may advance rollouts now. `proxyNames`: of those that may vote. All
-    /// outlive this object.
+    /// `holdsLease` returns whether this process may advance rollouts now. `proxyNames` returns the names of
+    /// the proxies that may vote. All must outlive this object.
     RolloutController(ReplicaNode& replica, std::function<bool()> holdsLease,
                       std::function<std::vector<std::string>()> proxyNames)
         : replica_(replica), holdsLease_(std::move(holdsLease)), proxyNames_(std::move(proxyNames)) {}
 
-    /// Runs until the program ends; without the lease it only waits.
+    /// Never returns. Idle while this process does not hold the lease.
     Task<> run();
 
     void onVote(RolloutVote vote);
-    /// Messages of the votes that count now, for `status`.
+    /// Messages of the votes that have not expired, for the admin call `status`.
     std::vector<Json> votes() const;
 
-    // Ages of running rollouts are counted on by steady clocks: with the lease or without, each process
-    // counts on from what the register and the others say, so that it knows them when it acquires the lease.
+    // Ages of running rollouts advance by steady clocks. Every process tracks them, with or without the
+    // lease, from the ages in the register and in peers' reports, so that they are known when it acquires the
+    // lease.
 
-    /// The register has another value.
+    /// The register's value of the rollouts has changed.
     void onValueLearned();
     void onPeerAges(const std::vector<RolloutAge>& ages);
     std::vector<RolloutAge> ages() const;
@@ -38,13 +39,13 @@
         RolloutVote vote;
         Nanos receivedAt = 0;
     };
-    struct Tally {
+    struct VoteTally {
         verdict::VoteCounts counts;
         Json messages = Json::array();
     };
 
     Task<> advance(messages::Rollout rollout);
-    Tally tally(const messages::Rollout& rollout) const;
+    VoteTally countVotes(const messages::Rollout& rollout) const;
     Task<> writeMove(messages::Rollout before, messages::Rollout after);
     Task<> writeAges();
 
@@ -53,7 +54,7 @@
     std::function<std::vector<std::string>()> proxyNames_;
     std::map<std::string, std::map<std::string, ReceivedVote>> votes_;  // by voteKey() and voter
     verdict::Ages ages_;
-    std::set<std::string> running_;  // rollouts, as `ages_` names them
+    std::set<std::string> running_;  // keys in `ages_` of the running rollouts
     Nanos agesWrittenAt_ = 0;
 };
 
--- a/src/control_plane/status_report.hpp
+++ b/src/control_plane/status_report.hpp
@@ -1,5 +1,5 @@
-// What a control plane process tells of itself: for the admin call `status` and for the page of metrics.
-// Nothing is asked of other processes.
+// The status of this control node, for the admin call `status` and the metrics page. Contains only what this
+// process knows; no other process is queried.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 struct ProxyStatus {
     std::string address;
     std::uint64_t incarnation = 0;
-    std::size_t lostBy = 0;     ///< proxies that watch it and have lost it
+    std::size_t lostBy = 0;     ///< number of proxies that watch it and have lost contact with it
     std::string configuration;  ///< the version that it has acknowledged
 };
 
@@ -25,24 +25,24 @@
 
 struct StatusReport {
     std::string node;
-    bool blankDisk = false;  ///< its replica is part of no majority
+    bool blankDisk = false;  ///< its replica is not a voting member
     std::size_t members = 0, connectedPeers = 0;
     Json quorum = Json::object();  ///< ReplicaNode::describe()
-    std::string configuration;     ///< version; "" for none yet
+    std::string configuration;     ///< version; "" if there is none yet
     std::map<std::string, LeaseStatus> leases;
     std::map<std::string, ProxyStatus> proxies;                    ///< by name
     std::map<std::string, std::map<std::string, PodCounts>> pods;  ///< by service and version
-    Json rollouts = Json::array();                                 ///< as the register has them
-    std::vector<Json> votes;                                       ///< as the proxies sent them
+    Json rollouts = Json::array();                                 ///< as stored in the register
+    std::vector<Json> votes;                                       ///< as received from the proxies
     std::uint64_t adminRequests = 0;
-    std::size_t adminConnections = 0;                     ///< open now; in the metrics alone
-    std::uint64_t listRequests = 0, listRateLimited = 0;  ///< pages asked for; of these, answered 429
+    std::size_t adminConnections = 0;                     ///< currently open; reported in the metrics only
+    std::uint64_t listRequests = 0, listRateLimited = 0;  ///< pages requested; of these, answered with 429
 };
 
-/// The answer to `status`.
+/// The response body of the admin call `status`.
 Json encodeStatus(const StatusReport& report);
 
-/// The answer to GET /metrics, in the text format that scrapers read.
+/// The response body of GET /metrics, in the Prometheus text format.
 std::string encodeMetrics(const StatusReport& report);
 
 }  // namespace lichenlanding::control_plane
--- a/tests/control_plane/link_messages.cpp
+++ b/tests/control_plane/link_messages.cpp
@@ -1,4 +1,4 @@
-// Messages between the gateway's processes, by the strings that they have on the wire.
+// The wire format of messages between the gateway's processes.
 #include "control_plane/link_messages.hpp"
 
 #include "support/transcript.hpp"
@@ -9,20 +9,20 @@
 class LinkMessagesTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(LinkMessagesTest);
     CPPUNIT_TEST(helloNamesItsKind);
-    CPPUNIT_TEST(stateReportIsReadAgain);
-    CPPUNIT_TEST(stateReportOfAnEarlierVersionHasNoAges);
-    CPPUNIT_TEST(voteIsKeptAsItCame);
-    CPPUNIT_TEST(contactAndClockAreStamped);
-    CPPUNIT_TEST(typesAreTold);
+    CPPUNIT_TEST(decodesItsOwnStateReport);
+    CPPUNIT_TEST(decodesStateReportOfEarlierVersion);
+    CPPUNIT_TEST(voteKeepsReceivedMessage);
+    CPPUNIT_TEST(addsContactAndClock);
+    CPPUNIT_TEST(recognizesTypes);
     CPPUNIT_TEST_SUITE_END();
 
   public:
     void helloNamesItsKind() {
-        const auto sent = encodeHello({{"members", {"a:1", "b:1"}}}, "c1", "a:1");
+        const auto message = encodeHello({{"members", {"a:1", "b:1"}}}, "c1", "a:1");
         CPPUNIT_ASSERT_EQUAL(
             std::string(R"({"at":"a:1","kind":"prompter","members":["a:1","b:1"],"name":"c1","t":"hello"})"),
-            sent.dump());
-        const auto hello = decodeHello(sent);
+            message.dump());
+        const auto hello = decodeHello(message);
         CPPUNIT_ASSERT(hello.fromControlPlane());
         CPPUNIT_ASSERT(hello.address == "a:1" && hello.members == std::vector<std::string>({"a:1", "b:1"}));
         const auto proxy =
@@ -33,37 +33,37 @@
                              Json::exception);
     }
 
-    void stateReportIsReadAgain() {
+    void decodesItsOwnStateReport() {
         StateReport report;
         report.proposalNumbers["configuration"] = {3, 1};
         report.reachable = {"b:1", "a:1"};
         report.ages = {{"s\nv2\n12000", {6000, 1, 400}}};
-        const auto sent = encodeStateReport(report);
-        CPPUNIT_ASSERT_EQUAL(std::string("known"), sent.at("t").get<std::string>());
-        CPPUNIT_ASSERT(sent.at("ballots").contains("configuration"));
-        CPPUNIT_ASSERT_EQUAL(std::string(R"(["a:1","b:1"])"), sent.at("hears").dump());
-        CPPUNIT_ASSERT_EQUAL(std::string(R"([["s\nv2\n12000",6000,1,400]])"), sent.at("ages").dump());
-        CPPUNIT_ASSERT(decodeReachable(sent) == report.reachable);
-        const auto ages = decodeAges(sent);
+        const auto message = encodeStateReport(report);
+        CPPUNIT_ASSERT_EQUAL(std::string("known"), message.at("t").get<std::string>());
+        CPPUNIT_ASSERT(message.at("ballots").contains("configuration"));
+        CPPUNIT_ASSERT_EQUAL(std::string(R"(["a:1","b:1"])"), message.at("hears").dump());
+        CPPUNIT_ASSERT_EQUAL(std::string(R"([["s\nv2\n12000",6000,1,400]])"), message.at("ages").dump());
+        CPPUNIT_ASSERT(decodeReachable(message) == report.reachable);
+        const auto ages = decodeAges(message);
         CPPUNIT_ASSERT(ages && ages->size() == 1);
         CPPUNIT_ASSERT(ages->front().rollout == report.ages[0].rollout &&
                        ages->front().age == report.ages[0].age);
     }
 
-    void stateReportOfAnEarlierVersionHasNoAges() {
-        const auto sent = Json::parse(R"({"t":"known","ballots":{}})");
-        CPPUNIT_ASSERT(!decodeReachable(sent) && !decodeAges(sent));
+    void decodesStateReportOfEarlierVersion() {
+        const auto message = Json::parse(R"({"t":"known","ballots":{}})");
+        CPPUNIT_ASSERT(!decodeReachable(message) && !decodeAges(message));
     }
 
-    void voteIsKeptAsItCame() {
-        const auto sent = Json::parse(
+    void voteKeepsReceivedMessage() {
+        const auto message = Json::parse(
             R"({"t":"vote","from":"p1","service":"s","target":"v2","stage":1,"verdict":1,"fresh":40})");
-        const auto vote = decodeVote(sent);
+        const auto vote = decodeVote(message);
         CPPUNIT_ASSERT(vote.voter == "p1" && vote.service == "s" && vote.target == "v2");
-        CPPUNIT_ASSERT(vote.verdict == Verdict::on && vote.stage == 1 && vote.message == sent);
+        CPPUNIT_ASSERT(vote.verdict == Verdict::on && vote.stage == 1 && vote.message == message);
     }
 
-    void contactAndClockAreStamped() {
+    void addsContactAndClock() {
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"sure":false,"t":"digest"})"),
                              withContact({{"t", "digest"}}, false, 5).dump());
         CPPUNIT_ASSERT_EQUAL(std::string(R"({"clock":5,"sums":[],"sure":true,"t":"digest"})"),
@@ -72,7 +72,7 @@
                              encodeRoster({{"p1", "c:1"}}).dump());
     }
 
-    void typesAreTold() {
+    void recognizesTypes() {
         using Type = MessageType;
         for (const auto& [name, type] : std::map<std::string, Type>{{"hello", Type::hello},
                                                                     {"known", Type::known},
--- a/tests/control_plane/status_report.cpp
+++ b/tests/control_plane/status_report.cpp
@@ -1,4 +1,4 @@
-// What status and the page of metrics tell, by the names that scripts and scrapers read.
+// Field names of the status report and metric names, which scripts and scrapers depend on.
 #include "control_plane/status_report.hpp"
 
 #include "support/transcript.hpp"
--- a/tests/support/admin_api_fixture.hpp
+++ b/tests/support/admin_api_fixture.hpp
@@ -1,5 +1,5 @@
-// The operator's calls over a scripted register: one value a key, changed in one sequence as the real one's
-// ballots are, whose answers may be held back, or lost before or after the value is in force.
+// The admin API on a simulated register. It has one value per key and applies updates one after another. Its
+// replies can be delayed, or lost before or after an update takes effect.
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -18,39 +18,39 @@
 using control_plane::AdminApi;
 namespace http = boost::beast::http;
 
-struct ScriptedRegister {
-    enum class Fate { answered, lostBefore, lostAfter };
+struct SimulatedRegister {
+    enum class Outcome { answered, lostBefore, lostAfter };
 
-    explicit ScriptedRegister(asio::io_context& io)
-        : gate(io, std::chrono::steady_clock::time_point::max()) {}
-    void release() { held = false, gate.cancel(); }
-    AdminApi::Register its() {
+    explicit SimulatedRegister(asio::io_context& io)
+        : resumed(io, std::chrono::steady_clock::time_point::max()) {}
+    void release() { paused = false, resumed.cancel(); }
+    AdminApi::Register access() {
         return {[this] { return contact; },
-                [this](std::string key, consensus::Change change, Nanos within) {
-                    return run(std::move(key), std::move(change), within);
+                [this](std::string key, consensus::Change change, Nanos timeout) {
+                    return run(std::move(key), std::move(change), timeout);
                 },
-                [this](std::string key, Nanos within) {
+                [this](std::string key, Nanos timeout) {
                     return run(
-                        std::move(key), [](const std::string& held) { return held; }, within);
+                        std::move(key), [](const std::string& value) { return value; }, timeout);
                 }};
     }
     Task<std::optional<std::string>> run(std::string key, consensus::Change change, Nanos /*unused*/) {
-        ++asked;
-        auto fate = Fate::answered;
-        if (!fates.empty()) fate = fates.front(), fates.pop_front();
+        ++operations;
+        auto outcome = Outcome::answered;
+        if (!outcomes.empty()) outcome = outcomes.front(), outcomes.pop_front();
         ErrorCode code;
-        while (held) co_await gate.async_wait(withErrorCode(code));
-        if (fate == Fate::lostBefore) co_return std::nullopt;
+        while (paused) co_await resumed.async_wait(withErrorCode(code));
+        if (outcome == Outcome::lostBefore) co_return std::nullopt;
         auto& value = values[key];
         value = change(value);
-        if (fate == Fate::lostAfter) co_return std::nullopt;
+        if (outcome == Outcome::lostAfter) co_return std::nullopt;
         co_return value;
     }
 
-    asio::steady_timer gate;  // held runs wait on it
-    bool contact = true, held = false;
-    std::deque<Fate> fates;  // of the runs to come; answered where there is none
-    std::size_t asked = 0;
+    asio::steady_timer resumed;  // pauses operations while `paused`
+    bool contact = true, paused = false;
+    std::deque<Outcome> outcomes;  // outcomes of the next operations; `answered` if empty
+    std::size_t operations = 0;
     std::map<std::string, std::string> values;
 };
 
@@ -64,22 +64,22 @@
     return R"({"service_name":"s","target_version":")" + target + R"(","deadline":")" + deadline + R"("})";
 }
 
-// A caller that writes bytes and reads answers, as the test says.
-struct Caller {
-    explicit Caller(asio::io_context& io) : socket(io) {}
+// A client connection. Tests control which bytes it sends and how many responses it reads.
+struct Client {
+    explicit Client(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     beast::flat_buffer buffer;
-    std::string seen;  // status and body of each answer, a line each; "end" where the connection ends
+    std::string received;  // a line for each response, with status and body; "end" when the connection closes
 };
 
 class AdminApiFixture {
   public:
     explicit AdminApiFixture(bool metrics = false, control_plane::AdminServerLimits limits = {})
         : api(
-              reg.its(),
+              simulatedRegister.access(),
               [] {
                   control_plane::StatusReport report;
-                  report.node = "scripted";
+                  report.node = "simulated";
                   return report;
               },
               metrics),
@@ -88,71 +88,71 @@
     void until(Done done) {
         event_loop_fixture::until(io, 200'000, done);
     }
-    control_plane::AdminResponse ask(const std::string& target, const std::string& body,
-                                     http::verb method = http::verb::post) {
+    control_plane::AdminResponse callTarget(const std::string& target, const std::string& body,
+                                            http::verb method = http::verb::post) {
         control_plane::AdminRequest request(method, target, 11);
         request.body() = body;
         return event_loop_fixture::result(io, api.answer(request), [&](auto done) { until(done); });
     }
     control_plane::AdminResponse call(const std::string& name, const std::string& body = "") {
-        return ask("/api/rpc?call=" + name, body);
+        return callTarget("/api/rpc?call=" + name, body);
     }
     unsigned status(const std::string& name, const std::string& body = "") {
         return call(name, body).result_int();
     }
 
-    // Over loopback.
-    std::shared_ptr<Caller> connect(int receiveBuffer = 0) {
+    // Connects over loopback.
+    std::shared_ptr<Client> connect(int receiveBuffer = 0) {
         if (!acceptor) {
             acceptor = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
             spawn(io, "control", server.serve(*acceptor));
         }
-        auto caller = std::make_shared<Caller>(io);
-        caller->socket.open(tcp::v4());
+        auto client = std::make_shared<Client>(io);
+        client->socket.open(tcp::v4());
         if (receiveBuffer > 0)
-            caller->socket.set_option(asio::socket_base::receive_buffer_size(receiveBuffer));
-        caller->socket.connect(acceptor->local_endpoint());  // the backlog takes it
-        return caller;
+            client->socket.set_option(asio::socket_base::receive_buffer_size(receiveBuffer));
+        client->socket.connect(acceptor->local_endpoint());  // completes through the listen backlog
+        return client;
     }
-    static std::string bytes(const std::string& name, const std::string& body = "",
-                             const std::string& more = "") {
-        return "POST /api/rpc?call=" + name + " HTTP/1.1\r\nHost: c\r\n" + more +
+    static std::string requestBytes(const std::string& name, const std::string& body = "",
+                                    const std::string& extraHeaders = "") {
+        return "POST /api/rpc?call=" + name + " HTTP/1.1\r\nHost: c\r\n" + extraHeaders +
                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
-    void send(const std::shared_ptr<Caller>& caller, const std::string& sent) {
-        spawn(io, "send", [](std::shared_ptr<Caller> caller_, std::string sent_) -> Task<> {
+    void send(const std::shared_ptr<Client>& client, const std::string& sent) {
+        spawn(io, "send", [](std::shared_ptr<Client> client_, std::string sent_) -> Task<> {
             ErrorCode code;
-            co_await asio::async_write(caller_->socket, asio::buffer(sent_), withErrorCode(code));
-        }(caller, sent));
+            co_await asio::async_write(client_->socket, asio::buffer(sent_), withErrorCode(code));
+        }(client, sent));
     }
-    // Reads so many answers, or to the end of the connection.
-    void listenTo(const std::shared_ptr<Caller>& caller, int answers) {
-        spawn(io, "listen", [](std::shared_ptr<Caller> caller_, int answers_) -> Task<> {
-            for (; answers_ > 0; --answers_) {
+    // Reads this number of responses, or until the connection closes.
+    void readResponses(const std::shared_ptr<Client>& client, int responses) {
+        spawn(io, "listen", [](std::shared_ptr<Client> client_, int responses_) -> Task<> {
+            for (; responses_ > 0; --responses_) {
                 http::response<http::string_body> response;
                 ErrorCode code;
-                co_await http::async_read(caller_->socket, caller_->buffer, response, withErrorCode(code));
+                co_await http::async_read(client_->socket, client_->buffer, response, withErrorCode(code));
                 if (code) {
-                    caller_->seen += "end\n";
+                    client_->received += "end\n";
                     co_return;
                 }
-                caller_->seen += std::to_string(response.result_int()) + " " + response.body() + "\n";
+                client_->received += std::to_string(response.result_int()) + " " + response.body() + "\n";
             }
-        }(caller, answers));
+        }(client, responses));
     }
-    std::string answers(const std::shared_ptr<Caller>& caller, int count) {
-        caller->seen.clear();
-        listenTo(caller, count);
+    std::string responses(const std::shared_ptr<Client>& client, int count) {
+        client->received.clear();
+        readResponses(client, count);
         until([&] {
-            return std::count(caller->seen.begin(), caller->seen.end(), '\n') == count ||
-                   caller->seen.ends_with("end\n");
+            return std::count(client->received.begin(), client->received.end(), '\n') == count ||
+                   client->received.ends_with("end\n");
         });
-        return caller->seen;
+        return client->received;
     }
 
     asio::io_context io{1};
     asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
-    ScriptedRegister reg{io};
+    SimulatedRegister simulatedRegister{io};
     AdminApi api;
     control_plane::AdminServer server;
     std::unique_ptr<tcp::acceptor> acceptor;
