--- a/src/control_plane/link_messages.hpp
+++ b/src/control_plane/link_messages.hpp
@@ -42,8 +42,8 @@
 
 /// The age of a running rollout, as known to one control node.
 struct RolloutAge {
-    std::string rollout;  ///< the key that RolloutController uses for it
-    verdict::Age age;     ///< milliseconds
+    std::string rollout;    ///< the key that RolloutController uses for it
+    verdict::OrderAge age;  ///< milliseconds
 };
 
 /// Sent between control nodes every 500 ms, and at once when reachability changes.
