--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -29,10 +29,10 @@
     return one.service == other.service && one.target == other.target && one.term == other.term;
 }
 
-messages::Rollout afterMove(messages::Rollout rollout, const verdict::StageTransition& move,
-                            std::int64_t age) {
-    if (move.completed) rollout.state = kCompletedState;
-    else if (move.rolledBack) rollout.state = kRolledBackState;
+messages::Rollout afterTransition(messages::Rollout rollout, const verdict::StageTransition& transition,
+                                  std::int64_t age) {
+    if (transition.completed) rollout.state = kCompletedState;
+    else if (transition.rolledBack) rollout.state = kRolledBackState;
     else ++rollout.stage;
     rollout.age = age;
     rollout.inStage = 0;
@@ -41,8 +41,8 @@
 
 /// Replaces `before` by `after`, unless the rollout has left that stage. A decision is therefore final,
 /// whichever process made it.
-std::string applyMove(const std::string& value, const messages::Rollout& before,
-                      const messages::Rollout& after) {
+std::string applyTransition(const std::string& value, const messages::Rollout& before,
+                            const messages::Rollout& after) {
     auto rollouts = messages::decodeRollouts(value);
     std::int64_t highest = 0;
     for (const auto& rollout : rollouts) highest = std::max(highest, rollout.number);
@@ -138,10 +138,11 @@
     const auto votes = countVotes(rollout);
     const auto age = ages_.ageOf(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
-    const auto move = verdict::nextTransition(rollout.stage, votes.counts, age.order, inStage, rollout.term);
-    if (!move) co_return;
-    const auto after = afterMove(rollout, *move, age.order);
-    const char* why = move->reason;
+    const auto transition =
+        verdict::nextTransition(rollout.stage, votes.counts, age.order, inStage, rollout.term);
+    if (!transition) co_return;
+    const auto after = afterTransition(rollout, *transition, age.order);
+    const char* why = transition->reason;
     log("rollout_advanced", {{"service", after.service},
                              {"target", after.target},
                              {"state", after.state},
@@ -149,14 +150,14 @@
                              {"why", why},
                              {"elapsed_ms", age.order},
                              {"votes", votes.messages}});
-    co_await writeMove(rollout, after);
+    co_await writeTransition(rollout, after);
 }
 
 // In both functions `change` is a local variable, because GCC 12 destroys temporaries of an awaited call
 // twice.
-Task<> RolloutController::writeMove(messages::Rollout before, messages::Rollout after) {
+Task<> RolloutController::writeTransition(messages::Rollout before, messages::Rollout after) {
     const consensus::Change change = [before, after](const std::string& value) {
-        return applyMove(value, before, after);
+        return applyTransition(value, before, after);
     };
     co_await replica_.update(kRolloutsKey, change, kUpdateTimeout);
 }
--- a/src/control_plane/rollout_controller.hpp
+++ b/src/control_plane/rollout_controller.hpp
@@ -46,7 +46,7 @@
 
     Task<> advance(messages::Rollout rollout);
     VoteTally countVotes(const messages::Rollout& rollout) const;
-    Task<> writeMove(messages::Rollout before, messages::Rollout after);
+    Task<> writeTransition(messages::Rollout before, messages::Rollout after);
     Task<> writeAges();
 
     ReplicaNode& replica_;
