--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -60,7 +60,7 @@
               : theirs == id                     ? ResponseHead::Id::own
                                                  : ResponseHead::Id::other;
     head.notExecuted = response.count("X-Not-Executed") > 0;
-    head.stamped = response.count("X-Response-Seal") > 0;
+    head.sealed = response.count("X-Response-Seal") > 0;
     head.encoded = response.count(http::field::content_encoding) > 0;
     head.delimited = delimited(response);
     return head;
@@ -191,7 +191,7 @@
             if (isUnreadable(error)) call->end = AttemptEvent::malformed;
             break;
         }
-        const auto judged = routing::judge(headOf(call->response, id));
+        const auto judged = routing::classifyResponse(headOf(call->response, id));
         if (!judged && !call->unread) {
             read.surplus = true;
             continue;
--- a/src/routing/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -10,9 +10,9 @@
     switch (state) {
         case AttemptState::unsent:
             return "unsent";
-        case AttemptState::surelyNotRun:
+        case AttemptState::knownNotExecuted:
             return "surely not run";
-        case AttemptState::maybeRun:
+        case AttemptState::maybeExecuted:
             return "maybe run";
         case AttemptState::answered:
             return "answered";
@@ -64,7 +64,8 @@
         return std::any_of(attempts.begin(), attempts.end(),
                            [&](const auto& attempt) { return attempt->state() == state; });
     };
-    for (const auto state : {AttemptState::answered, AttemptState::maybeRun, AttemptState::surelyNotRun})
+    for (const auto state :
+         {AttemptState::answered, AttemptState::maybeExecuted, AttemptState::knownNotExecuted})
         if (any(state)) return state;
     return AttemptState::unsent;
 }
@@ -77,27 +78,29 @@
 std::size_t possibleArrivals(const Attempts& attempts) {
     return static_cast<std::size_t>(std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) {
         return attempt->end() != AttemptEvent::unreached &&
-               !(attempt->end() == AttemptEvent::cancelled && attempt->state() == AttemptState::surelyNotRun);
+               !(attempt->end() == AttemptEvent::cancelled &&
+                 attempt->state() == AttemptState::knownNotExecuted);
     }));
 }
 
-bool mayPromiseNotRun(const Attempts& attempts) {
+bool mayPromiseNotExecuted(const Attempts& attempts) {
     const auto state = requestState(attempts);
-    return inFlight(attempts) == 0 && (state == AttemptState::unsent || state == AttemptState::surelyNotRun);
+    return inFlight(attempts) == 0 &&
+           (state == AttemptState::unsent || state == AttemptState::knownNotExecuted);
 }
 
 bool mayAttempt(const Attempts& attempts, bool repeatable) {
-    return repeatable || mayPromiseNotRun(attempts);
+    return repeatable || mayPromiseNotExecuted(attempts);
 }
 
-std::optional<AttemptEvent> judge(const ResponseHead& answer) {
+std::optional<AttemptEvent> classifyResponse(const ResponseHead& answer) {
     // MIXED: a late answer to an earlier request stands in the place of this one's; the id tells them apart.
     if (answer.id == ResponseHead::Id::other) return std::nullopt;
     if (!answer.delimited) return AttemptEvent::malformed;
     const bool own = answer.id == ResponseHead::Id::own;
     if (answer.status / 100 == 2)
-        return own && answer.stamped && !answer.encoded && !answer.notExecuted ? AttemptEvent::answered
-                                                                               : AttemptEvent::malformed;
+        return own && answer.sealed && !answer.encoded && !answer.notExecuted ? AttemptEvent::answered
+                                                                              : AttemptEvent::malformed;
     if (answer.status == 421) return AttemptEvent::misdirected;
     if (answer.notExecuted)
         return answer.status >= 400 ? AttemptEvent::rejectedByHost : AttemptEvent::malformed;
--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -18,10 +18,11 @@
 struct UpstreamHost;
 
 enum class AttemptState {
-    unsent,        ///< no byte was handed to a connection, so far
-    surelyNotRun,  ///< none ever will be, or this host has said of this very attempt that it was not executed
-    maybeRun,      ///< some were, and nothing says that it was not executed
-    answered,      ///< a whole answer of this host to this request
+    unsent,            ///< no byte was handed to a connection, so far
+    knownNotExecuted,  ///< none ever will be, or this host has said of this very attempt that it was not
+                       ///< executed
+    maybeExecuted,     ///< some were, and nothing says that it was not executed
+    answered,          ///< a whole answer of this host to this request
 };
 
 enum class AttemptEvent {
@@ -42,19 +43,19 @@
     AttemptState to;
 };
 
-/// What is not here cannot happen. From maybeRun only the host's own word leads to surelyNotRun; silence, a
-/// reset or a close never do, whatever was known before.
+/// What is not here cannot happen. From maybeExecuted only the host's own word leads to knownNotExecuted;
+/// silence, a reset or a close never do, whatever was known before.
 inline constexpr std::array<Transition, 10> kTransitions{{
-    {AttemptState::unsent, AttemptEvent::written, AttemptState::maybeRun},
-    {AttemptState::unsent, AttemptEvent::unreached, AttemptState::surelyNotRun},
-    {AttemptState::maybeRun, AttemptEvent::rejectedByHost, AttemptState::surelyNotRun},
-    {AttemptState::maybeRun, AttemptEvent::misdirected, AttemptState::surelyNotRun},
-    {AttemptState::maybeRun, AttemptEvent::answered, AttemptState::answered},
-    {AttemptState::maybeRun, AttemptEvent::connectionLost, AttemptState::maybeRun},
-    {AttemptState::maybeRun, AttemptEvent::malformed, AttemptState::maybeRun},
-    {AttemptState::maybeRun, AttemptEvent::timedOut, AttemptState::maybeRun},
-    {AttemptState::unsent, AttemptEvent::cancelled, AttemptState::surelyNotRun},
-    {AttemptState::maybeRun, AttemptEvent::cancelled, AttemptState::maybeRun},
+    {AttemptState::unsent, AttemptEvent::written, AttemptState::maybeExecuted},
+    {AttemptState::unsent, AttemptEvent::unreached, AttemptState::knownNotExecuted},
+    {AttemptState::maybeExecuted, AttemptEvent::rejectedByHost, AttemptState::knownNotExecuted},
+    {AttemptState::maybeExecuted, AttemptEvent::misdirected, AttemptState::knownNotExecuted},
+    {AttemptState::maybeExecuted, AttemptEvent::answered, AttemptState::answered},
+    {AttemptState::maybeExecuted, AttemptEvent::connectionLost, AttemptState::maybeExecuted},
+    {AttemptState::maybeExecuted, AttemptEvent::malformed, AttemptState::maybeExecuted},
+    {AttemptState::maybeExecuted, AttemptEvent::timedOut, AttemptState::maybeExecuted},
+    {AttemptState::unsent, AttemptEvent::cancelled, AttemptState::knownNotExecuted},
+    {AttemptState::maybeExecuted, AttemptEvent::cancelled, AttemptState::maybeExecuted},
 }};
 
 /// The state that follows by the table; none where it has no such transition.
@@ -96,7 +97,7 @@
 bool mayAttempt(const Attempts& attempts, bool repeatable);
 /// REFUSED: whether 429, 503, 408 or 421 may be answered, which promise that it was not executed and never
 /// will be.
-bool mayPromiseNotRun(const Attempts& attempts);
+bool mayPromiseNotExecuted(const Attempts& attempts);
 
 /// What the head of a host's answer says, as far as it decides.
 struct ResponseHead {
@@ -104,13 +105,13 @@
     int status = 0;
     Id id = Id::none;          ///< X-Attempt-Id, against the attempt's
     bool notExecuted = false;  ///< X-Not-Executed
-    bool stamped = false;      ///< X-Response-Seal
+    bool sealed = false;       ///< X-Response-Seal
     bool encoded = false;      ///< Content-Encoding
     bool delimited = false;    ///< its end can be told from a connection that breaks off
 };
 
 /// The event that a whole answer makes of it; none where it belongs to another request, and is to be read
 /// past or, where that can't be done, to count as malformed.
-std::optional<AttemptEvent> judge(const ResponseHead& answer);
+std::optional<AttemptEvent> classifyResponse(const ResponseHead& answer);
 
 }  // namespace lichenlanding::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -183,16 +183,16 @@
     const auto& route = *request.route;
     routing::onAttemptEnded(host, end, now);
     if (end == AttemptEvent::answered && status < 300) recordLatency(host, hedging_.record(route, took), now);
-    if (attempt.state() != AttemptState::surelyNotRun && end == AttemptEvent::cancelled)
+    if (attempt.state() != AttemptState::knownNotExecuted && end == AttemptEvent::cancelled)
         recordLatencyAtLeast(host, hedging_.ratioToUsual(route, took), now);
     // A cancelled attempt counts with the time that it had: clients leave versions alike, and the answer of
     // the slower one is the rarer before that.
-    if (attempt.state() == AttemptState::surelyNotRun || !isWarm(host, now)) return;
+    if (attempt.state() == AttemptState::knownNotExecuted || !isWarm(host, now)) return;
     canaries_.recordOutcome(host, route, took, isFailure(end, status));
 }
 
 LocalReply Router::localReply(const RoutedRequest& request) const {
-    if (mayPromiseNotRun(request.attempts)) return {LocalReplyDetail::noHostAvailable, kRetryAfter};
+    if (mayPromiseNotExecuted(request.attempts)) return {LocalReplyDetail::noHostAvailable, kRetryAfter};
     const bool timedOut =
         std::any_of(request.attempts.begin(), request.attempts.end(),
                     [](const auto& attempt) { return attempt->end() == AttemptEvent::timedOut; });
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -182,14 +182,15 @@
         ConfigurationCache proxy{{}};
         ConfigurationCache neighbour{{}};
         old.updateEndpoints({pod("a"), pod("b")}, 1);
-        tell(old, proxy, old.digestMessage());
-        tell(proxy, neighbour, proxy.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
+        deliver(old, proxy, old.digestMessage());
+        deliver(proxy, neighbour, proxy.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
         next.updateEndpoints({pod("b", true), pod("c")}, 2);
-        tell(next, proxy, next.digestMessage());
+        deliver(next, proxy, next.digestMessage());
         CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
         for (int step = 0; step < 3; ++step) {  // many changes in a lower term are lower still
-            tell(old, proxy, old.updateEndpoints({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
-            tell(old, proxy, old.digestMessage());
+            deliver(old, proxy,
+                    old.updateEndpoints({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
+            deliver(old, proxy, old.digestMessage());
         }
         CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
         CPPUNIT_ASSERT(proxy.endpointListVersion() == (subscription::EndpointListVersion{2, 1}));
@@ -198,7 +199,7 @@
         CPPUNIT_ASSERT(old.updateEndpoints({pod("e")}, 1).is_null() &&
                        !old.digestMessage().contains("edition"));
         // Neighbours go by the same order, whichever of them speaks first.
-        tell(neighbour, proxy, neighbour.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
+        deliver(neighbour, proxy, neighbour.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
         CPPUNIT_ASSERT(neighbour.endpoints().endpoints() == next.endpoints().endpoints());
         CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
     }
@@ -211,14 +212,14 @@
         ConfigurationCache proxy{{}};
         next.updateEndpoints({pod("a")}, 2);  // asked for, and late on its way
         old.updateEndpoints({pod("a"), pod("new")}, 1);
-        tell(old, proxy, old.digestMessage());
+        deliver(old, proxy, old.digestMessage());
         CPPUNIT_ASSERT(proxy.endpoints().endpoints().contains("new"));
-        tell(next, proxy, next.digestMessage());
+        deliver(next, proxy, next.digestMessage());
         CPPUNIT_ASSERT(!proxy.endpoints().endpoints().contains("new") && !proxy.endpoints().hasLeft("new"));
-        tell(next, proxy, next.updateEndpoints({pod("a"), pod("new")}, 2));
+        deliver(next, proxy, next.updateEndpoints({pod("a"), pod("new")}, 2));
         CPPUNIT_ASSERT(proxy.endpoints().endpoints().contains("new"));
-        tell(next, proxy,
-             next.updateEndpoints({pod("new")}, 2));  // seen to go by the holder itself: for good
+        deliver(next, proxy,
+                next.updateEndpoints({pod("new")}, 2));  // seen to go by the holder itself: for good
         CPPUNIT_ASSERT(proxy.endpoints().hasLeft("a"));
     }
 
@@ -228,11 +229,11 @@
         ConfigurationCache proxy{{}};
         ConfigurationCache other{{}};
         holder.updateEndpoints({pod("a"), pod("b")}, 1);
-        for (auto* one : {&proxy, &other}) tell(holder, *one, holder.digestMessage());
-        tell(holder, other, holder.updateEndpoints({pod("b"), pod("c")}, 1));
+        for (auto* one : {&proxy, &other}) deliver(holder, *one, holder.digestMessage());
+        deliver(holder, other, holder.updateEndpoints({pod("b"), pod("c")}, 1));
         const auto last = holder.updateEndpoints({pod("b"), pod("d")}, 1);
-        tell(holder, proxy, last);  // the change before it never came
-        tell(holder, other, last);
+        deliver(holder, proxy, last);  // the change before it never came
+        deliver(holder, other, last);
         for (const auto* one : {&proxy, &other}) {
             CPPUNIT_ASSERT(one->endpoints().endpoints() == holder.endpoints().endpoints());
             CPPUNIT_ASSERT(one->endpointListVersion() == holder.endpointListVersion());
--- a/tests/routing/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::array kStates{AttemptState::unsent, AttemptState::surelyNotRun, AttemptState::maybeRun,
-                             AttemptState::answered};
+constexpr std::array kStates{AttemptState::unsent, AttemptState::knownNotExecuted,
+                             AttemptState::maybeExecuted, AttemptState::answered};
 constexpr std::array kEvents{AttemptEvent::written,     AttemptEvent::unreached, AttemptEvent::rejectedByHost,
                              AttemptEvent::misdirected, AttemptEvent::answered,  AttemptEvent::connectionLost,
                              AttemptEvent::malformed,   AttemptEvent::timedOut,  AttemptEvent::cancelled};
@@ -50,17 +50,17 @@
     std::string found;
     const std::function<void(World, AttemptState)> walk = [&](World world, AttemptState state) {
         if (!found.empty()) return;
-        if (world.ran && state != AttemptState::maybeRun && state != AttemptState::answered)
+        if (world.ran && state != AttemptState::maybeExecuted && state != AttemptState::answered)
             found = std::string("Honest: run, but ") + name(state);
         else if (!world.written && state != AttemptState::unsent && !world.ended)
             found = "Exact: nothing was written";
         else if (world.ended && state == AttemptState::unsent) found = "Exact: ended, but unsent";
         else if ((state == AttemptState::answered) != (world.ended && world.last == AttemptEvent::answered))
             found = "Exact: answered is what was answered";
-        else if (state == AttemptState::surelyNotRun && world.written &&
+        else if (state == AttemptState::knownNotExecuted && world.written &&
                  world.last != AttemptEvent::rejectedByHost && world.last != AttemptEvent::misdirected)
             found = "NeverBack: not by the pod's own word";
-        else if (state != AttemptState::surelyNotRun && world.ended &&
+        else if (state != AttemptState::knownNotExecuted && world.ended &&
                  (!world.written || world.last == AttemptEvent::rejectedByHost ||
                   world.last == AttemptEvent::misdirected))
             found = "Exact: surely not run, but not known";
@@ -87,12 +87,12 @@
 // All ways of one request through up to three sends; the first rule broken, and how.
 struct RequestModel {
     std::function<bool(const Attempts&, bool)> mayAttempt = productMayAttempt;
-    std::function<bool(const Attempts&)> mayPromiseNotRun = productMayPromise;
+    std::function<bool(const Attempts&)> mayPromiseNotExecuted = productMayPromise;
     static bool productMayAttempt(const Attempts& attempts, bool repeatable) {
         return lichenlanding::routing::mayAttempt(attempts, repeatable);
     }
     static bool productMayPromise(const Attempts& attempts) {
-        return lichenlanding::routing::mayPromiseNotRun(attempts);
+        return lichenlanding::routing::mayPromiseNotExecuted(attempts);
     }
 
     std::string broken(bool repeatable) const {
@@ -126,8 +126,8 @@
                           world.last != AttemptEvent::misdirected;
         if (!repeatable && runs > 1) return "TWICE:" + way;
         // What is promised holds for good: nothing that may still run, nor what has.
-        if (mayPromiseNotRun(attempts) && (runs > 0 || open > 0 || silent > 0)) return "REFUSED:" + way;
-        if (!mayPromiseNotRun(attempts) && open == 0 && silent == 0)
+        if (mayPromiseNotExecuted(attempts) && (runs > 0 || open > 0 || silent > 0)) return "REFUSED:" + way;
+        if (!mayPromiseNotExecuted(attempts) && open == 0 && silent == 0)
             return "Exact: no promise though nothing ran:" + way;
         std::string found;
         for (std::size_t at = 0; at < worlds.size() && found.empty(); ++at) {
@@ -181,7 +181,7 @@
                     (success || !word))
                     return "REFUSED: not by the pod's word";
                 if (event != AttemptEvent::answered) continue;
-                if (success && (id != ResponseHead::Id::own || !answer.stamped))
+                if (success && (id != ResponseHead::Id::own || !answer.sealed))
                     return "MIXED: a success without its stamp or id";
                 if (success && answer.encoded) return "MIXED: an encoded body";
                 if (success && answer.notExecuted) return "MIXED: a success that was not run";
@@ -220,7 +220,7 @@
                 CPPUNIT_ASSERT(sent.state() == kept && sent.end() == event);
             } else {
                 CPPUNIT_ASSERT_THROW(sent.apply(event), std::logic_error);
-                CPPUNIT_ASSERT(sent.state() == AttemptState::maybeRun && sent.inFlight());
+                CPPUNIT_ASSERT(sent.state() == AttemptState::maybeExecuted && sent.inFlight());
             }
         }
         approve("attempt-table", seen);
@@ -272,7 +272,8 @@
     void faultsInConclusionsAreFound() {
         std::string seen;
         const auto known = [](const Attempt& attempt) {
-            return attempt.state() == AttemptState::unsent || attempt.state() == AttemptState::surelyNotRun;
+            return attempt.state() == AttemptState::unsent ||
+                   attempt.state() == AttemptState::knownNotExecuted;
         };
         const auto all = [&](const Attempts& attempts) {
             return std::all_of(attempts.begin(), attempts.end(),
@@ -310,7 +311,7 @@
             RequestModel sends;
             RequestModel promises;
             sends.mayAttempt = [&rule = rule](const Attempts& attempts, bool) { return rule(attempts); };
-            promises.mayPromiseNotRun = rule;
+            promises.mayPromiseNotExecuted = rule;
             const auto twice = sends.broken(false);
             auto refused = promises.broken(false);
             if (refused.empty()) refused = promises.broken(true);
@@ -323,13 +324,13 @@
     }
 
     void faultsInJudgingAnswersAreFound() {
-        CPPUNIT_ASSERT_EQUAL(std::string(), brokenBy(judge));
+        CPPUNIT_ASSERT_EQUAL(std::string(), brokenBy(classifyResponse));
         std::string seen;
         const auto with = [](std::function<void(ResponseHead&)> change) -> Judge {
             return [change](const ResponseHead& answer) {
                 auto changed = answer;
                 change(changed);
-                return judge(changed);
+                return classifyResponse(changed);
             };
         };
         for (const auto& [fault, judged] :
@@ -352,7 +353,7 @@
                                                         {"every answer counts as another's",
                                                          [](const ResponseHead&) { return std::nullopt; }},
                                                         {"the stamp is not looked at",
-                                                         with([](ResponseHead& a) { a.stamped = true; })},
+                                                         with([](ResponseHead& a) { a.sealed = true; })},
                                                         {"the encoding is not looked at",
                                                          with([](ResponseHead& a) { a.encoded = false; })},
                                                         {"the end of the body is not looked at",
@@ -367,7 +368,7 @@
                                                                             a.id == ResponseHead::Id::own &&
                                                                             a.delimited
                                                                         ? AttemptEvent::answered
-                                                                        : judge(a);
+                                                                        : classifyResponse(a);
                                                          }},
                                                         {"a success counts as turned away where it "
                                                          "says so",
@@ -376,7 +377,7 @@
                                                                             a.id == ResponseHead::Id::own &&
                                                                             a.delimited
                                                                         ? AttemptEvent::rejectedByHost
-                                                                        : judge(a);
+                                                                        : classifyResponse(a);
                                                          }}}) {
             const auto rule = brokenBy(judged);
             CPPUNIT_ASSERT_MESSAGE(fault, !rule.empty());
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -51,9 +51,9 @@
 // What a proxy and a control node exchange when it has come up.
 Cost exchange(ConfigurationCache& controlNode, ConfigurationCache& proxy) {
     Cost cost;
-    subscription_fixture::tell(controlNode, proxy, controlNode.digestMessage(),
-                               ConfigurationCache::MessageSource::controlNode,
-                               [&](const Json& message) { cost.add(message); });
+    subscription_fixture::deliver(controlNode, proxy, controlNode.digestMessage(),
+                                  ConfigurationCache::MessageSource::controlNode,
+                                  [&](const Json& message) { cost.add(message); });
     return cost;
 }
 
--- a/tests/support/subscription_fixture.hpp
+++ b/tests/support/subscription_fixture.hpp
@@ -24,7 +24,7 @@
 
 /// Delivers a message of a control node to a proxy, or of a proxy to another, and all answers to it, both
 /// ways until there are no more; `each` is shown every message.
-inline void tell(
+inline void deliver(
     ConfigurationCache& from, ConfigurationCache& to, Json message,
     ConfigurationCache::MessageSource role = ConfigurationCache::MessageSource::controlNode,
     const std::function<void(const Json&)>& each = [](const Json&) {}) {
