--- a/src/routing/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -11,9 +11,9 @@
         case AttemptState::unsent:
             return "unsent";
         case AttemptState::knownNotExecuted:
-            return "surely not run";
+            return "known not executed";
         case AttemptState::maybeExecuted:
-            return "maybe run";
+            return "maybe executed";
         case AttemptState::answered:
             return "answered";
     }
@@ -44,19 +44,20 @@
     return "";
 }
 
-std::optional<AttemptState> after(std::span<const Transition> table, AttemptState from, AttemptEvent event) {
+std::optional<AttemptState> nextState(std::span<const Transition> table, AttemptState from,
+                                      AttemptEvent event) {
     for (const auto& transition : table)
         if (transition.from == from && transition.event == event) return transition.to;
     return std::nullopt;
 }
 
 void Attempt::apply(AttemptEvent event) {
-    const auto to = end_ ? std::nullopt : after(kTransitions, state_, event);
+    const auto to = end_ ? std::nullopt : nextState(kTransitions, state_, event);
     if (!to)
-        throw std::logic_error(std::string("attempt: ") + name(event) + " after " +
+        throw std::logic_error(std::string("invalid transition of an attempt: ") + name(event) + " after " +
                                (end_ ? name(*end_) : name(state_)));
     state_ = *to;
-    if (ends(event)) end_ = event;
+    if (endsAttempt(event)) end_ = event;
 }
 
 AttemptState requestState(const Attempts& attempts) {
@@ -93,19 +94,20 @@
     return repeatable || mayPromiseNotExecuted(attempts);
 }
 
-std::optional<AttemptEvent> classifyResponse(const ResponseHead& answer) {
-    // MIXED: a late answer to an earlier request stands in the place of this one's; the id tells them apart.
-    if (answer.id == ResponseHead::Id::other) return std::nullopt;
-    if (!answer.delimited) return AttemptEvent::malformed;
-    const bool own = answer.id == ResponseHead::Id::own;
-    if (answer.status / 100 == 2)
-        return own && answer.sealed && !answer.encoded && !answer.notExecuted ? AttemptEvent::answered
-                                                                              : AttemptEvent::malformed;
-    if (answer.status == 421) return AttemptEvent::misdirected;
-    if (answer.notExecuted)
-        return answer.status >= 400 ? AttemptEvent::rejectedByHost : AttemptEvent::malformed;
-    // REFUSED: what promises that nothing ran is passed on only with the host's word for it.
-    if (answer.status == 408 || answer.status == 429 || answer.status == 503) return AttemptEvent::malformed;
+std::optional<AttemptEvent> classifyResponse(const ResponseHead& response) {
+    // Guarantee MIXED: this is a late response to an earlier request on the connection, as its id shows.
+    if (response.id == ResponseHead::Id::other) return std::nullopt;
+    if (!response.delimited) return AttemptEvent::malformed;
+    const bool own = response.id == ResponseHead::Id::own;
+    if (response.status / 100 == 2)
+        return own && response.sealed && !response.encoded && !response.notExecuted ? AttemptEvent::answered
+                                                                                    : AttemptEvent::malformed;
+    if (response.status == 421) return AttemptEvent::misdirected;
+    if (response.notExecuted)
+        return response.status >= 400 ? AttemptEvent::rejectedByHost : AttemptEvent::malformed;
+    // Guarantee REFUSED: without X-Not-Executed, a status that promises "not executed" is not passed on.
+    if (response.status == 408 || response.status == 429 || response.status == 503)
+        return AttemptEvent::malformed;
     return AttemptEvent::answered;
 }
 
--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -1,9 +1,9 @@
-/// One attempt of a request at one host, and what is known of it. The one place that says whether a request
-/// may be sent again, and whether 429, 503, 408 or 421 may be promised for it: everything that does either
-/// asks here.
+/// The state machine of one attempt: a request sent to one host. It alone decides whether a request may be
+/// sent again, and whether it may be answered with 429, 503, 408 or 421, which state that it was not
+/// executed.
 ///
-/// Pure: no I/O, clock or chance. The caller tells what happened, as events; the table says what that means.
-/// One thread.
+/// Pure: no I/O, clock or random numbers. The caller reports events; a transition table gives the new state.
+/// Not thread-safe.
 #pragma once
 
 #include <array>
@@ -18,23 +18,23 @@
 struct UpstreamHost;
 
 enum class AttemptState {
-    unsent,            ///< no byte was handed to a connection, so far
-    knownNotExecuted,  ///< none ever will be, or this host has said of this very attempt that it was not
-                       ///< executed
-    maybeExecuted,     ///< some were, and nothing says that it was not executed
-    answered,          ///< a whole answer of this host to this request
+    unsent,  ///< no byte has been written to a connection yet
+    /// Nothing was or will be sent, or the host stated that it did not execute this attempt.
+    knownNotExecuted,
+    maybeExecuted,  ///< at least one byte may have been sent, and the host has not ruled out execution
+    answered,       ///< the host's complete response to this request has arrived
 };
 
 enum class AttemptEvent {
-    written,         ///< the first byte is about to be handed over; all other events end the attempt
-    unreached,       ///< the connection never came up, or was left before the first byte
-    rejectedByHost,  ///< X-Not-Executed, under the attempt's own id
-    misdirected,     ///< 421: the address has another host
-    answered,        ///< a whole answer of this host to this request
-    connectionLost,  ///< closed or reset before that
-    malformed,       ///< bytes that are no answer to this request
-    timedOut,        ///< no answer in time
-    cancelled,       ///< ended here before that: nobody waits for the answer any more
+    written,         ///< the first byte is about to be written; every other event ends the attempt
+    unreached,       ///< the connection was not established, or given up before the first byte
+    rejectedByHost,  ///< the response has X-Not-Executed and does not belong to another attempt
+    misdirected,     ///< 421: another host now has the address
+    answered,        ///< the host's complete response to this request has arrived
+    connectionLost,  ///< closed or reset before the response was complete
+    malformed,       ///< bytes that are not a valid response to this request
+    timedOut,        ///< no complete response before the deadline
+    cancelled,       ///< abandoned by this proxy: the response is no longer needed
 };
 
 struct Transition {
@@ -43,8 +43,8 @@
     AttemptState to;
 };
 
-/// What is not here cannot happen. From maybeExecuted only the host's own word leads to knownNotExecuted;
-/// silence, a reset or a close never do, whatever was known before.
+/// All valid transitions. maybeExecuted becomes knownNotExecuted only by a response in which the host says
+/// so; a timeout, a reset or a closed connection is never proof.
 inline constexpr std::array<Transition, 10> kTransitions{{
     {AttemptState::unsent, AttemptEvent::written, AttemptState::maybeExecuted},
     {AttemptState::unsent, AttemptEvent::unreached, AttemptState::knownNotExecuted},
@@ -58,10 +58,11 @@
     {AttemptState::maybeExecuted, AttemptEvent::cancelled, AttemptState::maybeExecuted},
 }};
 
-/// The state that follows by the table; none where it has no such transition.
-std::optional<AttemptState> after(std::span<const Transition> table, AttemptState from, AttemptEvent event);
+/// The state after `event`; none if `table` has no such transition.
+std::optional<AttemptState> nextState(std::span<const Transition> table, AttemptState from,
+                                      AttemptEvent event);
 
-constexpr bool ends(AttemptEvent event) { return event != AttemptEvent::written; }
+constexpr bool endsAttempt(AttemptEvent event) { return event != AttemptEvent::written; }
 
 const char* name(AttemptState state);
 const char* name(AttemptEvent event);
@@ -70,13 +71,14 @@
   public:
     explicit Attempt(std::shared_ptr<UpstreamHost> host) : host_(std::move(host)) {}
 
-    /// Throws std::logic_error where the table has no such transition or the attempt has ended: then nothing
-    /// changes.
+    /// Throws std::logic_error, without a change of state, if the table has no such transition or the attempt
+    /// has ended.
     void apply(AttemptEvent event);
 
     AttemptState state() const { return state_; }
     bool inFlight() const { return !end_; }
-    std::optional<AttemptEvent> end() const { return end_; }  ///< none while in flight
+    /// The event that ended it; none while in flight.
+    std::optional<AttemptEvent> end() const { return end_; }
     const std::shared_ptr<UpstreamHost>& host() const { return host_; }
 
   private:
@@ -85,33 +87,35 @@
     std::optional<AttemptEvent> end_;
 };
 
-using Attempts = std::vector<std::shared_ptr<Attempt>>;  ///< of one request, in order
+using Attempts = std::vector<std::shared_ptr<Attempt>>;  ///< of one request, in the order of sending
 
-/// Of the request, over all its attempts: the state from which it can least be sent again.
+/// The state of the request over all its attempts: the one that restricts further attempts most.
 AttemptState requestState(const Attempts& attempts);
 std::size_t inFlight(const Attempts& attempts);
-/// Attempts that hosts have seen or may still see: all but those that ended before they were sent.
+/// The number of attempts that may have reached or may still reach a host: all but those that ended before
+/// they were sent.
 std::size_t possibleArrivals(const Attempts& attempts);
 
-/// TWICE: whether it may be sent to one more host, now.
+/// Whether the request may be sent to one more host now (guarantee TWICE: a request that is not repeatable is
+/// never executed twice).
 bool mayAttempt(const Attempts& attempts, bool repeatable);
-/// REFUSED: whether 429, 503, 408 or 421 may be answered, which promise that it was not executed and never
-/// will be.
+/// Whether 429, 503, 408 or 421 may be answered (guarantee REFUSED: these promise that the request was not
+/// executed and never will be).
 bool mayPromiseNotExecuted(const Attempts& attempts);
 
-/// What the head of a host's answer says, as far as it decides.
+/// The parts of a response's head that decide how the response is classified.
 struct ResponseHead {
     enum class Id { own, other, none };
     int status = 0;
-    Id id = Id::none;          ///< X-Attempt-Id, against the attempt's
-    bool notExecuted = false;  ///< X-Not-Executed
-    bool sealed = false;       ///< X-Response-Seal
-    bool encoded = false;      ///< Content-Encoding
-    bool delimited = false;    ///< its end can be told from a connection that breaks off
+    Id id = Id::none;          ///< X-Attempt-Id compared with the attempt's id
+    bool notExecuted = false;  ///< X-Not-Executed is present
+    bool sealed = false;       ///< X-Response-Seal is present
+    bool encoded = false;      ///< Content-Encoding is present
+    bool delimited = false;    ///< the framing tells a complete body from a lost connection
 };
 
-/// The event that a whole answer makes of it; none where it belongs to another request, and is to be read
-/// past or, where that can't be done, to count as malformed.
-std::optional<AttemptEvent> classifyResponse(const ResponseHead& answer);
+/// The event that a complete response means for the attempt. None if it belongs to another request: the
+/// caller skips it, or treats it as malformed if it cannot be skipped.
+std::optional<AttemptEvent> classifyResponse(const ResponseHead& response);
 
 }  // namespace lichenlanding::routing
--- a/src/routing/canary.cpp
+++ b/src/routing/canary.cpp
@@ -12,35 +12,38 @@
 namespace {
 
 constexpr Nanos kMillisecond = 1'000'000;
-constexpr double kSharePart = 0.45;              // of the share that a canary may have, while it is watched
-constexpr double kSlackPart = 0.7;               // of the requests beyond the share, to begin the watch with
-constexpr double kGrantMax = 4;                  // of these at one proxy, which may not know of others yet
-constexpr Nanos kFocusFor = 500 * kMillisecond;  // the share goes to the same few hosts so long
-constexpr double kFullTrialPart = 0.9;  // of the share, that the watch and the trial of all traffic may reach
-constexpr Nanos kFullTrialFor = 600 * kMillisecond;
-constexpr double kCreditMax = 1.5;  // requests to a canary that may be saved up
-constexpr int kOwnFailures = 4;     // failures of a canary seen by this proxy that stop it here
-constexpr double kOwnFailurePart = 0.3;
+// Of its share that a canary receives before the full-traffic trial.
+constexpr double kWatchedShareFraction = 0.45;
+constexpr double kInitialSlackFraction = 0.7;       // of the slack that is granted at the start of a rollout
+constexpr double kMaxGrant = 4;                     // requests; a proxy may not know of the other proxies yet
+constexpr Nanos kFocusPeriod = 500 * kMillisecond;  // the share goes to the same few hosts for this period
+constexpr double kFullTrialShareFraction = 0.9;     // of the share, including the full-traffic trial
+constexpr Nanos kFullTrialDuration = 600 * kMillisecond;
+constexpr double kMaxCredit = 1.5;    // requests to a canary that can be saved up
+constexpr int kMinLocalFailures = 4;  // failures at this proxy before it stops sending to a canary
+constexpr double kMaxLocalFailureRatio = 0.3;
 
 }  // namespace
 
 struct CanaryExposure::Canary {
-    double credit = 0;       // requests that it may have now
-    double granted = 0;      // requests beyond its share
-    double grantLeft = 0;    // of these, not yet credited
-    double sent = 0;         // attempts to it since its rollout is known here
-    double serviceSent = 0;  // attempts to its service since then
-    int stage = 0;           // verdict::Stage
+    double credit = 0;          // requests that it may receive now
+    double granted = 0;         // requests beyond its share that this proxy may send
+    double grantRemaining = 0;  // part of `granted` not yet added to the credit
+    double sent = 0;            // attempts to the canary since this proxy received its rollout
+    double serviceSent = 0;     // attempts to its service since then
+    int stage = 0;              // verdict::Stage
     Nanos stageStarted = 0;
     bool ended = false;
     std::uint32_t outcomes = 0;
     std::uint32_t failures = 0;
     verdict::Totals totals;
 
-    bool stoppedHere() const { return failures >= kOwnFailures && failures > outcomes * kOwnFailurePart; }
+    bool stoppedLocally() const {
+        return failures >= kMinLocalFailures && failures > outcomes * kMaxLocalFailureRatio;
+    }
 };
 
-std::string CanaryExposure::keyOf(const messages::Rollout& rollout) {
+std::string CanaryExposure::canaryKey(const messages::Rollout& rollout) {
     return rollout.service + "\n" + rollout.target;
 }
 
@@ -59,20 +62,20 @@
 }
 
 void CanaryExposure::setRollouts(std::vector<messages::Rollout> rollouts, const HostsByService& hosts,
-                                 std::size_t proxies, Nanos now, std::mt19937_64& chance) {
-    // At the first list a rollout may have been running, and granted its slack, before this proxy started.
-    const bool sinceItsOrder = std::exchange(known_, true);
+                                 std::size_t proxies, Nanos now, std::mt19937_64& random) {
+    // A rollout in the first list may have started, and used its slack, before this proxy started.
+    const bool observedFromStart = std::exchange(known_, true);
     rollouts_ = std::move(rollouts);
-    std::map<std::string, const messages::Rollout*> newest;  // a version may be ordered anew
-    for (const auto& rollout : rollouts_) newest[keyOf(rollout)] = &rollout;
+    std::map<std::string, const messages::Rollout*> newest;  // a version may be rolled out again
+    for (const auto& rollout : rollouts_) newest[canaryKey(rollout)] = &rollout;
     std::erase_if(canaries_, [&](const auto& canary) { return !newest.contains(canary.first); });
     for (const auto& rollout : rollouts_) {
         stableVersions_[rollout.service].erase(rollout.target);
-        if (newest.at(keyOf(rollout)) != &rollout) continue;
-        const auto& canary = canaries_[keyOf(rollout)];
-        // Ordered anew after it was turned back: what was counted then says nothing of what runs now.
+        if (newest.at(canaryKey(rollout)) != &rollout) continue;
+        const auto& canary = canaries_[canaryKey(rollout)];
+        // Rolled out again after a rollback: the earlier counts don't apply to the new rollout.
         if (!canary || (canary->ended && rollout.running()))
-            startCanary(rollout, sinceItsOrder, proxies, chance);
+            startCanary(rollout, observedFromStart, proxies, random);
         canary->ended = !rollout.running();
         if (rollout.stage == canary->stage) continue;
         canary->stage = rollout.stage;
@@ -81,43 +84,43 @@
     findStableVersions(hosts);
 }
 
-// The rule lets a few requests more than the share go to a canary over the whole fleet. Where few requests
-// come the share alone brings too few outcomes within a term. A grant of less than one is spread over the
-// proxies by chance.
-void CanaryExposure::startCanary(const messages::Rollout& rollout, bool sinceItsOrder, std::size_t proxies,
-                                 std::mt19937_64& chance) {
+// The limit allows a canary some requests beyond its share over the whole fleet. With little traffic the
+// share alone yields too few outcomes within a rollout's deadline. A grant of less than one request per proxy
+// is distributed randomly over the proxies.
+void CanaryExposure::startCanary(const messages::Rollout& rollout, bool observedFromStart,
+                                 std::size_t proxies, std::mt19937_64& random) {
     auto canary = std::make_shared<Canary>();
-    const double grant =
-        slack_ * kSlackPart / static_cast<double>(proxies) + static_cast<double>(chance() % 1000) / 1000;
-    if (sinceItsOrder && rollout.running()) canary->granted = std::floor(std::min(grant, kGrantMax));
-    canary->grantLeft = canary->granted;
-    canaries_[keyOf(rollout)] = std::move(canary);
+    const double grant = slack_ * kInitialSlackFraction / static_cast<double>(proxies) +
+                         static_cast<double>(random() % 1000) / 1000;
+    if (observedFromStart && rollout.running()) canary->granted = std::floor(std::min(grant, kMaxGrant));
+    canary->grantRemaining = canary->granted;
+    canaries_[canaryKey(rollout)] = std::move(canary);
 }
 
 void CanaryExposure::findStableVersions(const HostsByService& hosts) {
     for (auto& [service, versions] : stableVersions_) {
         if (!versions.empty()) continue;
-        const auto listed = hosts.find(service);
-        if (listed == hosts.end()) continue;
-        for (const auto& host : listed->second)
+        const auto serviceHosts = hosts.find(service);
+        if (serviceHosts == hosts.end()) continue;
+        for (const auto& host : serviceHosts->second)
             if (!hasRollout(service, host->endpoint.version)) versions.insert(host->endpoint.version);
     }
 }
 
-// A version that a rollout brought goes by the rollout's state; one that none brought serves only if it was
-// there first, and only until a completed rollout replaces it.
+// The role of a version with a rollout follows from the rollout's state. A version without one serves only if
+// it was listed first, and only until a completed rollout replaces it.
 VersionRole CanaryExposure::roleOf(const UpstreamHost& host) const {
     const auto& [service, version] = std::tie(host.endpoint.service, host.endpoint.version);
-    const messages::Rollout* own = nullptr;
+    const messages::Rollout* versionRollout = nullptr;
     const messages::Rollout* completed = nullptr;
     for (const auto& rollout : rollouts_) {
         if (rollout.service != service) continue;
-        if (rollout.target == version) own = &rollout;
+        if (rollout.target == version) versionRollout = &rollout;
         if (rollout.state == "completed" && (!completed || rollout.number > completed->number))
             completed = &rollout;
     }
-    if (own && own->running()) return VersionRole::canary;
-    if (own) return own == completed ? VersionRole::stable : VersionRole::none;
+    if (versionRollout && versionRollout->running()) return VersionRole::canary;
+    if (versionRollout) return versionRollout == completed ? VersionRole::stable : VersionRole::none;
     if (completed) return VersionRole::none;
     const auto stable = stableVersions_.find(service);
     return stable != stableVersions_.end() && stable->second.contains(version) ? VersionRole::stable
@@ -126,37 +129,37 @@
 
 // ---- Exposure. ----
 
-// A share that is spread over as many new hosts as there are old ones never loads one, and what fails only
-// under load would show with all traffic. So all proxies send it to the same few at a time, as many as it
-// loads like the rest.
+// Spread over as many new hosts as there are old ones, the share would load none of them, and a fault that
+// appears only under load would show up with all traffic. So all proxies send the share to the same few hosts
+// at a time: as many as it loads like the stable hosts.
 std::size_t CanaryExposure::focusSize(std::size_t hosts) const {
-    return static_cast<std::size_t>(std::ceil(static_cast<double>(hosts) * share_ * kSharePart));
+    return static_cast<std::size_t>(std::ceil(static_cast<double>(hosts) * share_ * kWatchedShareFraction));
 }
 
-// All requests for a moment, within what the share has left unused so far. What fails only under load shows
-// here, before the canary may have all traffic.
+// For a short time the canary receives all requests, within the unused part of its share. A fault that
+// appears only under load shows here, before the canary may receive all traffic.
 bool CanaryExposure::isFullTrafficTrial(const messages::Rollout& rollout, const Canary& canary,
                                         Nanos now) const {
-    return rollout.stage == verdict::fullTrafficTrial && now - canary.stageStarted < kFullTrialFor &&
-           canary.sent + 1 <= (canary.serviceSent + 1) * share_ * kFullTrialPart + canary.granted;
+    return rollout.stage == verdict::fullTrafficTrial && now - canary.stageStarted < kFullTrialDuration &&
+           canary.sent + 1 <= (canary.serviceSent + 1) * share_ * kFullTrialShareFraction + canary.granted;
 }
 
-// A request's part of the credit, and whether there is enough for one. The few hosts get what a stable host
-// gets: of the share, and of the grant what that lacks.
+// Adds one request's part to the credit; true if that pays for a request to the canary. The focus hosts
+// receive as much as a stable host: from the share, and the rest from the grant.
 bool CanaryExposure::takeCredit(Canary& canary, std::size_t hosts) const {
-    const double fair = static_cast<double>(focusSize(hosts)) / static_cast<double>(hosts);
-    const double steady = std::min(share_ * kSharePart, fair);
-    const double fromGrant = std::min(fair - steady, canary.grantLeft);
-    if (canary.credit < kCreditMax) {
-        canary.credit += steady + fromGrant;
-        canary.grantLeft -= fromGrant;
+    const double evenShare = static_cast<double>(focusSize(hosts)) / static_cast<double>(hosts);
+    const double shareCredit = std::min(share_ * kWatchedShareFraction, evenShare);
+    const double grantCredit = std::min(evenShare - shareCredit, canary.grantRemaining);
+    if (canary.credit < kMaxCredit) {
+        canary.credit += shareCredit + grantCredit;
+        canary.grantRemaining -= grantCredit;
     }
     if (canary.credit < 1) return false;
     canary.credit -= 1;
     return true;
 }
 
-// Two rollouts of one service are told apart: what one may have is not the other's.
+// Each rollout of a service has a share of its own.
 std::optional<CanaryChoice> CanaryExposure::choose(const std::string& service, const Candidates& candidates,
                                                    bool retry, Nanos now) {
     std::optional<CanaryChoice> choice;
@@ -171,7 +174,7 @@
                 ++available;
                 warm += isWarm(**host, now);
             }
-        if (canary.stoppedHere() || available == 0) continue;
+        if (canary.stoppedLocally() || available == 0) continue;
         const bool allTraffic =
             rollout.stage > verdict::fullTrafficTrial || isFullTrafficTrial(rollout, canary, now);
         if (allTraffic) {
@@ -184,17 +187,19 @@
     return choice;
 }
 
-// To others twice a second, as their latencies differ. Hosts whose outcomes do not count yet get none of it.
-void CanaryExposure::focus(Candidates& candidates, const std::string& version, Nanos now) const {
-    const auto both = {&candidates.ownZone, &candidates.otherZones};
+// The hosts change with each period, because their latencies differ. Hosts that are not warm get none of the
+// share: their outcomes don't count yet.
+void CanaryExposure::limitToFocusHosts(Candidates& candidates, const std::string& version, Nanos now) const {
+    const auto zoneLists = {&candidates.ownZone, &candidates.otherZones};
     const auto count = focusSize(candidates.ownZone.size() + candidates.otherZones.size());
     std::vector<std::string> ids;
-    for (auto* hosts : both) std::erase_if(*hosts, [&](const auto* host) { return !isWarm(**host, now); });
-    for (const auto* hosts : both)
+    for (auto* hosts : zoneLists)
+        std::erase_if(*hosts, [&](const auto* host) { return !isWarm(**host, now); });
+    for (const auto* hosts : zoneLists)
         for (const auto* host : *hosts) ids.push_back((*host)->endpoint.id);
-    const auto turn = (now + clockOffset_) / kFocusFor;
-    const auto chosen = hashing::rendezvousSelect(ids, version + std::to_string(turn), count);
-    for (auto* hosts : both)
+    const auto period = (now + clockOffset_) / kFocusPeriod;
+    const auto chosen = hashing::rendezvousSelect(ids, version + std::to_string(period), count);
+    for (auto* hosts : zoneLists)
         std::erase_if(*hosts, [&](const auto* host) {
             return std::find(chosen.begin(), chosen.end(), (*host)->endpoint.id) == chosen.end();
         });
@@ -209,15 +214,15 @@
         ++canaries_[host.endpoint.service + "\n" + host.endpoint.version]->sent;
 }
 
-void CanaryExposure::recordOutcome(const UpstreamHost& host, const config::Route& route, Nanos took,
+void CanaryExposure::recordOutcome(const UpstreamHost& host, const config::Route& route, Nanos elapsed,
                                    bool failed) {
     for (const auto& rollout : rollouts_) {
         if (rollout.service != host.endpoint.service || !rollout.running()) continue;
-        const bool fresh = rollout.target == host.endpoint.version;
-        if (!fresh && roleOf(host) != VersionRole::stable) continue;
+        const bool isCanary = rollout.target == host.endpoint.version;
+        if (!isCanary && roleOf(host) != VersionRole::stable) continue;
         auto& canary = canaryOf(rollout);
-        canary.totals[route.name][fresh ? 0 : 1].count(took, route.target, failed);
-        if (!fresh) continue;
+        canary.totals[route.name][isCanary ? 0 : 1].count(elapsed, route.target, failed);
+        if (!isCanary) continue;
         ++canary.outcomes;
         if (!failed) continue;
         ++canary.failures;
@@ -227,8 +232,8 @@
 
 const verdict::Totals& CanaryExposure::totals(const std::string& service, const std::string& version) const {
     static const verdict::Totals kNone;
-    const auto at = canaries_.find(service + "\n" + version);
-    return at == canaries_.end() ? kNone : at->second->totals;
+    const auto found = canaries_.find(service + "\n" + version);
+    return found == canaries_.end() ? kNone : found->second->totals;
 }
 
 }  // namespace lichenlanding::routing
--- a/src/routing/canary.hpp
+++ b/src/routing/canary.hpp
@@ -1,6 +1,7 @@
-/// EXPOSURE: which versions of a service take requests, how many a version in rollout (a canary) gets, and
-/// what its outcomes were. Pure: steady time in nanoseconds and chance come in as arguments. One thread, its
-/// owner's.
+/// Guarantee EXPOSURE: decides which versions of a service receive requests, limits the share of a version in
+/// rollout (a canary), and counts the outcomes of its attempts.
+///
+/// Pure: steady time in nanoseconds and the random generator are arguments. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -19,54 +20,56 @@
 
 using HostsByService = std::map<std::string, std::vector<std::shared_ptr<UpstreamHost>>>;
 
-/// What a host's version may take: nothing, ordinary requests, or a canary's share of them.
+/// What a host of this version may receive: nothing, ordinary requests, or a canary's share of them.
 enum class VersionRole { none, stable, canary };
 
 /// The canary version that the next attempt goes to.
 struct CanaryChoice {
     std::string version;
-    bool byShare = false;  ///< by its share alone: to the few hosts that focus() leaves
+    bool byShare = false;  ///< within its share only: restricted to the hosts of limitToFocusHosts()
 };
 
 class CanaryExposure {
   public:
-    /// A canary may get `share` of a service's requests over the whole fleet, and `slack` more in all.
+    /// Over the whole fleet, a canary may receive the fraction `share` of a service's requests plus `slack`
+    /// further requests in total.
     CanaryExposure(double share, double slack) : share_(share), slack_(slack) {}
 
-    /// Replaces the rollouts. `proxies` in the fleet share the slack of one that starts.
+    /// Replaces the rollouts. The slack of a starting rollout is divided among `proxies`, the fleet's
+    /// proxies.
     void setRollouts(std::vector<messages::Rollout> rollouts, const HostsByService& hosts,
-                     std::size_t proxies, Nanos now, std::mt19937_64& chance);
+                     std::size_t proxies, Nanos now, std::mt19937_64& random);
     const std::vector<messages::Rollout>& rollouts() const { return rollouts_; }
-    bool known() const { return known_; }  ///< rollouts have been set
-    /// A host that was not listed before: the version that is there first serves without a rollout.
+    bool known() const { return known_; }  ///< setRollouts() has been called
+    /// Called for each newly listed host. The first version listed for a service is stable without a rollout.
     void onHostAdded(const discovery::Endpoint& endpoint);
-    /// To be added to `now` for a time that all proxies have much alike.
+    /// Offset to add to `now` for a time that is about the same at all proxies.
     void setSharedClockOffset(Nanos offset) { clockOffset_ = offset; }
 
     VersionRole roleOf(const UpstreamHost& host) const;
-    /// The canary that the next attempt of a request of `service` goes to, if it goes to one; spends its
-    /// credit. `candidates`: the canaries' hosts; `retry`: the request has been sent to a host already.
+    /// The canary that receives the next attempt of a request to `service`, if any; spends its credit.
+    /// `candidates`: the canaries' hosts; `retry`: the request has already been sent to a host.
     std::optional<CanaryChoice> choose(const std::string& service, const Candidates& candidates, bool retry,
                                        Nanos now);
-    /// Leaves the few hosts of the canary `version` that its share goes to at present.
-    void focus(Candidates& candidates, const std::string& version, Nanos now) const;
+    /// Keeps only the few hosts of the canary `version` that receive its share in the current period.
+    void limitToFocusHosts(Candidates& candidates, const std::string& version, Nanos now) const;
 
-    /// An attempt of a request of `service` starts at `host`.
+    /// Counts an attempt of a request to `service` that starts at `host`.
     void onAttemptStarted(const std::string& service, const UpstreamHost& host);
-    /// An attempt at `host` that may have been executed has ended after `took`.
-    void recordOutcome(const UpstreamHost& host, const config::Route& route, Nanos took, bool failed);
+    /// Counts an attempt at `host` that may have been executed and ended after `elapsed`.
+    void recordOutcome(const UpstreamHost& host, const config::Route& route, Nanos elapsed, bool failed);
 
-    /// Outcomes of a running rollout, for the voters.
+    /// The outcomes of a running rollout, for the voters.
     const verdict::Totals& totals(const std::string& service, const std::string& version) const;
-    std::uint64_t failures() const { return failures_; }  ///< of canaries, over all rollouts
+    std::uint64_t failures() const { return failures_; }  ///< failed attempts at canaries, over all rollouts
 
   private:
     struct Canary;
 
-    Canary& canaryOf(const messages::Rollout& rollout) { return *canaries_.at(keyOf(rollout)); }
-    static std::string keyOf(const messages::Rollout& rollout);
-    void startCanary(const messages::Rollout& rollout, bool sinceItsOrder, std::size_t proxies,
-                     std::mt19937_64& chance);
+    Canary& canaryOf(const messages::Rollout& rollout) { return *canaries_.at(canaryKey(rollout)); }
+    static std::string canaryKey(const messages::Rollout& rollout);
+    void startCanary(const messages::Rollout& rollout, bool observedFromStart, std::size_t proxies,
+                     std::mt19937_64& random);
     void findStableVersions(const HostsByService& hosts);
     bool hasRollout(const std::string& service, const std::string& version) const;
     std::size_t focusSize(std::size_t hosts) const;
@@ -76,8 +79,9 @@
     double share_, slack_;
     bool known_ = false;
     std::vector<messages::Rollout> rollouts_;
-    std::map<std::string, std::shared_ptr<Canary>> canaries_;      // by service and version
-    std::map<std::string, std::set<std::string>> stableVersions_;  // that no rollout brought, by service
+    std::map<std::string, std::shared_ptr<Canary>> canaries_;  // by service and version
+    std::map<std::string, std::set<std::string>>
+        stableVersions_;  // by service: versions that serve without a rollout
     Nanos clockOffset_ = 0;
     std::uint64_t failures_ = 0;
 };
--- a/src/routing/hedge_policy.cpp
+++ b/src/routing/hedge_policy.cpp
@@ -6,45 +6,49 @@
 namespace {
 
 constexpr Nanos kMillisecond = 1'000'000;
-constexpr double kAfterUsualTimes = 2.3;             // a hedged request is due after so many usual times
-constexpr double kAfterTargetPart = 0.6;             // or so much of the route's target latency
-constexpr Nanos kCheckAgainMin = 50 * kMillisecond;  // after a hedged request that was not to be had
-constexpr double kUsualWeight = 0.15;                // of the newest answer in the usual time
-constexpr double kTargetDivisor = 3;                 // of the target: the usual time before any answer
-
-double initialUsualTime(const config::Route& route) {
-    return static_cast<double>(route.target) / kTargetDivisor;
+// Times the typical latency until a hedged request is due.
+constexpr double kHedgeAfterTypicalLatencies = 2.3;
+// Or this fraction of the route's target latency, if sooner.
+constexpr double kHedgeAfterTargetFraction = 0.6;
+constexpr Nanos kMinRecheckDelay = 50 * kMillisecond;  // after a hedged request that could not be sent
+constexpr double kLatencyWeight = 0.15;                // of the newest success in the moving average
+constexpr double kInitialTargetDivisor = 3;  // typical latency before the first success: target / this
+
+double initialTypicalLatency(const config::Route& route) {
+    return static_cast<double>(route.target) / kInitialTargetDivisor;
 }
 
 }  // namespace
 
 Nanos HedgePolicy::hedgeAt(const config::Route& route, Nanos deadline, Nanos sentAt) const {
     if (!route.repeatable) return deadline;
-    const auto usual = usualTimes_.find(route.name);
+    const auto typical = typicalLatencies_.find(route.name);
     const auto target = static_cast<double>(route.target);
-    const double after = std::min(usual == usualTimes_.end() ? target : kAfterUsualTimes * usual->second,
-                                  kAfterTargetPart * target);
-    return std::min(deadline, sentAt + static_cast<Nanos>(after));
+    const double delay =
+        std::min(typical == typicalLatencies_.end() ? target : kHedgeAfterTypicalLatencies * typical->second,
+                 kHedgeAfterTargetFraction * target);
+    return std::min(deadline, sentAt + static_cast<Nanos>(delay));
 }
 
 Nanos HedgePolicy::nextCheckAt(const config::Route& route, Nanos deadline, Nanos now) const {
     if (!route.repeatable) return deadline;
-    return std::min(deadline, now + std::max(static_cast<Nanos>(usualTime(route) / 2), kCheckAgainMin));
+    return std::min(deadline,
+                    now + std::max(static_cast<Nanos>(typicalLatency(route) / 2), kMinRecheckDelay));
 }
 
-double HedgePolicy::usualTime(const config::Route& route) const {
-    const auto at = usualTimes_.find(route.name);
-    return at == usualTimes_.end() ? initialUsualTime(route) : at->second;
+double HedgePolicy::typicalLatency(const config::Route& route) const {
+    const auto found = typicalLatencies_.find(route.name);
+    return found == typicalLatencies_.end() ? initialTypicalLatency(route) : found->second;
 }
 
-double HedgePolicy::ratioToUsual(const config::Route& route, Nanos took) const {
-    return static_cast<double>(took) / usualTime(route);
+double HedgePolicy::ratioToTypical(const config::Route& route, Nanos elapsed) const {
+    return static_cast<double>(elapsed) / typicalLatency(route);
 }
 
-double HedgePolicy::record(const config::Route& route, Nanos took) {
-    auto& usual = usualTimes_.try_emplace(route.name, initialUsualTime(route)).first->second;
-    const double ratio = static_cast<double>(took) / usual;
-    usual += kUsualWeight * (static_cast<double>(took) - usual);
+double HedgePolicy::record(const config::Route& route, Nanos elapsed) {
+    auto& typical = typicalLatencies_.try_emplace(route.name, initialTypicalLatency(route)).first->second;
+    const double ratio = static_cast<double>(elapsed) / typical;
+    typical += kLatencyWeight * (static_cast<double>(elapsed) - typical);
     return ratio;
 }
 
--- a/src/routing/hedge_policy.hpp
+++ b/src/routing/hedge_policy.hpp
@@ -1,5 +1,6 @@
-/// When a hedged request beside one in flight is worth it, by what answers on the route usually take. Pure:
-/// times are steady nanoseconds. One thread, its owner's.
+/// Decides when to send a hedged request beside one in flight, by the typical latency of the route.
+///
+/// Pure: times are steady nanoseconds. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -11,20 +12,21 @@
 
 class HedgePolicy {
   public:
-    /// When a hedged request is due for a repeatable request sent at `sentAt`; never after the deadline.
+    /// When a hedged request is due for a request sent at `sentAt`; `deadline` if the route is not
+    /// repeatable. Never after `deadline`.
     Nanos hedgeAt(const config::Route& route, Nanos deadline, Nanos sentAt) const;
-    /// When to ask again, where a hedged request was due and could not be had.
+    /// When to check again after a hedged request was due but could not be sent.
     Nanos nextCheckAt(const config::Route& route, Nanos deadline, Nanos now) const;
-    /// A success took `took`: it counts in the route's usual time. Returns `took` against that time as it was
+    /// Adds the latency of a success to the route's typical latency. Returns its ratio to the typical latency
     /// before.
-    double record(const config::Route& route, Nanos took);
-    /// `took` against the route's usual time.
-    double ratioToUsual(const config::Route& route, Nanos took) const;
+    double record(const config::Route& route, Nanos elapsed);
+    /// The ratio of `elapsed` to the route's typical latency.
+    double ratioToTypical(const config::Route& route, Nanos elapsed) const;
 
   private:
-    double usualTime(const config::Route& route) const;
+    double typicalLatency(const config::Route& route) const;
 
-    std::map<std::string, double> usualTimes_;  // by route, ns
+    std::map<std::string, double> typicalLatencies_;  // by route; nanoseconds
 };
 
 }  // namespace lichenlanding::routing
--- a/src/routing/host_selection.hpp
+++ b/src/routing/host_selection.hpp
@@ -1,5 +1,6 @@
-/// Which of the candidates gets an attempt: the cheapest of a few drawn at random, by latency, load and zone.
-/// Pure: times are steady nanoseconds, chance comes in as an argument. One thread, its owner's.
+/// Selects the host for an attempt: the cheapest of a few random candidates, by latency, load and zone.
+///
+/// Pure: times are steady nanoseconds; the random generator is an argument. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -15,12 +16,12 @@
     explicit HostSelection(std::string ownZone) : ownZone_(std::move(ownZone)) {}
 
     const std::string& ownZone() const { return ownZone_; }
-    /// A host's word on its load: requests that it runs, and that wait there.
+    /// Records a host's load report: the requests that it executes and those that wait there.
     void onLoadReport(UpstreamHost& host, int running, int waiting, Nanos now);
-    /// Two drawn of the own zone and one elsewhere (two where the own zone has none); a host that is backed
-    /// off only where there is no other. Null where there are no candidates.
+    /// The cheapest of two random hosts of this proxy's zone and one of other zones (two if its own zone has
+    /// none). Hosts in backoff are considered only if there are no others. Null without candidates.
     std::shared_ptr<UpstreamHost> select(const Candidates& candidates, Nanos now,
-                                         std::mt19937_64& chance) const;
+                                         std::mt19937_64& random) const;
 
   private:
     double cost(const UpstreamHost& host, Nanos now) const;
@@ -28,7 +29,7 @@
 
     std::string ownZone_;
     std::map<std::pair<std::string, std::string>, double>
-        usualWaits_;  // by service and zone, in usual answers
+        typicalWaits_;  // queueing wait by service and zone, in multiples of the typical latency
 };
 
 }  // namespace lichenlanding::routing
--- a/src/routing/host_subset.cpp
+++ b/src/routing/host_subset.cpp
@@ -7,8 +7,8 @@
 namespace lichenlanding::routing {
 namespace {
 
-constexpr std::size_t kProxiesPerHost = 8;  // that prefer it, about
-constexpr std::size_t kSubsetMin = 12;      // so that a few lost hosts leave choice
+constexpr std::size_t kProxiesPerHost = 8;  // target for the proxies that prefer one host
+constexpr std::size_t kMinSubsetSize = 12;  // leaves a choice when a few hosts are lost
 
 }  // namespace
 
@@ -16,10 +16,10 @@
 
 void HostSubset::markPreferred(std::vector<std::shared_ptr<UpstreamHost>> hosts, std::size_t proxies) {
     const auto wanted = hosts.size() * kProxiesPerHost / std::max<std::size_t>(proxies, 1);
-    const auto count = std::min(std::max(wanted, kSubsetMin), hosts.size());
+    const auto count = std::min(std::max(wanted, kMinSubsetSize), hosts.size());
     std::sort(hosts.begin(), hosts.end(),
-              [](const auto& one, const auto& other) { return one->subsetRank < other->subsetRank; });
-    for (std::size_t at = 0; at < hosts.size(); ++at) hosts[at]->preferred = at < count;
+              [](const auto& left, const auto& right) { return left->subsetRank < right->subsetRank; });
+    for (std::size_t index = 0; index < hosts.size(); ++index) hosts[index]->preferred = index < count;
 }
 
 }  // namespace lichenlanding::routing
--- a/src/routing/host_subset.hpp
+++ b/src/routing/host_subset.hpp
@@ -1,6 +1,8 @@
-/// The subset of a zone's hosts that one proxy prefers, so that in a large fleet each host is met by a few
-/// proxies alone: their connections are used again before they idle out, and what a proxy hears of a host's
-/// load is of use to its next requests. Pure. One thread, its owner's.
+/// The subset of a zone's hosts that one proxy prefers. In a large fleet only a few proxies then use a host:
+/// they reuse connections before these idle out, and a host's load report is still recent at their next
+/// request.
+///
+/// Pure. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +12,8 @@
 
 namespace lichenlanding::routing {
 
-/// Ranks by rendezvous hashing of proxy and host: a subset changes only by hosts that come or go, and one of
-/// another size is a part of it or holds it. Small fleets prefer all hosts.
+/// Ranks hosts by rendezvous hashing of proxy and host: a subset changes only by hosts that are added or
+/// removed, and a smaller subset is part of a larger one. In small fleets all hosts are preferred.
 class HostSubset {
   public:
     explicit HostSubset(std::string proxy) : proxy_(std::move(proxy)) {}
@@ -19,7 +21,7 @@
     /// The host's rank for this proxy; lower is preferred.
     std::uint64_t rankOf(const std::string& hostId) const;
 
-    /// Marks which of one zone's hosts of one service are preferred, where `proxies` proxies share them.
+    /// Sets `preferred` of the hosts of one service in one zone, which `proxies` proxies share.
     static void markPreferred(std::vector<std::shared_ptr<UpstreamHost>> hosts, std::size_t proxies);
 
   private:
--- a/src/routing/retry_budget.cpp
+++ b/src/routing/retry_budget.cpp
@@ -6,13 +6,14 @@
 namespace {
 
 constexpr Nanos kSecond = 1'000'000'000;
-constexpr double kFleetPart = 0.85;  // of the fleet's budget that proxies spend, each its own share of it
-constexpr double kHedgePart = 0.5;   // of a proxy's share, which hedged requests may take
-constexpr Nanos kSettleFor = 2 * kSecond;  // after a start, until the others that start as well are known
+constexpr double kUsableFleetFraction = 0.85;  // of the fleet's budget that the proxies may spend together
+constexpr double kHedgeFraction = 0.5;         // of a proxy's share that is open to hedged requests
+// After a start, until other proxies that start as well are known.
+constexpr Nanos kStartupDelay = 2 * kSecond;
 
 }  // namespace
 
-RetryBudget::Counts& RetryBudget::Window::at(Nanos now) {
+RetryBudget::Counts& RetryBudget::Window::countsAt(Nanos now) {
     const Nanos second = now / kSecond;
     if (newest_ == 0 || second - newest_ > static_cast<Nanos>(kSeconds)) {
         seconds_ = {};
@@ -22,14 +23,14 @@
     return seconds_[static_cast<std::size_t>(newest_) % kSeconds];
 }
 
-// Of the oldest second, which the window covers in part, the retries count and the requests don't.
+// The window covers its oldest second only in part: that second's retries count, its requests don't.
 RetryBudget::Counts RetryBudget::Window::sum(Nanos now, Nanos window) {
-    at(now);
+    countsAt(now);
     Counts sum;
     const auto count = std::min<Nanos>(window / kSecond, kSeconds - 1);
-    for (Nanos back = 0; back <= count && back <= newest_; ++back) {
-        const auto& counts = seconds_[static_cast<std::size_t>(newest_ - back) % kSeconds];
-        if (back < count) sum.requests += counts.requests;
+    for (Nanos age = 0; age <= count && age <= newest_; ++age) {
+        const auto& counts = seconds_[static_cast<std::size_t>(newest_ - age) % kSeconds];
+        if (age < count) sum.requests += counts.requests;
         sum.retries += counts.retries;
     }
     return sum;
@@ -41,31 +42,31 @@
     recentCounts_.emplace_back(now, proxies_);
 }
 
-// Among how many proxies the slack is shared. After a loss of many, or at a start, the others are on their
-// way back and will count on their part of the same window: the most that were known within it.
-std::size_t RetryBudget::sharedBy(Nanos now) const {
-    std::size_t most = 1;
-    for (std::size_t at = 0; at < recentCounts_.size(); ++at)
-        if (at + 1 == recentCounts_.size() || now - recentCounts_[at + 1].first <= window_)
-            most = std::max(most, recentCounts_[at].second);
-    return most;
+// The number of proxies that share the slack: the highest number known within the window. After the loss of
+// many proxies, or at a start, the others may come back and use their share of the same window.
+std::size_t RetryBudget::proxiesSharingSlack(Nanos now) const {
+    std::size_t highest = 1;
+    for (std::size_t index = 0; index < recentCounts_.size(); ++index)
+        if (index + 1 == recentCounts_.size() || now - recentCounts_[index + 1].first <= window_)
+            highest = std::max(highest, recentCounts_[index].second);
+    return highest;
 }
 
 void RetryBudget::countRequest(const std::string& service, Nanos now) {
-    windows_[service].at(now).requests += 1;
+    windows_[service].countsAt(now).requests += 1;
 }
 
 void RetryBudget::countRetry(const std::string& service, Nanos now) {
-    windows_[service].at(now).retries += 1;
+    windows_[service].countsAt(now).retries += 1;
 }
 
 bool RetryBudget::allows(const std::string& service, bool hedged, Nanos now) {
     const auto counts = windows_[service].sum(now, window_);
-    // At a start nobody knows yet among how many the slack is shared.
-    const bool settled = !recentCounts_.empty() && now - recentCounts_.front().first >= kSettleFor;
-    const double slack = settled ? slack_ / static_cast<double>(sharedBy(now)) : 0;
-    const double allowed = (ratio_ * counts.requests + slack) * kFleetPart;
-    return counts.retries + 1 <= allowed * (hedged ? kHedgePart : 1);
+    // Shortly after a start the number of proxies that share the slack is not known yet.
+    const bool settled = !recentCounts_.empty() && now - recentCounts_.front().first >= kStartupDelay;
+    const double slack = settled ? slack_ / static_cast<double>(proxiesSharingSlack(now)) : 0;
+    const double allowed = (ratio_ * counts.requests + slack) * kUsableFleetFraction;
+    return counts.retries + 1 <= allowed * (hedged ? kHedgeFraction : 1);
 }
 
 }  // namespace lichenlanding::routing
--- a/src/routing/retry_budget.hpp
+++ b/src/routing/retry_budget.hpp
@@ -1,6 +1,7 @@
-/// BUDGET: how many attempts beyond the first of their requests this proxy may send: its part of the fleet's
-/// budget, by service, over a window. Pure: steady time in nanoseconds comes in as an argument. One thread,
-/// its owner's.
+/// Guarantee BUDGET: limits the retries and hedged requests of this proxy to its part of the fleet's budget,
+/// by service, over a sliding window.
+///
+/// Pure: steady time in nanoseconds is an argument. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -15,16 +16,16 @@
 
 class RetryBudget {
   public:
-    /// Over `window`, the fleet may send `ratio` retries a request, and `slack` more.
+    /// Within `window`, the fleet may send `ratio` retries per request, plus `slack` retries.
     RetryBudget(double ratio, double slack, Nanos window) : ratio_(ratio), slack_(slack), window_(window) {}
 
-    /// So many proxies (1 or more) are known, this one among them.
+    /// Sets the number of known proxies, including this one.
     void setProxyCount(std::size_t proxies, Nanos now);
     std::size_t proxyCount() const { return proxies_; }
 
     void countRequest(const std::string& service, Nanos now);
     void countRetry(const std::string& service, Nanos now);
-    /// Whether one more retry is within the budget; `hedged`: it goes beside an attempt that is in flight.
+    /// Whether the budget allows one more retry; `hedged`: it is sent while another attempt is in flight.
     bool allows(const std::string& service, bool hedged, Nanos now);
 
   private:
@@ -32,25 +33,26 @@
         double requests = 0;
         double retries = 0;
     };
-    // Counts by second, as far back as a window may reach.
+    // Counts per second, as far back as a window can reach.
     class Window {
       public:
-        Counts& at(Nanos now);
+        Counts& countsAt(Nanos now);
         Counts sum(Nanos now, Nanos window);
 
       private:
         static constexpr std::size_t kSeconds = 32;
         std::array<Counts, kSeconds> seconds_{};
-        Nanos newest_ = 0;  // the second of the newest counts; 0: none
+        Nanos newest_ = 0;  // the second of the newest counts; 0: no counts yet
     };
 
-    std::size_t sharedBy(Nanos now) const;
+    std::size_t proxiesSharingSlack(Nanos now) const;
 
     double ratio_, slack_;
     Nanos window_;
     std::size_t proxies_ = 1;
-    std::deque<std::pair<Nanos, std::size_t>> recentCounts_;  // of proxies, and since when; over a window
-    std::map<std::string, Window> windows_;                   // by service
+    // Numbers of proxies, each with its start time, within a window.
+    std::deque<std::pair<Nanos, std::size_t>> recentCounts_;
+    std::map<std::string, Window> windows_;  // by service
 };
 
 }  // namespace lichenlanding::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -8,20 +8,21 @@
 namespace {
 
 constexpr Nanos kMillisecond = 1'000'000;
-constexpr Nanos kLeastTimeLeft = 15 * kMillisecond;  // with less an attempt is pointless
-constexpr std::int64_t kUnreachedMore = 2;  // attempts beyond max_attempts, where hosts are not reached
-constexpr Nanos kRetryAfter = 150 * kMillisecond;  // told with 503
-constexpr double kConnectionsPart = 0.8;           // of a host's connections, that proxies share
-constexpr double kDefaultConnections = 2;  // at one proxy, where the configuration has no such service
-constexpr int kLeastConnections = 2;
-constexpr int kLeastToPreferred = 4;  // to a host of this proxy's subset, which few others meet
+constexpr Nanos kMinTimeLeft = 15 * kMillisecond;    // with less an attempt cannot succeed
+constexpr std::int64_t kExtraUnreachedAttempts = 2;  // attempts beyond max_attempts if hosts are unreachable
+constexpr Nanos kRetryAfter = 150 * kMillisecond;    // sent with 503
+constexpr double kUsableConnectionsFraction = 0.8;   // of a host's max_connections that the proxies share
+constexpr double kDefaultConnections = 2;  // per proxy, if the configuration does not have the service
+constexpr int kMinConnections = 2;
+// To a host of this proxy's subset, which few other proxies use.
+constexpr int kMinConnectionsToPreferred = 4;
 
 bool isFailure(AttemptEvent end, int status) {
     return end == AttemptEvent::connectionLost || end == AttemptEvent::malformed ||
            end == AttemptEvent::timedOut || (end == AttemptEvent::answered && status >= 500);
 }
 
-void keepVersion(Candidates& candidates, const std::string& version) {
+void keepOnlyVersion(Candidates& candidates, const std::string& version) {
     for (auto* hosts : {&candidates.ownZone, &candidates.ownZoneRest, &candidates.otherZones})
         std::erase_if(*hosts, [&](const auto* host) { return (*host)->endpoint.version != version; });
 }
@@ -29,13 +30,13 @@
 }  // namespace
 
 Router::Router(const config::BootstrapSettings& settings, std::uint64_t seed)
-    : chance_(seed),
+    : random_(seed),
       retryBudget_(settings.retryBudgetRatio, settings.retrySlack, settings.retryBudgetWindow),
       canaries_(settings.exposureShare, settings.exposureSlack),
       selection_(settings.zone),
       subset_(settings.name) {}
 
-// ---- What is known. ----
+// ---- Configuration, proxies, endpoints and rollouts. ----
 
 void Router::setConfiguration(std::shared_ptr<const config::Configuration> configuration) {
     if (configuration_ && configuration->version <= configuration_->version) return;
@@ -49,34 +50,34 @@
 
 void Router::applyEndpointEvent(const discovery::EndpointEvent& event, Nanos now) {
     const auto& endpoint = event.endpoint;
-    auto at = hosts_.find(endpoint.id);
+    auto known = hosts_.find(endpoint.id);
     if (event.removed) {
-        if (at == hosts_.end()) return;
-        at->second->gone = true;
+        if (known == hosts_.end()) return;
+        known->second->gone = true;
         subsetsStale_ = true;
-        std::erase(hostsByService_[at->second->endpoint.service], at->second);
-        hosts_.erase(at);
+        std::erase(hostsByService_[known->second->endpoint.service], known->second);
+        hosts_.erase(known);
         return;
     }
-    if (at == hosts_.end()) {
+    if (known == hosts_.end()) {
         auto host = std::make_shared<UpstreamHost>();
         host->endpoint = endpoint;
         host->firstSeen = now;
         host->slowStartUntil = now + endpoint.warmup;
         host->subsetRank = subset_.rankOf(endpoint.id);
         subsetsStale_ = true;
-        at = hosts_.emplace(endpoint.id, host).first;
+        known = hosts_.emplace(endpoint.id, host).first;
         hostsByService_[endpoint.service].push_back(host);
         canaries_.onHostAdded(endpoint);
     }
-    at->second->endpoint.draining = endpoint.draining;
+    known->second->endpoint.draining = endpoint.draining;
 }
 
 void Router::setRollouts(std::vector<messages::Rollout> rollouts, Nanos now) {
-    canaries_.setRollouts(std::move(rollouts), hostsByService_, retryBudget_.proxyCount(), now, chance_);
+    canaries_.setRollouts(std::move(rollouts), hostsByService_, retryBudget_.proxyCount(), now, random_);
 }
 
-// ---- A request and its attempts. ----
+// ---- Requests and their attempts. ----
 
 bool Router::startRequest(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
                           Nanos clientTimeout) {
@@ -84,7 +85,7 @@
     if (!request.route) return false;
     const auto& route = *request.route;
     request.service = route.serviceForDraw(
-        static_cast<std::int64_t>(chance_() % static_cast<std::uint64_t>(route.totalWeight)));
+        static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(route.totalWeight)));
     request.arrived = now;
     request.deadline = now + std::min(clientTimeout, route.timeout);
     retryBudget_.countRequest(request.service, now);
@@ -93,14 +94,14 @@
 
 bool Router::mayAttemptAgain(const RoutedRequest& request, Nanos now) const {
     const auto& [attempts, route] = std::tie(request.attempts, *request.route);
-    // A host that was not reached was not sent it; but a request is not held for long over such hosts.
+    // Unreachable hosts don't count as attempts, but only a few of them are tried for one request.
     return mayAttempt(attempts, route.repeatable) &&
            static_cast<std::int64_t>(possibleArrivals(attempts)) < route.maxAttempts &&
-           static_cast<std::int64_t>(attempts.size()) < route.maxAttempts + kUnreachedMore &&
-           request.deadline - now > kLeastTimeLeft;
+           static_cast<std::int64_t>(attempts.size()) < route.maxAttempts + kExtraUnreachedAttempts &&
+           request.deadline - now > kMinTimeLeft;
 }
 
-// Proxies are taken to be spread over the zones as hosts are.
+// Assumes that the proxies are distributed over the zones like the hosts.
 void Router::updateSubsets() {
     if (!std::exchange(subsetsStale_, false)) return;
     for (const auto& [_, hosts] : hostsByService_) {
@@ -113,8 +114,8 @@
     }
 }
 
-// DRAIN, ROUTE: hosts that the request has not been sent to, which neither leave nor have a version that
-// takes none.
+// Guarantees DRAIN and ROUTE: only hosts that are not draining, whose version may receive requests, and that
+// the request has not been sent to yet.
 Router::CandidatesByRole Router::candidatesFor(const RoutedRequest& request, Nanos now) const {
     CandidatesByRole candidates;
     const auto hosts = hostsByService_.find(request.service);
@@ -125,38 +126,38 @@
         const bool tried = std::any_of(request.attempts.begin(), request.attempts.end(),
                                        [&](const auto& attempt) { return attempt->host() == host; });
         if (tried) continue;
-        auto& ofRole = role == VersionRole::canary ? candidates.canary : candidates.stable;
-        const bool anyOfZone = host->preferred || role == VersionRole::canary;
-        auto& list = !isAvailable(*host, now)                      ? ofRole.backedOff
-                     : host->endpoint.zone != selection_.ownZone() ? ofRole.otherZones
-                     : anyOfZone                                   ? ofRole.ownZone
-                                                                   : ofRole.ownZoneRest;
+        auto& roleCandidates = role == VersionRole::canary ? candidates.canary : candidates.stable;
+        const bool usableInOwnZone = host->preferred || role == VersionRole::canary;
+        auto& list = !isAvailable(*host, now)                      ? roleCandidates.backedOff
+                     : host->endpoint.zone != selection_.ownZone() ? roleCandidates.otherZones
+                     : usableInOwnZone                             ? roleCandidates.ownZone
+                                                                   : roleCandidates.ownZoneRest;
         list.push_back(&host);
     }
     return candidates;
 }
 
-// Where none of a canary's hosts can take it, a stable one that is backed off is the last resort.
+// If no host of the canary is available, stable hosts in backoff are the last resort.
 std::shared_ptr<UpstreamHost> Router::selectHost(const RoutedRequest& request, bool retry, Nanos now) {
     updateSubsets();
     auto candidates = candidatesFor(request, now);
     const auto canary = canaries_.choose(request.service, candidates.canary, retry, now);
-    if (!canary) return selection_.select(candidates.stable, now, chance_);
-    keepVersion(candidates.canary, canary->version);
+    if (!canary) return selection_.select(candidates.stable, now, random_);
+    keepOnlyVersion(candidates.canary, canary->version);
     candidates.canary.backedOff = candidates.stable.backedOff;
-    if (canary->byShare) canaries_.focus(candidates.canary, canary->version, now);
-    return selection_.select(candidates.canary, now, chance_);
+    if (canary->byShare) canaries_.limitToFocusHosts(candidates.canary, canary->version, now);
+    return selection_.select(candidates.canary, now, random_);
 }
 
 std::shared_ptr<Attempt> Router::nextAttempt(RoutedRequest& request, Nanos now) {
     if (!mayAttemptAgain(request, now)) return nullptr;
-    // BUDGET: any arrival past a request's first is paid for before it is sent.
+    // Guarantee BUDGET: every attempt after the first that may have arrived is charged before it is sent.
     const bool retry = possibleArrivals(request.attempts) > 0;
     const bool hedged = inFlight(request.attempts) > 0;
     if (retry && !retryBudget_.allows(request.service, hedged, now)) return nullptr;
     const auto host = selectHost(request, retry, now);
     if (!host) return nullptr;
-    // Only what is sent counts as traffic of which a canary has its share.
+    // A canary's share is computed from attempts that are actually sent.
     canaries_.onAttemptStarted(request.service, *host);
     if (retry) retryBudget_.countRetry(request.service, now);
     onAttemptStarted(*host, now);
@@ -177,18 +178,19 @@
 }
 
 void Router::onAttemptEnded(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status,
-                            Nanos took, Nanos now) {
+                            Nanos elapsed, Nanos now) {
     attempt.apply(end);
     auto& host = *attempt.host();
     const auto& route = *request.route;
     routing::onAttemptEnded(host, end, now);
-    if (end == AttemptEvent::answered && status < 300) recordLatency(host, hedging_.record(route, took), now);
+    if (end == AttemptEvent::answered && status < 300)
+        recordLatency(host, hedging_.record(route, elapsed), now);
     if (attempt.state() != AttemptState::knownNotExecuted && end == AttemptEvent::cancelled)
-        recordLatencyAtLeast(host, hedging_.ratioToUsual(route, took), now);
-    // A cancelled attempt counts with the time that it had: clients leave versions alike, and the answer of
-    // the slower one is the rarer before that.
+        recordLatencyAtLeast(host, hedging_.ratioToTypical(route, elapsed), now);
+    // A cancelled attempt counts with the time until then: clients cancel regardless of the version, and a
+    // slower version has answered fewer of them by then.
     if (attempt.state() == AttemptState::knownNotExecuted || !isWarm(host, now)) return;
-    canaries_.recordOutcome(host, route, took, isFailure(end, status));
+    canaries_.recordOutcome(host, route, elapsed, isFailure(end, status));
 }
 
 LocalReply Router::localReply(const RoutedRequest& request) const {
@@ -201,11 +203,11 @@
 
 int Router::maxConnections(const UpstreamHost& host) const {
     const auto* service = configuration_ ? configuration_->findService(host.endpoint.service) : nullptr;
-    const double share = service ? static_cast<double>(service->maxConnections) * kConnectionsPart /
+    const double share = service ? static_cast<double>(service->maxConnections) * kUsableConnectionsFraction /
                                        static_cast<double>(retryBudget_.proxyCount())
                                  : kDefaultConnections;
-    const int least = host.preferred ? kLeastToPreferred : kLeastConnections;
-    return std::max(least, static_cast<int>(share));
+    const int minimum = host.preferred ? kMinConnectionsToPreferred : kMinConnections;
+    return std::max(minimum, static_cast<int>(share));
 }
 
 const verdict::Totals& Router::totals(const std::string& service, const std::string& target) const {
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -1,8 +1,8 @@
-/// Where a request goes, and what its response promises. Every attempt is asked for here, and every local
-/// reply after attempts is chosen here: one place for each rule.
+/// Routes requests: selects the host of every attempt and, after the attempts, the local reply. Each rule for
+/// retries, canaries and replies is applied here only.
 ///
-/// Pure: times (steady nanoseconds) come in as arguments, chance from a seed. The caller owns the sockets.
-/// One thread.
+/// Pure: times (steady nanoseconds) are arguments, the random generator is seeded. The caller owns the
+/// sockets. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -24,12 +24,13 @@
 
 namespace lichenlanding::routing {
 
-/// One request of a client, on its way.
+/// A client's request while it is being routed.
 struct RoutedRequest {
-    const config::Route* route = nullptr;  ///< of the configuration at startRequest(), which the caller keeps
+    /// Points into the configuration at startRequest(), which the caller keeps alive.
+    const config::Route* route = nullptr;
     std::string service;
     Nanos arrived = 0;
-    Nanos deadline = 0;  ///< the client's, or the route's timeout if that is sooner
+    Nanos deadline = 0;  ///< the client's deadline or the route's timeout, whichever is sooner
     Attempts attempts;
 };
 
@@ -37,47 +38,51 @@
   public:
     Router(const config::BootstrapSettings& settings, std::uint64_t seed);
 
-    /// CONFIG: a version that is not higher than the present one changes nothing.
+    /// Ignores a configuration whose version is not higher than the current one (guarantee CONFIG).
     void setConfiguration(std::shared_ptr<const config::Configuration> configuration);
     const std::shared_ptr<const config::Configuration>& configuration() const { return configuration_; }
     void applyEndpointEvent(const discovery::EndpointEvent& event, Nanos now);
-    /// So many proxies are known, this one among them. Shares of what the fleet may spend shrink at once, and
-    /// grow only when fewer have been known over a whole window.
+    /// Sets the number of known proxies, including this one. This proxy's shares of fleet-wide budgets shrink
+    /// at once when the number rises; its share of the retry slack grows only after a whole window with fewer
+    /// proxies.
     void setProxyCount(std::size_t proxies, Nanos now);
     void setRollouts(std::vector<messages::Rollout> rollouts, Nanos now);
     const std::vector<messages::Rollout>& rollouts() const { return canaries_.rollouts(); }
-    /// To be added to `now` for a time that all proxies have much alike.
+    /// Offset to add to `now` for a time that is about the same at all proxies.
     void setSharedClockOffset(Nanos offset) { canaries_.setSharedClockOffset(offset); }
-    /// The list of endpoints is complete.
+    /// Called once the first complete list of endpoints has been applied.
     void setEndpointsKnown() { endpointsKnown_ = true; }
 
-    /// Whether all is there that an attempt needs: a configuration, rollouts and endpoints.
+    /// Whether a configuration, rollouts and endpoints have been received, as attempts need all three.
     bool ready() const { return configuration_ && canaries_.known() && endpointsKnown_; }
 
-    /// A request that has come in; `clientTimeout` from `now`. False where no route takes it.
+    /// Starts a new request, with `clientTimeout` from `now` on. False if no route matches.
     bool startRequest(RoutedRequest& request, std::string_view host, std::string_view path, Nanos now,
                       Nanos clientTimeout);
-    /// The attempt to make now, added to the request's attempts, or null: give up, unless one is in flight.
+    /// The attempt to make now, already added to the request's attempts. Null: none; unless one is still in
+    /// flight, the request has failed.
     std::shared_ptr<Attempt> nextAttempt(RoutedRequest& request, Nanos now);
-    /// When nextAttempt() is to be asked for a hedged request beside the attempt sent at `sentAt`.
+    /// When to call nextAttempt() for a hedged request beside the attempt sent at `sentAt`.
     Nanos hedgeAt(const RoutedRequest& request, Nanos sentAt) const;
-    /// When to ask again, where nextAttempt() has had none to give for now.
+    /// When to call nextAttempt() again after it returned no hedged request.
     Nanos nextHedgeCheckAt(const RoutedRequest& request, Nanos now) const;
-    /// Tells the attempt how it ended; `status` of the answer, 0 without one. Throws as Attempt::apply().
-    void onAttemptEnded(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status, Nanos took,
+    /// Ends the attempt with event `end`. `status`: the response's, 0 without a response; `elapsed`: since
+    /// the attempt was sent. Throws like Attempt::apply().
+    void onAttemptEnded(RoutedRequest& request, Attempt& attempt, AttemptEvent end, int status, Nanos elapsed,
                         Nanos now);
-    /// A host's word on its load: requests that it runs, and that wait there.
+    /// Records a host's load report: the requests that it executes and those that wait there.
     void onLoadReport(UpstreamHost& host, int running, int waiting, Nanos now);
-    /// What is answered where nextAttempt() has nothing more and nothing is in flight.
+    /// The reply to the client once nextAttempt() returns null and no attempt is in flight.
     LocalReply localReply(const RoutedRequest& request) const;
 
-    /// Connections to one host that this proxy may have open.
+    /// The maximum number of open connections from this proxy to `host`.
     int maxConnections(const UpstreamHost& host) const;
     const std::map<std::string, std::shared_ptr<UpstreamHost>>& hosts() const { return hosts_; }  ///< by id
 
-    /// Outcomes of a running rollout, for the voters.
+    /// The outcomes of a running rollout, for the voters.
     const verdict::Totals& totals(const std::string& service, const std::string& target) const;
-    std::uint64_t canaryFailures() const { return canaries_.failures(); }  ///< over all rollouts
+    /// Failed attempts at canaries, over all rollouts.
+    std::uint64_t canaryFailures() const { return canaries_.failures(); }
 
   private:
     struct CandidatesByRole {
@@ -88,7 +93,7 @@
     void updateSubsets();
     std::shared_ptr<UpstreamHost> selectHost(const RoutedRequest& request, bool retry, Nanos now);
 
-    std::mt19937_64 chance_;
+    std::mt19937_64 random_;
     std::shared_ptr<const config::Configuration> configuration_;
     std::map<std::string, std::shared_ptr<UpstreamHost>> hosts_;  // by id
     HostsByService hostsByService_;
@@ -97,7 +102,7 @@
     HostSelection selection_;
     HedgePolicy hedging_;
     HostSubset subset_;
-    bool subsetsStale_ = true;  // hosts or proxies have come or gone since they were marked
+    bool subsetsStale_ = true;  // hosts or proxies were added or removed since updateSubsets()
     bool endpointsKnown_ = false;
 };
 
--- a/tests/routing/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -1,5 +1,6 @@
-// The states of an attempt and what is concluded from them, against a world in which pods run what reached
-// them whenever they like. Each rule is also broken on purpose, to show that these checks can fail.
+// Checks the states of an attempt, and the decisions based on them, against a model in which a pod may
+// execute a request at any time after it was written. Each rule is also broken on purpose, to show that the
+// checks fail.
 #include "routing/attempt.hpp"
 
 #include <functional>
@@ -18,95 +19,101 @@
                              AttemptEvent::misdirected, AttemptEvent::answered,  AttemptEvent::connectionLost,
                              AttemptEvent::malformed,   AttemptEvent::timedOut,  AttemptEvent::cancelled};
 
-// One send, as it is: what happened to it, and whether its pod has run it.
-struct World {
-    bool written = false, ended = false, ran = false;
+// The actual state of one attempt: what happened to it, and whether its pod has executed it.
+struct ActualAttempt {
+    bool written = false, ended = false, executed = false;
     AttemptEvent last = AttemptEvent::written;
 
-    // What may happen next. A pod that has run it doesn't say that it hasn't.
+    // The events that may follow. A pod that has executed the request never claims the opposite.
     std::vector<AttemptEvent> next() const {
         if (ended) return {};
         if (!written) return {AttemptEvent::written, AttemptEvent::unreached, AttemptEvent::cancelled};
         std::vector<AttemptEvent> all{AttemptEvent::connectionLost, AttemptEvent::malformed,
                                       AttemptEvent::timedOut, AttemptEvent::cancelled};
-        if (ran) all.push_back(AttemptEvent::answered);
+        if (executed) all.push_back(AttemptEvent::answered);
         else all.insert(all.end(), {AttemptEvent::rejectedByHost, AttemptEvent::misdirected});
         return all;
     }
-    World with(AttemptEvent event) const {
-        World world = *this;
-        world.last = event;
-        (event == AttemptEvent::written ? world.written : world.ended) = true;
-        return world;
+    ActualAttempt with(AttemptEvent event) const {
+        ActualAttempt actual = *this;
+        actual.last = event;
+        (event == AttemptEvent::written ? actual.written : actual.ended) = true;
+        return actual;
     }
 };
 
 using Table = std::vector<Transition>;
-const Table kProduct(kTransitions.begin(), kTransitions.end());
+const Table kTable(kTransitions.begin(), kTransitions.end());
 
-// The first rule of the states that a table breaks; empty: none.
-std::string broken(const Table& table) {
+// The first rule that a transition table violates; empty if none.
+std::string violation(const Table& table) {
     std::set<std::pair<AttemptState, AttemptEvent>> possible;
-    std::string found;
-    const std::function<void(World, AttemptState)> walk = [&](World world, AttemptState state) {
-        if (!found.empty()) return;
-        if (world.ran && state != AttemptState::maybeExecuted && state != AttemptState::answered)
-            found = std::string("Honest: run, but ") + name(state);
-        else if (!world.written && state != AttemptState::unsent && !world.ended)
-            found = "Exact: nothing was written";
-        else if (world.ended && state == AttemptState::unsent) found = "Exact: ended, but unsent";
-        else if ((state == AttemptState::answered) != (world.ended && world.last == AttemptEvent::answered))
-            found = "Exact: answered is what was answered";
-        else if (state == AttemptState::knownNotExecuted && world.written &&
-                 world.last != AttemptEvent::rejectedByHost && world.last != AttemptEvent::misdirected)
-            found = "NeverBack: not by the pod's own word";
-        else if (state != AttemptState::knownNotExecuted && world.ended &&
-                 (!world.written || world.last == AttemptEvent::rejectedByHost ||
-                  world.last == AttemptEvent::misdirected))
-            found = "Exact: surely not run, but not known";
-        // The pod may run it at any moment while it is there; what it is late to say is never said.
-        if (world.written && !world.ran && !world.ended) {
-            World run = world;
-            run.ran = true;
-            walk(run, state);
+    std::string violated;
+    const std::function<void(ActualAttempt, AttemptState)> walk = [&](ActualAttempt actual,
+                                                                      AttemptState state) {
+        if (!violated.empty()) return;
+        if (actual.executed && state != AttemptState::maybeExecuted && state != AttemptState::answered)
+            violated = std::string("Sound: executed, but ") + name(state);
+        else if (!actual.written && state != AttemptState::unsent && !actual.ended)
+            violated = "Exact: nothing written, but not unsent";
+        else if (actual.ended && state == AttemptState::unsent) violated = "Exact: ended, but unsent";
+        else if ((state == AttemptState::answered) != (actual.ended && actual.last == AttemptEvent::answered))
+            violated = "Exact: state answered without the event, or the reverse";
+        else if (state == AttemptState::knownNotExecuted && actual.written &&
+                 actual.last != AttemptEvent::rejectedByHost && actual.last != AttemptEvent::misdirected)
+            violated = "Proven: not executed, but not stated by the pod";
+        else if (state != AttemptState::knownNotExecuted && actual.ended &&
+                 (!actual.written || actual.last == AttemptEvent::rejectedByHost ||
+                  actual.last == AttemptEvent::misdirected))
+            violated = "Exact: proven not executed, but another state";
+        // The pod may execute the request at any time before the attempt ends; a later response is never
+        // read.
+        if (actual.written && !actual.executed && !actual.ended) {
+            ActualAttempt afterExecution = actual;
+            afterExecution.executed = true;
+            walk(afterExecution, state);
         }
-        for (const auto event : world.next()) {
+        for (const auto event : actual.next()) {
             possible.emplace(state, event);
-            const auto to = after(table, state, event);
-            if (!to) found = found.empty() ? std::string("Total: no way on for ") + name(event) : found;
-            else walk(world.with(event), *to);
+            const auto to = nextState(table, state, event);
+            if (!to)
+                violated =
+                    violated.empty() ? std::string("Total: no transition for ") + name(event) : violated;
+            else walk(actual.with(event), *to);
         }
     };
     walk({}, AttemptState::unsent);
     for (const auto& transition : table)
-        if (found.empty() && !possible.contains({transition.from, transition.event}))
-            found = std::string("NeverBack: ") + name(transition.event) + " after " + name(transition.from);
-    return found;
+        if (violated.empty() && !possible.contains({transition.from, transition.event}))
+            violated =
+                std::string("Impossible: ") + name(transition.event) + " after " + name(transition.from);
+    return violated;
 }
 
-// All ways of one request through up to three sends; the first rule broken, and how.
+// Explores all sequences of events of one request with up to three attempts, and reports the first rule that
+// is violated, with the sequence.
 struct RequestModel {
-    std::function<bool(const Attempts&, bool)> mayAttempt = productMayAttempt;
-    std::function<bool(const Attempts&)> mayPromiseNotExecuted = productMayPromise;
-    static bool productMayAttempt(const Attempts& attempts, bool repeatable) {
+    std::function<bool(const Attempts&, bool)> mayAttempt = realMayAttempt;
+    std::function<bool(const Attempts&)> mayPromiseNotExecuted = realMayPromise;
+    static bool realMayAttempt(const Attempts& attempts, bool repeatable) {
         return lichenlanding::routing::mayAttempt(attempts, repeatable);
     }
-    static bool productMayPromise(const Attempts& attempts) {
+    static bool realMayPromise(const Attempts& attempts) {
         return lichenlanding::routing::mayPromiseNotExecuted(attempts);
     }
 
-    std::string broken(bool repeatable) const {
-        std::size_t seen = 0;
-        return walk({}, {}, repeatable, "", seen);
+    std::string violation(bool repeatable) const {
+        std::size_t visited = 0;
+        return walk({}, {}, repeatable, "", visited);
     }
-    std::size_t ways(bool repeatable) const {
-        std::size_t seen = 0;
-        walk({}, {}, repeatable, "", seen);
-        return seen;
+    std::size_t sequences(bool repeatable) const {
+        std::size_t visited = 0;
+        walk({}, {}, repeatable, "", visited);
+        return visited;
     }
 
   private:
-    using Worlds = std::vector<World>;
+    using ActualAttempts = std::vector<ActualAttempt>;
 
     static Attempts copy(const Attempts& attempts) {
         Attempts copies;
@@ -114,79 +121,80 @@
         return copies;
     }
 
-    std::string walk(const Attempts& attempts, const Worlds& worlds, bool repeatable, const std::string& way,
-                     std::size_t& seen) const {
-        ++seen;
-        int runs = 0;
-        int open = 0;
-        int silent = 0;
-        for (const auto& world : worlds)
-            runs += world.ran, open += !world.ended,
-                silent += world.written && world.last != AttemptEvent::rejectedByHost &&
-                          world.last != AttemptEvent::misdirected;
-        if (!repeatable && runs > 1) return "TWICE:" + way;
-        // What is promised holds for good: nothing that may still run, nor what has.
-        if (mayPromiseNotExecuted(attempts) && (runs > 0 || open > 0 || silent > 0)) return "REFUSED:" + way;
-        if (!mayPromiseNotExecuted(attempts) && open == 0 && silent == 0)
-            return "Exact: no promise though nothing ran:" + way;
-        std::string found;
-        for (std::size_t at = 0; at < worlds.size() && found.empty(); ++at) {
-            const auto label = " " + std::to_string(at + 1) + " ";
-            if (worlds[at].written && !worlds[at].ran && !worlds[at].ended) {
-                auto ran = worlds;
-                ran[at].ran = true;
-                found = walk(attempts, ran, repeatable, way + label + "runs,", seen);
+    std::string walk(const Attempts& attempts, const ActualAttempts& actuals, bool repeatable,
+                     const std::string& sequence, std::size_t& visited) const {
+        ++visited;
+        int executions = 0;
+        int inFlightCount = 0;
+        int unproven = 0;
+        for (const auto& actual : actuals)
+            executions += actual.executed, inFlightCount += !actual.ended,
+                unproven += actual.written && actual.last != AttemptEvent::rejectedByHost &&
+                            actual.last != AttemptEvent::misdirected;
+        if (!repeatable && executions > 1) return "TWICE:" + sequence;
+        // A promise is final: no attempt has been executed or can still be.
+        if (mayPromiseNotExecuted(attempts) && (executions > 0 || inFlightCount > 0 || unproven > 0))
+            return "REFUSED:" + sequence;
+        if (!mayPromiseNotExecuted(attempts) && inFlightCount == 0 && unproven == 0)
+            return "Exact: no promise although nothing was executed:" + sequence;
+        std::string violated;
+        for (std::size_t index = 0; index < actuals.size() && violated.empty(); ++index) {
+            const auto label = " " + std::to_string(index + 1) + " ";
+            if (actuals[index].written && !actuals[index].executed && !actuals[index].ended) {
+                auto executed = actuals;
+                executed[index].executed = true;
+                violated = walk(attempts, executed, repeatable, sequence + label + "executed,", visited);
             }
-            for (const auto event : worlds[at].next()) {
-                if (!found.empty()) break;
-                auto next = worlds;
-                next[at] = worlds[at].with(event);
-                auto told = copy(attempts);
-                told[at]->apply(event);
-                found = walk(told, next, repeatable, way + label + name(event) + ",", seen);
+            for (const auto event : actuals[index].next()) {
+                if (!violated.empty()) break;
+                auto next = actuals;
+                next[index] = actuals[index].with(event);
+                auto updated = copy(attempts);
+                updated[index]->apply(event);
+                violated = walk(updated, next, repeatable, sequence + label + name(event) + ",", visited);
             }
         }
         const std::size_t atMost = repeatable ? 2 : 3;
-        if (found.empty() && attempts.size() < atMost && mayAttempt(attempts, repeatable)) {
+        if (violated.empty() && attempts.size() < atMost && mayAttempt(attempts, repeatable)) {
             auto more = copy(attempts);
             more.push_back(std::make_shared<Attempt>(nullptr));
-            auto next = worlds;
+            auto next = actuals;
             next.emplace_back();
-            found = walk(more, next, repeatable, way + " send,", seen);
+            violated = walk(more, next, repeatable, sequence + " send,", visited);
         }
-        return found;
+        return violated;
     }
 };
 
-using Judge = std::function<std::optional<AttemptEvent>(const ResponseHead&)>;
+using Classifier = std::function<std::optional<AttemptEvent>(const ResponseHead&)>;
 
-// The first rule of answers that a judge breaks, over every head there may be.
-std::string brokenBy(const Judge& judged) {
+// The first rule for responses that a classifier violates, over all possible response heads.
+std::string violatedBy(const Classifier& classifier) {
     for (const int status : {200, 204, 206, 301, 304, 400, 404, 408, 413, 421, 429, 500, 502, 503, 504})
         for (const auto id : {ResponseHead::Id::own, ResponseHead::Id::other, ResponseHead::Id::none})
             for (int bits = 0; bits < 16; ++bits) {
-                const ResponseHead answer{status,        id, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0,
-                                          (bits & 8) > 0};
-                const auto event = judged(answer);
+                const ResponseHead response{status,        id, (bits & 1) > 0, (bits & 2) > 0, (bits & 4) > 0,
+                                            (bits & 8) > 0};
+                const auto event = classifier(response);
                 const bool success = status / 100 == 2;
-                const bool word = answer.notExecuted || status == 421;
+                const bool statedByPod = response.notExecuted || status == 421;
                 if (id == ResponseHead::Id::other) {
-                    if (event) return "MIXED: an answer to another request";
+                    if (event) return "MIXED: a response to another request";
                     continue;
                 }
-                if (!event) return "LOST: an answer that is read past";
-                if (event != AttemptEvent::malformed && !answer.delimited)
-                    return "MIXED: cut short, it would look whole";
+                if (!event) return "LOST: a response that is skipped";
+                if (event != AttemptEvent::malformed && !response.delimited)
+                    return "MIXED: a truncated response would look complete";
                 if ((event == AttemptEvent::rejectedByHost || event == AttemptEvent::misdirected) &&
-                    (success || !word))
-                    return "REFUSED: not by the pod's word";
+                    (success || !statedByPod))
+                    return "REFUSED: not stated by the pod";
                 if (event != AttemptEvent::answered) continue;
-                if (success && (id != ResponseHead::Id::own || !answer.sealed))
-                    return "MIXED: a success without its stamp or id";
-                if (success && answer.encoded) return "MIXED: an encoded body";
-                if (success && answer.notExecuted) return "MIXED: a success that was not run";
+                if (success && (id != ResponseHead::Id::own || !response.sealed))
+                    return "MIXED: a success without its seal or id";
+                if (success && response.encoded) return "MIXED: an encoded body";
+                if (success && response.notExecuted) return "MIXED: a success that was not executed";
                 if (status == 408 || status == 429 || status == 503 || status == 421)
-                    return "REFUSED: a promise passed on without the pod's word";
+                    return "REFUSED: a promise passed on that the pod did not state";
             }
     return "";
 }
@@ -197,18 +205,18 @@
     CPPUNIT_TEST_SUITE(AttemptTest);
     CPPUNIT_TEST(tableIsExact);
     CPPUNIT_TEST(tableFaultsAreFound);
-    CPPUNIT_TEST(conclusionsHoldForEveryRequest);
-    CPPUNIT_TEST(faultsInConclusionsAreFound);
-    CPPUNIT_TEST(faultsInJudgingAnswersAreFound);
+    CPPUNIT_TEST(decisionsHoldForEveryRequest);
+    CPPUNIT_TEST(faultsInDecisionsAreFound);
+    CPPUNIT_TEST(faultsInClassifyingResponsesAreFound);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // The table as it stands, read by people; and that an attempt goes by it, and by nothing else.
+    // The whole table, as a transcript for review; and an attempt follows it and nothing else.
     void tableIsExact() {
-        CPPUNIT_ASSERT_EQUAL(std::string(), broken(kProduct));
-        std::string seen;
+        CPPUNIT_ASSERT_EQUAL(std::string(), violation(kTable));
+        std::string transcript;
         for (const auto& [from, event, to] : kTransitions)
-            seen += std::string(name(from)) + " -- " + name(event) + " -> " + name(to) + "\n";
+            transcript += std::string(name(from)) + " -- " + name(event) + " -> " + name(to) + "\n";
         for (const auto event : kEvents) {
             Attempt sent(nullptr);
             sent.apply(AttemptEvent::written);
@@ -223,54 +231,54 @@
                 CPPUNIT_ASSERT(sent.state() == AttemptState::maybeExecuted && sent.inFlight());
             }
         }
-        approve("attempt-table", seen);
+        approve("attempt-table", transcript);
     }
 
-    // Every row made wrong in every way, left out, and every row that isn't there: each is found.
+    // Each row altered in every way, each row left out and each row added is detected.
     void tableFaultsAreFound() {
-        std::map<std::string, int> found;
-        const auto tell = [&](const Table& table) {
-            const auto rule = broken(table);
+        std::map<std::string, int> violated;
+        const auto expectViolation = [&](const Table& table) {
+            const auto rule = violation(table);
             CPPUNIT_ASSERT(!rule.empty());
-            ++found[rule];
+            ++violated[rule];
         };
-        for (std::size_t at = 0; at < kProduct.size(); ++at) {
+        for (std::size_t index = 0; index < kTable.size(); ++index) {
             for (const auto state : kStates) {
-                auto table = kProduct;
-                if (table[at].to == state) continue;
-                table[at].to = state;
-                tell(table);
+                auto table = kTable;
+                if (table[index].to == state) continue;
+                table[index].to = state;
+                expectViolation(table);
             }
-            auto table = kProduct;
-            table.erase(table.begin() + static_cast<std::ptrdiff_t>(at));
-            tell(table);
+            auto table = kTable;
+            table.erase(table.begin() + static_cast<std::ptrdiff_t>(index));
+            expectViolation(table);
         }
         for (const auto from : kStates)
             for (const auto event : kEvents)
                 for (const auto to : kStates) {
-                    if (after(kProduct, from, event)) continue;
-                    auto table = kProduct;
+                    if (nextState(kTable, from, event)) continue;
+                    auto table = kTable;
                     table.push_back({from, event, to});
-                    tell(table);
+                    expectViolation(table);
                 }
-        std::string seen;
-        for (const auto& [rule, count] : found) seen += std::to_string(count) + " x " + rule + "\n";
-        approve("attempt-table-faults", seen);
+        std::string transcript;
+        for (const auto& [rule, count] : violated) transcript += std::to_string(count) + " x " + rule + "\n";
+        approve("attempt-table-faults", transcript);
     }
 
-    void conclusionsHoldForEveryRequest() {
+    void decisionsHoldForEveryRequest() {
         for (const bool repeatable : {true, false})
-            CPPUNIT_ASSERT_EQUAL(std::string(), RequestModel().broken(repeatable));
-        std::string seen = "ways of an unrepeatable request through three sends: " +
-                           std::to_string(RequestModel().ways(false)) +
-                           "\nof a repeatable one through two: " + std::to_string(RequestModel().ways(true)) +
-                           "\n";
-        approve("attempt-requests", seen);
+            CPPUNIT_ASSERT_EQUAL(std::string(), RequestModel().violation(repeatable));
+        std::string transcript =
+            "sequences of a non-repeatable request with three attempts: " +
+            std::to_string(RequestModel().sequences(false)) +
+            "\nof a repeatable request with two: " + std::to_string(RequestModel().sequences(true)) + "\n";
+        approve("attempt-requests", transcript);
     }
 
-    // A fault in each conclusion, and the shortest way there that is found.
-    void faultsInConclusionsAreFound() {
-        std::string seen;
+    // A fault in each decision, and the first sequence found that shows it.
+    void faultsInDecisionsAreFound() {
+        std::string transcript;
         const auto known = [](const Attempt& attempt) {
             return attempt.state() == AttemptState::unsent ||
                    attempt.state() == AttemptState::knownNotExecuted;
@@ -280,110 +288,119 @@
                                [&](const auto& one) { return known(*one); });
         };
         const std::vector<std::pair<const char*, std::function<bool(const Attempts&)>>> faults{
-            {"what is in flight is not looked at", all},
-            {"only the last send is looked at",
+            {"attempts in flight are ignored", all},
+            {"only the last attempt is considered",
              [&](const Attempts& attempts) {
                  return attempts.empty() || (known(*attempts.back()) && !attempts.back()->inFlight());
              }},
-            {"one that surely did not run is enough",
+            {"one attempt known not executed is enough",
              [&](const Attempts& attempts) {
                  return attempts.empty() || (inFlight(attempts) == 0 &&
                                              std::any_of(attempts.begin(), attempts.end(),
                                                          [&](const auto& one) { return known(*one); }));
              }},
-            {"a reset is taken for not run",
+            {"a reset counts as not executed",
              [&](const Attempts& attempts) {
                  return inFlight(attempts) == 0 &&
                         std::all_of(attempts.begin(), attempts.end(), [&](const auto& one) {
                             return known(*one) || one->end() == AttemptEvent::connectionLost;
                         });
              }},
-            {"silence is taken for not run",
+            {"a timeout counts as not executed",
              [&](const Attempts& attempts) {
                  return inFlight(attempts) == 0 &&
                         std::all_of(attempts.begin(), attempts.end(), [&](const auto& one) {
                             return known(*one) || one->end() == AttemptEvent::timedOut;
                         });
              }},
-            {"a refusal is not believed", [&](const Attempts& attempts) { return attempts.empty(); }},
+            {"a rejection by the pod is ignored", [&](const Attempts& attempts) { return attempts.empty(); }},
         };
         for (const auto& [fault, rule] : faults) {
             RequestModel sends;
             RequestModel promises;
             sends.mayAttempt = [&rule = rule](const Attempts& attempts, bool) { return rule(attempts); };
             promises.mayPromiseNotExecuted = rule;
-            const auto twice = sends.broken(false);
-            auto refused = promises.broken(false);
-            if (refused.empty()) refused = promises.broken(true);
+            const auto twice = sends.violation(false);
+            auto refused = promises.violation(false);
+            if (refused.empty()) refused = promises.violation(true);
             CPPUNIT_ASSERT(!refused.empty());
-            seen += std::string(fault) +
-                    "\n  asked before a send:    " + (twice.empty() ? "no harm" : twice) +
-                    "\n  asked before a promise: " + refused + "\n";
+            transcript += std::string(fault) +
+                          "\n  decides on an attempt: " + (twice.empty() ? "no harm" : twice) +
+                          "\n  decides on a promise:  " + refused + "\n";
         }
-        approve("attempt-request-faults", seen);
+        approve("attempt-request-faults", transcript);
     }
 
-    void faultsInJudgingAnswersAreFound() {
-        CPPUNIT_ASSERT_EQUAL(std::string(), brokenBy(classifyResponse));
-        std::string seen;
-        const auto with = [](std::function<void(ResponseHead&)> change) -> Judge {
-            return [change](const ResponseHead& answer) {
-                auto changed = answer;
+    void faultsInClassifyingResponsesAreFound() {
+        CPPUNIT_ASSERT_EQUAL(std::string(), violatedBy(classifyResponse));
+        std::string transcript;
+        const auto with = [](std::function<void(ResponseHead&)> change) -> Classifier {
+            return [change](const ResponseHead& response) {
+                auto changed = response;
                 change(changed);
                 return classifyResponse(changed);
             };
         };
-        for (const auto& [fault, judged] :
-             std::vector<std::pair<const char*, Judge>>{{"the id is not looked at", with([](ResponseHead& a) {
-                                                             a.id = ResponseHead::Id::own;
-                                                         })},
-                                                        {"the id is looked at for a success alone",
-                                                         with([](ResponseHead& a) {
-                                                             a.id = a.status / 100 == 2
-                                                                        ? a.id
-                                                                        : ResponseHead::Id::own;
-                                                         })},
-                                                        {"an answer without an id is taken for this "
-                                                         "one",
-                                                         with([](ResponseHead& a) {
-                                                             a.id = a.id == ResponseHead::Id::none
-                                                                        ? ResponseHead::Id::own
-                                                                        : a.id;
-                                                         })},
-                                                        {"every answer counts as another's",
-                                                         [](const ResponseHead&) { return std::nullopt; }},
-                                                        {"the stamp is not looked at",
-                                                         with([](ResponseHead& a) { a.sealed = true; })},
-                                                        {"the encoding is not looked at",
-                                                         with([](ResponseHead& a) { a.encoded = false; })},
-                                                        {"the end of the body is not looked at",
-                                                         with([](ResponseHead& a) { a.delimited = true; })},
-                                                        {"a 503 is taken for a refusal",
-                                                         with([](ResponseHead& a) {
-                                                             a.notExecuted = a.notExecuted || a.status == 503;
-                                                         })},
-                                                        {"a pod's 429 is passed on",
-                                                         [](const ResponseHead& a) {
-                                                             return a.status == 429 &&
-                                                                            a.id == ResponseHead::Id::own &&
-                                                                            a.delimited
-                                                                        ? AttemptEvent::answered
-                                                                        : classifyResponse(a);
-                                                         }},
-                                                        {"a success counts as turned away where it "
-                                                         "says so",
-                                                         [](const ResponseHead& a) {
-                                                             return a.notExecuted &&
-                                                                            a.id == ResponseHead::Id::own &&
-                                                                            a.delimited
-                                                                        ? AttemptEvent::rejectedByHost
-                                                                        : classifyResponse(a);
-                                                         }}}) {
-            const auto rule = brokenBy(judged);
+        for (const auto& [fault, classifier] :
+             std::vector<std::pair<const char*, Classifier>>{{"the id is ignored", with([](ResponseHead& a) {
+                                                                  a.id = ResponseHead::Id::own;
+                                                              })},
+                                                             {"the id is checked for a success only",
+                                                              with([](ResponseHead& a) {
+                                                                  a.id = a.status / 100 == 2
+                                                                             ? a.id
+                                                                             : ResponseHead::Id::own;
+                                                              })},
+                                                             {"a response without an id counts as this "
+                                                              "request's",
+                                                              with([](ResponseHead& a) {
+                                                                  a.id = a.id == ResponseHead::Id::none
+                                                                             ? ResponseHead::Id::own
+                                                                             : a.id;
+                                                              })},
+                                                             {"each response counts as another request's",
+                                                              [](const ResponseHead&) {
+                                                                  return std::nullopt;
+                                                              }},
+                                                             {"the seal is ignored",
+                                                              with([](ResponseHead& a) { a.sealed = true; })},
+                                                             {"the encoding is ignored",
+                                                              with([](ResponseHead& a) {
+                                                                  a.encoded = false;
+                                                              })},
+                                                             {"the framing of the body is ignored",
+                                                              with([](ResponseHead& a) {
+                                                                  a.delimited = true;
+                                                              })},
+                                                             {"a 503 counts as not executed",
+                                                              with([](ResponseHead& a) {
+                                                                  a.notExecuted =
+                                                                      a.notExecuted || a.status == 503;
+                                                              })},
+                                                             {"a pod's 429 is passed on",
+                                                              [](const ResponseHead& a) {
+                                                                  return a.status == 429 &&
+                                                                                 a.id ==
+                                                                                     ResponseHead::Id::own &&
+                                                                                 a.delimited
+                                                                             ? AttemptEvent::answered
+                                                                             : classifyResponse(a);
+                                                              }},
+                                                             {"a success counts as rejected if it "
+                                                              "says so",
+                                                              [](const ResponseHead& a) {
+                                                                  return a.notExecuted &&
+                                                                                 a.id ==
+                                                                                     ResponseHead::Id::own &&
+                                                                                 a.delimited
+                                                                             ? AttemptEvent::rejectedByHost
+                                                                             : classifyResponse(a);
+                                                              }}}) {
+            const auto rule = violatedBy(classifier);
             CPPUNIT_ASSERT_MESSAGE(fault, !rule.empty());
-            seen += std::string(fault) + " - " + rule + "\n";
+            transcript += std::string(fault) + " - " + rule + "\n";
         }
-        approve("attempt-answers", seen);
+        approve("attempt-answers", transcript);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(AttemptTest);
--- a/tests/routing/host_subset.cpp
+++ b/tests/routing/host_subset.cpp
@@ -1,5 +1,5 @@
-// The hosts that one proxy of a large fleet prefers: few enough to be met often, shared by a few proxies
-// each, and the same while hosts and proxies come and go.
+// The subset of hosts that one proxy of a large fleet prefers: small enough that connections are reused, each
+// host in the subsets of a few proxies, and stable while hosts and proxies are added and removed.
 #include "routing/host_subset.hpp"
 
 #include <algorithm>
@@ -14,10 +14,10 @@
 
 using Hosts = std::vector<std::shared_ptr<UpstreamHost>>;
 
-Hosts hostsFor(const std::string& proxy, int count, int first = 0) {
+Hosts hostsFor(const std::string& proxy, int count, int firstNumber = 0) {
     const HostSubset subset(proxy);
     Hosts hosts;
-    for (int number = first; number < first + count; ++number) {
+    for (int number = firstNumber; number < firstNumber + count; ++number) {
         auto host = std::make_shared<UpstreamHost>();
         host->endpoint.id = "i-" + std::to_string(number);
         host->subsetRank = subset.rankOf(host->endpoint.id);
@@ -26,8 +26,9 @@
     return hosts;
 }
 
-std::set<std::string> preferred(const std::string& proxy, int hosts, std::size_t proxies, int first = 0) {
-    const auto all = hostsFor(proxy, hosts, first);
+std::set<std::string> preferred(const std::string& proxy, int hosts, std::size_t proxies,
+                                int firstNumber = 0) {
+    const auto all = hostsFor(proxy, hosts, firstNumber);
     HostSubset::markPreferred(all, proxies);
     std::set<std::string> names;
     for (const auto& host : all)
@@ -35,7 +36,7 @@
     return names;
 }
 
-std::size_t missing(const std::set<std::string>& from, const std::set<std::string>& in) {
+std::size_t countMissing(const std::set<std::string>& from, const std::set<std::string>& in) {
     return static_cast<std::size_t>(
         std::count_if(in.begin(), in.end(), [&](const auto& name) { return !from.contains(name); }));
 }
@@ -45,8 +46,8 @@
 class HostSubsetTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(HostSubsetTest);
     CPPUNIT_TEST(smallFleetsPreferAll);
-    CPPUNIT_TEST(eachHostIsMetByAFewProxies);
-    CPPUNIT_TEST(changesOnlyByWhatComesOrGoes);
+    CPPUNIT_TEST(eachHostIsPreferredByAFewProxies);
+    CPPUNIT_TEST(changesOnlyByAddedAndRemovedHosts);
     CPPUNIT_TEST_SUITE_END();
 
   public:
@@ -57,24 +58,27 @@
         CPPUNIT_ASSERT(preferred("e1", 0, 8).empty());
     }
 
-    void eachHostIsMetByAFewProxies() {
+    void eachHostIsPreferredByAFewProxies() {
         constexpr int kHosts = 161;
         constexpr int kProxies = 49;
-        std::map<std::string, int> met;
+        std::map<std::string, int> proxiesPerHost;
         for (int proxy = 0; proxy < kProxies; ++proxy)
-            for (const auto& host : preferred("e" + std::to_string(proxy), kHosts, kProxies)) ++met[host];
-        CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(kHosts), met.size());
-        for (const auto& [host, count] : met) CPPUNIT_ASSERT_MESSAGE(host, count >= 1 && count <= 20);
+            for (const auto& host : preferred("e" + std::to_string(proxy), kHosts, kProxies))
+                ++proxiesPerHost[host];
+        CPPUNIT_ASSERT_EQUAL(static_cast<std::size_t>(kHosts), proxiesPerHost.size());
+        for (const auto& [host, count] : proxiesPerHost)
+            CPPUNIT_ASSERT_MESSAGE(host, count >= 1 && count <= 20);
     }
 
-    // One host more or less changes one; a fleet of another size has a part of it, or more besides.
-    void changesOnlyByWhatComesOrGoes() {
+    // Adding or removing a host changes at most one member; with more proxies the subset shrinks to a part of
+    // itself.
+    void changesOnlyByAddedAndRemovedHosts() {
         const auto before = preferred("e7", 160, 49);
-        CPPUNIT_ASSERT(missing(before, preferred("e7", 161, 49)) <= 1);
-        CPPUNIT_ASSERT(missing(before, preferred("e7", 159, 49, 1)) <= 1);
+        CPPUNIT_ASSERT(countMissing(before, preferred("e7", 161, 49)) <= 1);
+        CPPUNIT_ASSERT(countMissing(before, preferred("e7", 159, 49, 1)) <= 1);
         const auto fewer = preferred("e7", 160, 60);
         CPPUNIT_ASSERT(fewer.size() < before.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, missing(before, fewer));
+        CPPUNIT_ASSERT_EQUAL(std::size_t{0}, countMissing(before, fewer));
         CPPUNIT_ASSERT(preferred("e8", 160, 49) != before);
     }
 };
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -1,5 +1,5 @@
-// Routing without sockets: what is sent where, what is never sent again, how much of anything there may be.
-// Times are made up; chance is seeded.
+// Routing without sockets, in virtual time and with a seeded random generator: host selection, retries and
+// the retry budget, canary shares, local replies.
 #include "routing/router.hpp"
 
 #include <set>
@@ -43,7 +43,7 @@
         CPPUNIT_ASSERT(router->startRequest(request, "h", std::string("/") + kind + "/1", now, 2 * kSecond));
         return request;
     }
-    // Sends once; the pod's id, or "-".
+    // Starts the next attempt; returns the pod's id, or "-" without an attempt.
     std::string send(RoutedRequest& request) {
         last = router->nextAttempt(request, now);
         return last ? last->host()->endpoint.id : "-";
@@ -51,17 +51,17 @@
     void end(RoutedRequest& request, AttemptEvent end, int status = 200, Nanos took = 100 * kMillisecond) {
         endAttempt(request, *last, end, status, took);
     }
-    // As a host tells it: all but what ends unreached was written first.
+    // Ends an attempt, which was written first unless it ends as unreached.
     void endAttempt(RoutedRequest& request, routing::Attempt& attempt, AttemptEvent end, int status = 200,
                     Nanos took = 100 * kMillisecond) {
         if (end != AttemptEvent::unreached) attempt.apply(AttemptEvent::written);
         router->onAttemptEnded(request, attempt, end, status, took, now);
     }
     void rollout(const std::string& state, int stage = 0, std::int64_t number = 1) {
-        messages::Rollout order;
-        order.service = "s", order.target = "v2", order.state = state, order.stage = stage,
-        order.number = number;
-        router->setRollouts({order}, now);
+        messages::Rollout newRollout;
+        newRollout.service = "s", newRollout.target = "v2", newRollout.state = state,
+        newRollout.stage = stage, newRollout.number = number;
+        router->setRollouts({newRollout}, now);
     }
     config::BootstrapSettings boot;
     std::unique_ptr<Router> router;
@@ -80,25 +80,26 @@
     CPPUNIT_TEST(unreachedHostsDoNotCountAsAttempts);
     CPPUNIT_TEST(retriesStayWithinTheBudget);
     CPPUNIT_TEST(canaryGetsItsShare);
-    CPPUNIT_TEST(grantBeginsTheWatchWhereFewRequestsCome);
-    CPPUNIT_TEST(rolloutsOfOneServiceAreToldApart);
-    CPPUNIT_TEST(rolloutOrderedAnewStartsAfresh);
-    CPPUNIT_TEST(versionsByStateOfTheRollout);
+    CPPUNIT_TEST(grantStartsTheCanaryWithLittleTraffic);
+    CPPUNIT_TEST(rolloutsOfOneServiceHaveSeparateShares);
+    CPPUNIT_TEST(repeatedRolloutStartsAfresh);
+    CPPUNIT_TEST(versionsByRolloutState);
     CPPUNIT_TEST(drainingHostsGetNothing);
-    CPPUNIT_TEST(configurationNeverGoesBack);
-    CPPUNIT_TEST(silentHostsGetNothing);
-    CPPUNIT_TEST(hostWithNothingInFlightIsNotSilent);
-    CPPUNIT_TEST(hedgesNotSentAreNoTraffic);
+    CPPUNIT_TEST(olderConfigurationIsIgnored);
+    CPPUNIT_TEST(unresponsiveHostsGetNothing);
+    CPPUNIT_TEST(hostWithNothingInFlightIsNotUnresponsive);
+    CPPUNIT_TEST(hedgesNotSentDoNotCountAsTraffic);
     CPPUNIT_TEST(largeFleetStaysWithinItsSubset);
     CPPUNIT_TEST(cancelledAttemptsBackOffFromNoHost);
-    CPPUNIT_TEST(cancelledAttemptsCountWithTheTimeTheyHad);
-    CPPUNIT_TEST(fullZoneSendsAPartElsewhere);
+    CPPUNIT_TEST(cancelledAttemptsCountWithTheirTime);
+    CPPUNIT_TEST(overloadedZoneSendsTrafficElsewhere);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // Every end of a first send, for both kinds: does it go again, and what is said if not.
+    // For every end of a first attempt, repeatable or not: whether it is hedged or retried, and the local
+    // reply.
     void retriesByEndOfTheFirstAttempt() {
-        std::string seen;
+        std::string transcript;
         for (const auto* kind : {kRepeatable, kNotRepeatable})
             for (const auto& [name, end] : std::vector<std::pair<const char*, AttemptEvent>>{
                      {"rejected by host", AttemptEvent::rejectedByHost},
@@ -110,26 +111,28 @@
                 RouterFixture fixture;
                 auto request = fixture.begin(kind);
                 const auto first = fixture.send(request);
-                const auto beside =
+                const auto hedged =
                     fixture.router->nextAttempt(request, fixture.now) != nullptr;  // while it is in flight
-                if (beside) request.attempts.pop_back();
+                if (hedged) request.attempts.pop_back();
                 fixture.end(request, end);
                 const auto second = fixture.send(request);
                 CPPUNIT_ASSERT(second != first);
                 if (second != "-") fixture.end(request, end);
-                const auto refusal = fixture.router->localReply(request);
-                seen += std::string(kind) + " " + name + ": beside " + (beside ? "yes" : "no") + ", again " +
-                        (second == "-" ? "no" : "yes") + ", then " + std::to_string(refusal.status()) +
-                        (refusal.retryAfter > 0 ? " come back" : "") + "\n";
+                const auto reply = fixture.router->localReply(request);
+                transcript += std::string(kind) + " " + name + ": hedged " + (hedged ? "yes" : "no") +
+                              ", retried " + (second == "-" ? "no" : "yes") + ", reply " +
+                              std::to_string(reply.status()) +
+                              (reply.retryAfter > 0 ? " with Retry-After" : "") + "\n";
             }
-        approve("router-retries", seen);
+        approve("router-retries", transcript);
     }
 
-    // max_attempts counts the pods that it was sent to: those not reached were not, up to two more.
+    // max_attempts counts the pods that the request was sent to; up to two unreachable ones are tried beyond
+    // it.
     void unreachedHostsDoNotCountAsAttempts() {
         for (const auto* kind : {kRepeatable, kNotRepeatable}) {
             RouterFixture fixture(8);
-            auto request = fixture.begin(kind);  // to three pods at most
+            auto request = fixture.begin(kind);  // to at most three pods
             std::string ends;
             for (const auto end :
                  {AttemptEvent::rejectedByHost, AttemptEvent::unreached, AttemptEvent::unreached,
@@ -141,98 +144,100 @@
             CPPUNIT_ASSERT_EQUAL(
                 std::string("rejected by host, unreached, unreached, rejected by host, rejected by host, "),
                 ends);
-            auto nobody = fixture.begin(kind);
+            auto unreachable = fixture.begin(kind);
             int attempts = 0;
-            for (; fixture.send(nobody) != "-"; ++attempts) fixture.end(nobody, AttemptEvent::unreached);
+            for (; fixture.send(unreachable) != "-"; ++attempts)
+                fixture.end(unreachable, AttemptEvent::unreached);
             CPPUNIT_ASSERT_EQUAL(5, attempts);
-            CPPUNIT_ASSERT_EQUAL(503, fixture.router->localReply(nobody).status());
+            CPPUNIT_ASSERT_EQUAL(503, fixture.router->localReply(unreachable).status());
         }
     }
 
-    // BUDGET: arrivals past the first of a request stay within the share of the fleet's, window by window.
+    // Guarantee BUDGET: retries that may have arrived stay within this proxy's share of the fleet's budget in
+    // each window.
     void retriesStayWithinTheBudget() {
         RouterFixture fixture(8, 24);
         fixture.router->setProxyCount(4, fixture.now);
-        int further = 0;
+        int retries = 0;
         for (int second = 0; second < 30; ++second) {
-            const bool storm = second >= 10 && second < 20;
-            const int before = further;
+            const bool rejecting = second >= 10 && second < 20;
+            const int before = retries;
             for (int at = 0; at < 20; ++at) {
                 fixture.now += kSecond / 20;
                 auto request = fixture.begin(kRepeatable);
                 for (auto sent = fixture.send(request); sent != "-"; sent = fixture.send(request)) {
-                    if (routing::possibleArrivals(request.attempts) > 1) ++further;
-                    fixture.end(request, storm ? AttemptEvent::rejectedByHost : AttemptEvent::answered);
-                    if (!storm) break;
+                    if (routing::possibleArrivals(request.attempts) > 1) ++retries;
+                    fixture.end(request, rejecting ? AttemptEvent::rejectedByHost : AttemptEvent::answered);
+                    if (!rejecting) break;
                 }
             }
-            if (!storm) CPPUNIT_ASSERT_EQUAL(before, further);
+            if (!rejecting) CPPUNIT_ASSERT_EQUAL(before, retries);
         }
-        // 0.2 of 200 requests and a quarter of 24: 46 in ten seconds are this proxy's part.
-        CPPUNIT_ASSERT(further > 20);
-        CPPUNIT_ASSERT(further <= 46);
+        // This proxy's share in ten seconds: 0.2 of 200 requests and a quarter of the slack of 24, thus 46.
+        CPPUNIT_ASSERT(retries > 20);
+        CPPUNIT_ASSERT(retries <= 46);
     }
 
-    // EXPOSURE: of all requests no more than the share reaches a version on trial, and none once it fails
-    // here.
+    // Guarantee EXPOSURE: a canary receives at most its share of all requests, and none after too many
+    // failures at this proxy.
     void canaryGetsItsShare() {
         RouterFixture fixture;
         for (int at = 0; at < 4; ++at) fixture.list("n" + std::to_string(at), "v2");
         fixture.rollout("in_progress");
         fixture.now += 3 * kSecond;
-        int fresh = 0;
+        int canaryRequests = 0;
         for (int at = 0; at < 1000; ++at) {
             fixture.now += 10 * kMillisecond;
             auto request = fixture.begin(kRepeatable);
-            fresh += fixture.send(request)[0] == 'n';
+            canaryRequests += fixture.send(request)[0] == 'n';
             fixture.end(request, AttemptEvent::answered);
         }
-        CPPUNIT_ASSERT(fresh >= 40);
-        CPPUNIT_ASSERT(fresh <= 50);
+        CPPUNIT_ASSERT(canaryRequests >= 40);
+        CPPUNIT_ASSERT(canaryRequests <= 50);
         const auto counted = fixture.router->totals("s", "v2").at(kRepeatable);
-        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(fresh), counted[0].all());
+        CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(canaryRequests), counted[0].all());
         CPPUNIT_ASSERT_EQUAL(1000U, counted[0].all() + counted[1].all());
-        fresh = 0;
+        canaryRequests = 0;
         for (int at = 0; at < 2000; ++at) {
             fixture.now += 10 * kMillisecond;
             auto request = fixture.begin(kNotRepeatable);
-            const bool its = fixture.send(request)[0] == 'n';
-            fresh += its;
-            fixture.end(request, its ? AttemptEvent::connectionLost : AttemptEvent::answered);
+            const bool toCanary = fixture.send(request)[0] == 'n';
+            canaryRequests += toCanary;
+            fixture.end(request, toCanary ? AttemptEvent::connectionLost : AttemptEvent::answered);
         }
-        CPPUNIT_ASSERT(fresh >= 4);
-        CPPUNIT_ASSERT(fresh < 60);  // until 0.3 of those it has seen are bad
+        CPPUNIT_ASSERT(canaryRequests >= 4);
+        CPPUNIT_ASSERT(canaryRequests < 60);  // until 0.3 of its attempts at this proxy have failed
     }
 
-    // EXPOSURE: where few requests come, a part of what the rule lets go beyond the share begins the watch,
-    // no quicker than an earlier pod is sent requests; a proxy that starts in the middle is granted none.
-    void grantBeginsTheWatchWhereFewRequestsCome() {
-        std::string seen;
-        for (const bool there : {true, false}) {
+    // Guarantee EXPOSURE: with little traffic a canary starts with a part of the slack beyond its share, at
+    // most at the rate of a stable pod. A proxy that starts during the rollout is granted none.
+    void grantStartsTheCanaryWithLittleTraffic() {
+        std::string transcript;
+        for (const bool runningBefore : {true, false}) {
             RouterFixture fixture(6);
             for (int at = 0; at < 6; ++at) fixture.list("n" + std::to_string(at), "v2");
-            if (there) fixture.router->setRollouts({}, fixture.now);
+            if (runningBefore) fixture.router->setRollouts({}, fixture.now);
             fixture.router->setProxyCount(12, fixture.now);
             fixture.rollout("in_progress");
             fixture.now += 3 * kSecond;
-            seen += there ? "there at the order:" : "started since:";
+            transcript += runningBefore ? "running before the rollout:" : "started during the rollout:";
             for (int part = 0; part < 4; ++part) {
-                int fresh = 0;
+                int canaryRequests = 0;
                 for (int at = 0; at < 12; ++at) {
                     fixture.now += 270 * kMillisecond;
                     auto request = fixture.begin(kNotRepeatable);
-                    fresh += fixture.send(request)[0] == 'n';
+                    canaryRequests += fixture.send(request)[0] == 'n';
                     fixture.end(request, AttemptEvent::answered);
                 }
-                seen += " " + std::to_string(fresh);
+                transcript += " " + std::to_string(canaryRequests);
             }
-            seen += " of 12 each\n";
+            transcript += " of 12 each\n";
         }
-        approve("router-few-requests", seen);
+        approve("router-few-requests", transcript);
     }
 
-    // Two orders of one service at once: while one has all traffic, the other keeps to its own share.
-    void rolloutsOfOneServiceAreToldApart() {
+    // Two rollouts of one service at once: while one receives all traffic, the other keeps to its own share.
+    void rolloutsOfOneServiceHaveSeparateShares() {
         RouterFixture fixture;
         fixture.list("n", "v2"), fixture.list("m", "v2"), fixture.list("x", "v3"), fixture.list("y", "v3");
         messages::Rollout good;
@@ -241,39 +246,39 @@
         good.number = 2, bad.number = 1;
         fixture.router->setRollouts({bad, good}, fixture.now);
         fixture.now += 3 * kSecond;
-        std::map<std::string, int> where;
+        std::map<std::string, int> attemptsByVersion;
         for (int at = 0; at < 1000; ++at) {
             fixture.now += 10 * kMillisecond;
             auto request = fixture.begin(kRepeatable);
             CPPUNIT_ASSERT(fixture.send(request) != "-");
-            ++where[fixture.last->host()->endpoint.version];
+            ++attemptsByVersion[fixture.last->host()->endpoint.version];
             fixture.end(request, AttemptEvent::answered);
         }
-        CPPUNIT_ASSERT_EQUAL(0, where["v1"]);
-        CPPUNIT_ASSERT(where["v3"] >= 40);
-        CPPUNIT_ASSERT(where["v3"] <= 50);
+        CPPUNIT_ASSERT_EQUAL(0, attemptsByVersion["v1"]);
+        CPPUNIT_ASSERT(attemptsByVersion["v3"] >= 40);
+        CPPUNIT_ASSERT(attemptsByVersion["v3"] <= 50);
     }
 
-    // Turned back, and ordered again with another term: its pods take their share again, and what was counted
-    // in the first trial is no word on the second. Said again, the list changes nothing.
-    void rolloutOrderedAnewStartsAfresh() {
+    // A version is rolled back and rolled out again with another deadline: its pods receive their share
+    // again, and the counts of the first rollout are discarded. Setting the same list again changes nothing.
+    void repeatedRolloutStartsAfresh() {
         RouterFixture fixture;
         fixture.list("n", "v2"), fixture.list("m", "v2");
         messages::Rollout first;
-        messages::Rollout anew;
-        first.service = anew.service = "s", first.target = anew.target = "v2";
-        first.term = 12'000, anew.term = 15'000, first.number = 1, anew.number = 3;
+        messages::Rollout repeated;
+        first.service = repeated.service = "s", first.target = repeated.target = "v2";
+        first.term = 12'000, repeated.term = 15'000, first.number = 1, repeated.number = 3;
         const auto serve = [&] {
-            int fresh = 0;
+            int canaryRequests = 0;
             for (int at = 0; at < 600; ++at) {
                 fixture.now += 10 * kMillisecond;
                 auto request = fixture.begin(kRepeatable);
                 CPPUNIT_ASSERT(fixture.send(request) != "-");
-                const bool its = fixture.last->host()->endpoint.version == "v2";
-                fresh += its;
-                fixture.end(request, AttemptEvent::answered, its ? 500 : 200);
+                const bool toCanary = fixture.last->host()->endpoint.version == "v2";
+                canaryRequests += toCanary;
+                fixture.end(request, AttemptEvent::answered, toCanary ? 500 : 200);
             }
-            return fresh;
+            return canaryRequests;
         };
         fixture.router->setRollouts({first}, fixture.now);
         fixture.now += 3 * kSecond;
@@ -282,58 +287,59 @@
         first.state = "rolled_back", first.number = 2;
         fixture.router->setRollouts({first}, fixture.now);
         CPPUNIT_ASSERT_EQUAL(0, serve());
-        fixture.router->setRollouts({first, anew}, fixture.now);
+        fixture.router->setRollouts({first, repeated}, fixture.now);
         CPPUNIT_ASSERT(fixture.router->totals("s", "v2").empty());
         CPPUNIT_ASSERT(serve() > 0);
         CPPUNIT_ASSERT(!fixture.router->totals("s", "v2").empty());
-        fixture.router->setRollouts({first, anew}, fixture.now);
+        fixture.router->setRollouts({first, repeated}, fixture.now);
         CPPUNIT_ASSERT(!fixture.router->totals("s", "v2").empty());
     }
 
-    // ROUTE: which versions take requests, by the state of the order.
-    void versionsByStateOfTheRollout() {
-        std::string seen;
-        const auto see = [&](const std::string& what, RouterFixture& fixture) {
-            std::map<std::string, int> where;
+    // Guarantee ROUTE: which versions receive requests, by the state of the rollout.
+    void versionsByRolloutState() {
+        std::string transcript;
+        const auto recordVersions = [&](const std::string& what, RouterFixture& fixture) {
+            std::map<std::string, int> attemptsByVersion;
             for (int at = 0; at < 200; ++at) {
                 auto request = fixture.begin(kRepeatable);
                 const auto sent = fixture.send(request);
-                ++where[sent == "-" ? sent : fixture.last->host()->endpoint.version];
+                ++attemptsByVersion[sent == "-" ? sent : fixture.last->host()->endpoint.version];
                 if (sent != "-") fixture.end(request, AttemptEvent::answered);
             }
-            seen += what + ":";
-            for (const auto& [version, count] : where) seen += " " + version + " " + std::to_string(count);
-            seen += "\n";
+            transcript += what + ":";
+            for (const auto& [version, count] : attemptsByVersion)
+                transcript += " " + version + " " + std::to_string(count);
+            transcript += "\n";
         };
         RouterFixture fixture;
         fixture.list("n", "v2"), fixture.list("m", "v2");
-        see("nobody ordered v2", fixture);
+        recordVersions("v2 without a rollout", fixture);
         fixture.rollout("in_progress");
-        see("in progress, its pods not warm yet", fixture);
+        recordVersions("in progress, v2's pods not warm yet", fixture);
         fixture.now += 3 * kSecond;
-        see("in progress", fixture);
+        recordVersions("in progress", fixture);
         fixture.rollout("in_progress", 1, 2);
-        see("trial of all traffic, within the share so far", fixture);
+        recordVersions("full-traffic trial, within the unused share", fixture);
         fixture.now += kSecond;
-        see("after the trial of all traffic", fixture);
+        recordVersions("after the full-traffic trial", fixture);
         fixture.rollout("in_progress", 2, 2);
-        see("all traffic", fixture);
+        recordVersions("all traffic", fixture);
         fixture.rollout("completed", 2, 3);
-        see("completed", fixture);
+        recordVersions("completed", fixture);
         fixture.rollout("rolled_back", 0, 4);
-        see("rolled back", fixture);
-        RouterFixture late(0);  // a proxy that starts while both are there
+        recordVersions("rolled back", fixture);
+        RouterFixture late(0);  // a proxy that starts while both versions run
         late.rollout("in_progress");
         late.list("n", "v2"), late.list("p", "v1"), late.now += 3 * kSecond;
-        see("started in the middle", late);
-        RouterFixture known(0);  // the list came before the order was known
+        recordVersions("proxy started during the rollout", late);
+        RouterFixture known(0);  // receives the endpoints before the rollout
         known.list("n", "v2"), known.list("p", "v1");
         known.rollout("in_progress"), known.now += 3 * kSecond;
-        see("order known late", known);
-        approve("router-versions", seen);
+        recordVersions("endpoints received before the rollout", known);
+        approve("router-versions", transcript);
     }
 
-    // DRAIN and lives: no send to a pod that leaves, that is gone, or that is not who it was.
+    // Guarantee DRAIN: no attempts at a pod that is draining, is removed, or whose address another pod has.
     void drainingHostsGetNothing() {
         RouterFixture fixture(1);
         auto request = fixture.begin(kRepeatable);
@@ -348,8 +354,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("-"), fixture.send(third));
     }
 
-    // CONFIG: a proxy that wakes up, or hears an older control node, never goes back.
-    void configurationNeverGoesBack() {
+    // Guarantee CONFIG: an older configuration, for example from a control node that is behind, is ignored.
+    void olderConfigurationIsIgnored() {
         RouterFixture fixture;
         fixture.router->setConfiguration(configurationOf("00000009", "t"));
         fixture.router->setConfiguration(configurationOf("00000008"));
@@ -358,10 +364,10 @@
         CPPUNIT_ASSERT_EQUAL(9U, fixture.router->configuration()->version);
     }
 
-    // Many pods, each heard of now and then: where those of the own zone make requests wait and others do
-    // not, a part goes there; where all wait alike, hardly any.
-    void fullZoneSendsAPartElsewhere() {
-        std::string seen;
+    // Many pods with infrequent load reports: if requests wait in this proxy's zone but not elsewhere,
+    // traffic moves to the other zone; if they wait equally, hardly any does.
+    void overloadedZoneSendsTrafficElsewhere() {
+        std::string transcript;
         for (const auto& [near, far] : std::vector<std::pair<int, int>>{{0, 0}, {3, 0}, {3, 3}, {0, 3}}) {
             RouterFixture fixture(0);
             for (int at = 0; at < 40; ++at) fixture.list("n" + std::to_string(at));
@@ -375,37 +381,38 @@
                 fixture.router->onLoadReport(*fixture.last->host(), 3, other ? far : near, fixture.now);
                 fixture.end(request, AttemptEvent::answered);
             }
-            seen += "waiting in the own zone " + std::to_string(near) + ", elsewhere " + std::to_string(far) +
-                    ": " + std::to_string((others + 5) / 10) + " of 100 go elsewhere\n";
+            transcript += "waiting in this zone " + std::to_string(near) + ", elsewhere " +
+                          std::to_string(far) + ": " + std::to_string((others + 5) / 10) +
+                          " of 100 go elsewhere\n";
         }
-        approve("router-full-zone", seen);
+        approve("router-full-zone", transcript);
     }
 
-    // A pod that owes answers for long gets no more while others can; when it answers, it does again.
-    void silentHostsGetNothing() {
+    // A pod without responses for long gets no attempts while others can; after a response it does again.
+    void unresponsiveHostsGetNothing() {
         RouterFixture fixture(2);
-        auto stuck = fixture.begin(kNotRepeatable);
-        const auto mute = fixture.send(stuck);
-        const auto owing = fixture.last;
+        auto unanswered = fixture.begin(kNotRepeatable);
+        const auto unresponsivePod = fixture.send(unanswered);
+        const auto unansweredAttempt = fixture.last;
         fixture.now += kSecond;
         for (int at = 0; at < 50; ++at) {
             auto request = fixture.begin(kRepeatable);
-            CPPUNIT_ASSERT(fixture.send(request) != mute);
+            CPPUNIT_ASSERT(fixture.send(request) != unresponsivePod);
             fixture.end(request, AttemptEvent::answered);
         }
-        fixture.endAttempt(stuck, *owing, AttemptEvent::answered, 200, kSecond);
-        bool again = false;
+        fixture.endAttempt(unanswered, *unansweredAttempt, AttemptEvent::answered, 200, kSecond);
+        bool selectedAgain = false;
         for (int at = 0; at < 50; ++at) {
             auto request = fixture.begin(kRepeatable);
-            again = fixture.send(request) == mute || again;
+            selectedAgain = fixture.send(request) == unresponsivePod || selectedAgain;
             fixture.end(request, AttemptEvent::answered);
         }
-        CPPUNIT_ASSERT(again);
+        CPPUNIT_ASSERT(selectedAgain);
     }
 
-    // A pod at which nothing is out owes nothing, however its last send ended: after its rest it is drawn
-    // again like any other.
-    void hostWithNothingInFlightIsNotSilent() {
+    // A pod with nothing in flight is not unresponsive, however its last attempt ended: after its backoff it
+    // is selected like any other.
+    void hostWithNothingInFlightIsNotUnresponsive() {
         for (const auto end : {AttemptEvent::unreached, AttemptEvent::connectionLost, AttemptEvent::malformed,
                                AttemptEvent::timedOut}) {
             RouterFixture fixture;
@@ -413,39 +420,39 @@
             const auto pod = fixture.send(failed);
             fixture.end(failed, end);
             fixture.now += 2 * kSecond;
-            int again = 0;
+            int selectedAgain = 0;
             for (int at = 0; at < 50; ++at) {
                 auto request = fixture.begin(kRepeatable);
-                again += fixture.send(request) == pod;
+                selectedAgain += fixture.send(request) == pod;
                 fixture.end(request, AttemptEvent::answered);
             }
-            CPPUNIT_ASSERT_MESSAGE(routing::name(end), again > 0);
+            CPPUNIT_ASSERT_MESSAGE(routing::name(end), selectedAgain > 0);
         }
     }
 
-    // With hundreds of proxies a few of the hosts are met; those beyond are when most of these are gone.
+    // In a large fleet a proxy uses only its subset of the hosts, and others once most of the subset is gone.
     void largeFleetStaysWithinItsSubset() {
         RouterFixture fixture(200);
         fixture.router->setProxyCount(100, fixture.now);
-        const auto draw = [&] {
-            std::set<std::string> met;
+        const auto usedHosts = [&] {
+            std::set<std::string> used;
             for (int at = 0; at < 500; ++at) {
                 auto request = fixture.begin(kRepeatable);
-                met.insert(fixture.send(request));
+                used.insert(fixture.send(request));
                 fixture.end(request, AttemptEvent::answered);
             }
-            return met;
+            return used;
         };
-        const auto met = draw();
-        constexpr std::size_t kPreferred = 200 * 8 / 100;  // hosts, eight proxies for each, 100 proxies
-        CPPUNIT_ASSERT(met.size() <= kPreferred && met.size() > kPreferred / 2);
-        for (const auto& host : met) fixture.list(host, "v1", true);
-        const auto others = draw();
+        const auto used = usedHosts();
+        constexpr std::size_t kPreferred = 200 * 8 / 100;  // 200 hosts, eight proxies per host, 100 proxies
+        CPPUNIT_ASSERT(used.size() <= kPreferred && used.size() > kPreferred / 2);
+        for (const auto& host : used) fixture.list(host, "v1", true);
+        const auto others = usedHosts();
         CPPUNIT_ASSERT(others.size() > kPreferred);
-        for (const auto& host : others) CPPUNIT_ASSERT_MESSAGE(host, !met.contains(host));
+        for (const auto& host : others) CPPUNIT_ASSERT_MESSAGE(host, !used.contains(host));
     }
 
-    // A client that leaves says nothing ill of the host: only that its answer would have taken longer.
+    // A cancelled attempt is no failure of the host; it shows only that the response would have taken longer.
     void cancelledAttemptsBackOffFromNoHost() {
         RouterFixture fixture;
         for (int at = 0; at < 20; ++at) {
@@ -465,9 +472,9 @@
         CPPUNIT_ASSERT(fixture.router->hosts().at(chosen)->relativeLatency > 1);
     }
 
-    // The outcomes that voters compare: a slow version would hide behind clients that leave, were its
-    // cancelled attempts not counted; as failures they would condemn a good one.
-    void cancelledAttemptsCountWithTheTimeTheyHad() {
+    // In the outcomes that voters compare, cancelled attempts count with their time, but not as failures:
+    // left out, they would hide a slow version; as failures, they would condemn a good one.
+    void cancelledAttemptsCountWithTheirTime() {
         RouterFixture fixture(1);
         fixture.list("n", "v2");
         fixture.rollout("in_progress");
@@ -486,25 +493,25 @@
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, counts.bad);
     }
 
-    // EXPOSURE: asking for a second send that there is none to be had of does not count as traffic, of which
-    // a version on trial would get its share.
-    void hedgesNotSentAreNoTraffic() {
+    // Guarantee EXPOSURE: calls of nextAttempt() that return nothing don't count as traffic, of which a
+    // canary would get its share.
+    void hedgesNotSentDoNotCountAsTraffic() {
         RouterFixture fixture(1);
         fixture.list("n", "v2"), fixture.list("m", "v2");
         fixture.rollout("in_progress");
         fixture.now += 3 * kSecond;
-        auto waits = fixture.begin(kRepeatable);
-        fixture.send(waits);
-        for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!fixture.router->nextAttempt(waits, fixture.now));
-        fixture.rollout("in_progress", 1, 2);  // the trial of all traffic: all, within the share so far
-        int fresh = 0;
+        auto waiting = fixture.begin(kRepeatable);
+        fixture.send(waiting);
+        for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!fixture.router->nextAttempt(waiting, fixture.now));
+        fixture.rollout("in_progress", 1, 2);  // the full-traffic trial, within the unused share
+        int canaryRequests = 0;
         for (int at = 0; at < 20; ++at) {
             auto request = fixture.begin(kNotRepeatable);
             const auto sent = fixture.send(request);
-            fresh += sent != "-" && sent != "p0";
+            canaryRequests += sent != "-" && sent != "p0";
             if (sent != "-") fixture.end(request, AttemptEvent::answered);
         }
-        CPPUNIT_ASSERT(fresh <= 2);
+        CPPUNIT_ASSERT(canaryRequests <= 2);
     }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(RouterTest);
