--- a/src/subscription/configuration_cache.cpp
+++ b/src/subscription/configuration_cache.cpp
@@ -9,14 +9,14 @@
 namespace lichenlanding::subscription {
 namespace {
 
-// A configuration that was asked for and has not come is asked for again after so long.
+// A requested configuration that has not arrived is requested again after this time.
 constexpr Nanos kConfigurationRequestTimeout = 400'000'000;
 
 std::size_t rangeOf(const std::string& id) { return hashing::hash("range", id) % messages::kDigestRanges; }
 
 }  // namespace
 
-// ---- What a control node has from its own sources. ----
+// ---- Updates from a control node's own sources. ----
 
 void ConfigurationCache::setConfiguration(std::uint32_t version, std::string compressed) {
     if (version <= version_) return;
@@ -41,23 +41,23 @@
 
 Json ConfigurationCache::updateEndpoints(const std::vector<discovery::Endpoint>& endpoints,
                                          std::uint64_t term) {
-    // Another control node has the lease by now.
+    // Another control node has acquired the lease.
     if (term < std::max(endpointListVersion_.term, highestTermSeen_)) return nullptr;
     const auto events = endpoints_.eventsTowards(endpoints, 0);
-    const bool first = term > endpointListVersion_.term;
+    const bool firstOfTerm = term > endpointListVersion_.term;
     endpointsCurrent_ = true;
     highestTermSeen_ = term;
-    if (!first && events.empty()) return nullptr;
+    if (!firstOfTerm && events.empty()) return nullptr;
     messages::EndpointsUpdate update;
     update.before = endpointListVersion_;
-    endpointListVersion_ = {term, first ? 1 : endpointListVersion_.sequence + 1};
+    endpointListVersion_ = {term, firstOfTerm ? 1 : endpointListVersion_.sequence + 1};
     update.version = endpointListVersion_;
     for (const auto& event : events) {
         apply(event);
         if (event.removed) update.removed.push_back(event.endpoint.id);
         else update.endpoints.push_back(event.endpoint);
     }
-    if (first) return nullptr;
+    if (firstOfTerm) return nullptr;
     return messages::encode(update);
 }
 
@@ -89,7 +89,7 @@
 }
 
 Json ConfigurationCache::fullEndpointsMessage() const {
-    // Ranges that are not asked for are the same there: they hold nothing, or the copies agree.
+    // Ranges that were not requested need no update: they are empty or equal in both copies.
     messages::EndpointsUpdate update;
     update.version = endpointListVersion_;
     for (const auto& [_, endpoint] : endpoints_.endpoints()) update.endpoints.push_back(endpoint);
@@ -121,72 +121,71 @@
     return true;
 }
 
-// ---- Digests. What theirs has and this copy lacks is asked for; where this copy is newer, its digest goes
-// back, once. ----
+// ---- Digests. Fetches what this copy lacks; if this copy is newer, replies once with its own digest. ----
 
-void ConfigurationCache::compareDigest(const messages::Digest& theirs, MessageSource from, Nanos now,
+void ConfigurationCache::compareDigest(const messages::Digest& remote, MessageSource from, Nanos now,
                                        const Reply& reply) {
-    auto request = missingFrom(theirs, from, now);
-    bool newer = version_ > theirs.configuration || rolloutsNumber_ > theirs.rollouts;
-    if (theirs.endpoints) newer = adoptOrFetchEndpoints(*theirs.endpoints, from, request) || newer;
+    auto request = fetchRequestFor(remote, from, now);
+    bool newer = version_ > remote.configuration || rolloutsNumber_ > remote.rollouts;
+    if (remote.endpoints) newer = adoptOrFetchEndpoints(*remote.endpoints, from, request) || newer;
     else newer = newer || endpointsCurrent_;
     if (!request.empty()) reply(messages::encode(request));
-    if (theirs.isReply) return;
-    // A control node that is behind in its term does not know that its lease has gone to another.
-    const bool theirTermIsOver =
-        endpointsCurrent_ && theirs.endpoints && theirs.endpoints->version.term < endpointListVersion_.term;
-    if (from == MessageSource::controlNode ? !theirTermIsOver : !newer) return;
+    if (remote.isReply) return;
+    // A control node with a lower term does not know yet that another one has acquired its lease.
+    const bool remoteTermIsOutdated =
+        endpointsCurrent_ && remote.endpoints && remote.endpoints->version.term < endpointListVersion_.term;
+    if (from == MessageSource::controlNode ? !remoteTermIsOutdated : !newer) return;
     auto own = digest();
     own.isReply = true;
     reply(messages::encode(own));
 }
 
-messages::FetchRequest ConfigurationCache::missingFrom(const messages::Digest& theirs, MessageSource from,
-                                                       Nanos now) {
+messages::FetchRequest ConfigurationCache::fetchRequestFor(const messages::Digest& remote, MessageSource from,
+                                                           Nanos now) {
     messages::FetchRequest request;
     if (from == MessageSource::subscriber) return request;
-    const bool onItsWay =
-        requestedVersion_ == theirs.configuration && now - requestedAt_ <= kConfigurationRequestTimeout;
-    if (theirs.configuration > version_ && !onItsWay) {
-        request.configuration = requestedVersion_ = theirs.configuration;
+    const bool alreadyRequested =
+        requestedVersion_ == remote.configuration && now - requestedAt_ <= kConfigurationRequestTimeout;
+    if (remote.configuration > version_ && !alreadyRequested) {
+        request.configuration = requestedVersion_ = remote.configuration;
         requestedAt_ = now;
     }
-    request.rollouts = theirs.rollouts > rolloutsNumber_;
+    request.rollouts = remote.rollouts > rolloutsNumber_;
     return request;
 }
 
-// True where this copy has the newer list.
-bool ConfigurationCache::adoptOrFetchEndpoints(const messages::Digest::Endpoints& theirs, MessageSource from,
+// True if this copy has the newer list.
+bool ConfigurationCache::adoptOrFetchEndpoints(const messages::Digest::Endpoints& remote, MessageSource from,
                                                messages::FetchRequest& request) {
     const bool fromSubscriber = from == MessageSource::subscriber;
-    const bool same = theirs.hashes == rangeHashes();
-    highestTermSeen_ = std::max(highestTermSeen_, theirs.version.term);
-    if (fromSubscriber && theirs.version.term > endpointListVersion_.term)
-        endpointsCurrent_ = false;  // the lease has gone to another control node
-    if (!fromSubscriber && isNewerList(theirs.version, from)) {
+    const bool same = remote.hashes == rangeHashes();
+    highestTermSeen_ = std::max(highestTermSeen_, remote.version.term);
+    if (fromSubscriber && remote.version.term > endpointListVersion_.term)
+        endpointsCurrent_ = false;  // another control node has acquired the lease
+    if (!fromSubscriber && isNewerList(remote.version, from)) {
         if (same) {
-            endpointListVersion_ = theirs.version;
+            endpointListVersion_ = remote.version;
             endpointsCurrent_ = true;
         } else {
-            request.endpoints = {theirs.version, idsInDifferingRanges(theirs.hashes)};
+            request.endpoints = {remote.version, idsInDifferingRanges(remote.hashes)};
         }
     }
     return endpointsCurrent_ && !same &&
-           (theirs.version < endpointListVersion_ ||
-            (fromSubscriber && theirs.version == endpointListVersion_));
+           (remote.version < endpointListVersion_ ||
+            (fromSubscriber && remote.version == endpointListVersion_));
 }
 
-// Of one version and not the same: a part has been missed, and a control node's word mends it.
+// Equal versions with different content: this copy has missed an update, and the control node's is right.
 bool ConfigurationCache::isNewerList(const EndpointListVersion& version, MessageSource from) const {
     return !endpointsCurrent_ || version > endpointListVersion_ ||
            (from == MessageSource::controlNode && version == endpointListVersion_);
 }
 
 std::map<std::string, std::vector<std::string>> ConfigurationCache::idsInDifferingRanges(
-    const messages::RangeHashes& theirs) const {
+    const messages::RangeHashes& remote) const {
     std::map<std::string, std::vector<std::string>> ids;
     for (std::size_t range = 0; range < messages::kDigestRanges; ++range)
-        if (theirs[range] != rangeHashes()[range]) ids[std::to_string(range)];
+        if (remote[range] != rangeHashes()[range]) ids[std::to_string(range)];
     for (const auto& [id, _] : endpoints_.endpoints())
         if (const auto range = ids.find(std::to_string(rangeOf(id))); range != ids.end())
             range->second.push_back(id);
@@ -206,23 +205,24 @@
     if (request.configuration && version_ > 0) reply(configurationMessage());
     if (request.rollouts && rolloutsNumber_ >= 0) reply(rolloutsMessage());
     if (!request.endpoints || !endpointsCurrent_) return;
-    // Changed meanwhile, maybe in ranges that were not asked for.
+    // The list has changed since, maybe in ranges that were not requested.
     if (request.endpoints->version != endpointListVersion_) return reply(digestMessage());
     reply(endpointsAnswer(*request.endpoints));
 }
 
 Json ConfigurationCache::endpointsAnswer(const messages::FetchRequest::Endpoints& request) const {
-    std::set<std::string> theirs;
-    for (const auto& [_, ids] : request.held) theirs.insert(ids.begin(), ids.end());
+    std::set<std::string> remoteIds;
+    for (const auto& [_, ids] : request.held) remoteIds.insert(ids.begin(), ids.end());
     messages::EndpointsUpdate update;
     update.version = endpointListVersion_;
     for (const auto& [id, endpoint] : endpoints_.endpoints())
-        if (request.held.contains(std::to_string(rangeOf(id))) && (endpoint.draining || !theirs.contains(id)))
+        if (request.held.contains(std::to_string(rangeOf(id))) &&
+            (endpoint.draining || !remoteIds.contains(id)))
             update.endpoints.push_back(endpoint);
-    // What is not in this version has no place in a copy of it. Removed for good is only what was seen to go:
-    // the other may know an endpoint that is newer than this version.
+    // A copy of this version must not contain other endpoints. But only endpoints whose removal was observed
+    // are removed for good: the receiver may know an endpoint that is newer than this version.
     auto& suspect = update.suspect.emplace();
-    for (const auto& id : theirs)
+    for (const auto& id : remoteIds)
         if (!endpoints_.endpoints().contains(id))
             (endpoints_.hasLeft(id) ? update.removed : suspect).push_back(id);
     return messages::encode(update);
@@ -234,18 +234,18 @@
                                         const Reply& reply) {
     const bool newer = isNewerList(update.version, from);
     for (const auto& endpoint : update.endpoints)
-        // Of an older list only what never goes back is taken.
+        // From an older list only irreversible changes are applied: draining here, removals below.
         if (newer || (endpoint.draining && endpoints_.endpoints().contains(endpoint.id)))
             apply({0, endpoint, false, false});
     removeAll(update.removed, false);
     if (newer && update.suspect) removeAll(*update.suspect, true);
     highestTermSeen_ = std::max(highestTermSeen_, update.version.term);
-    // A change names the version before it, a mended copy does not.
-    const bool missedOne = update.before && (!endpointsCurrent_ || *update.before != endpointListVersion_);
+    // A pushed change names the version before it; the response to a fetch request does not.
+    const bool missedUpdate = update.before && (!endpointsCurrent_ || *update.before != endpointListVersion_);
     if (from == MessageSource::controlNode && update.version.term < endpointListVersion_.term) {
-        reply(digestMessage());  // its lease has gone to another, which it may not know
-    } else if (newer && missedOne) {
-        reply(digestMessage());  // what differs comes back
+        reply(digestMessage());  // another control node has its lease, which it may not know
+    } else if (newer && missedUpdate) {
+        reply(digestMessage());  // the sender replies with what differs
     } else if (newer) {
         endpointListVersion_ = update.version;
         endpointsCurrent_ = true;
--- a/src/subscription/configuration_cache.hpp
+++ b/src/subscription/configuration_cache.hpp
@@ -1,12 +1,11 @@
-/// What a proxy serves by (the configuration, the rollouts, the endpoints), and how its copies are kept the
-/// same. Control nodes push what changes; proxies that watch each other compare digests over ranges of
-/// endpoint ids, and the older copy fetches from the newer. Control nodes and proxies use the same class, so
-/// a proxy that is cut off from every control node gets the same updates from its peers. See
-/// docs/design/peer-updates.md.
+/// A replicated copy of the configuration, the rollouts and the endpoints. Control nodes push updates;
+/// proxies that watch each other run anti-entropy: they compare digests over ranges of endpoint ids, and the
+/// older copy fetches from the newer. Control nodes and proxies use the same class, so a proxy that is cut
+/// off from every control node gets the same updates from its peers. See docs/design/peer-updates.md.
 ///
-/// Pure: time comes in as an argument; messages come and go as JSON values (messages/peer_messages.hpp), in
-/// any order, doubled or lost. Nothing goes back: versions, numbers and list versions only rise, and an
-/// endpoint only goes from ready to draining to removed. No clock tells what is newer. One thread.
+/// Pure: time is an argument; messages are JSON values (messages/peer_messages.hpp) that may be reordered,
+/// duplicated or lost. State is monotonic: versions, numbers and list versions only rise, and an endpoint
+/// only changes from ready to draining to removed. No clock decides what is newer. Not thread-safe.
 #pragma once
 
 #include <functional>
@@ -22,61 +21,62 @@
 
 class ConfigurationCache {
   public:
-    /// Called with each thing that is newer than what was held, before the call that brought it returns. Any
-    /// may be empty.
+    /// Callbacks for each update that is newer than the copy, called before the function that applied it
+    /// returns. Any may be empty.
     struct Subscriber {
-        std::function<void(const std::string& compressed)> onConfiguration;  // bytes as they travel
+        std::function<void(const std::string& compressed)> onConfiguration;  // as transmitted
         std::function<void(const std::string& text)> onRollouts;
         std::function<void(const discovery::EndpointEvent&)> onEndpointEvent;
     };
-    /// Who sent a message. A subscriber (a proxy, to a control node) is told what it lacks and asked for
-    /// nothing: the register and the platform are the control nodes' sources.
+    /// The sender of a message. A subscriber (at a control node: a proxy) receives what it lacks, and nothing
+    /// is fetched from it: control nodes get their state from the register and the platform.
     enum class MessageSource { controlNode, peerProxy, subscriber };
-    /// Sends down the connection that the message came by.
+    /// Sends a message on the connection that the handled message arrived on.
     using Reply = std::function<void(Json)>;
 
     explicit ConfigurationCache(Subscriber subscriber) : subscriber_(std::move(subscriber)) {}
 
-    // ---- What a control node has from its own sources. ----
+    // ---- Updates from a control node's own sources. ----
 
     void setConfiguration(std::uint32_t version, std::string compressed);
-    /// `number` is that of the newest change of any rollout. False where it is not newer than what is held.
+    /// `number` is the highest change number of any rollout. False, without effect, if it is not newer.
     bool setRollouts(std::int64_t number, std::string text);
-    /// A whole list as the platform gave it to the holder of the lease in `term` (from 1). Returns the change
-    /// to be pushed, or null. The first list of a term is told by digestMessage() instead: no copy can chain
-    /// a change to it.
+    /// Applies a complete list, as the platform returned it to the holder of the lease in `term` (from 1).
+    /// Returns the change to push, or null. For the first list of a term push digestMessage() instead: no
+    /// copy follows a list version that the change could be based on.
     Json updateEndpoints(const std::vector<discovery::Endpoint>& endpoints, std::uint64_t term);
-    void markEndpointsStale() { endpointsCurrent_ = false; }  // the list is no longer kept up to date
+    void markEndpointsStale() { endpointsCurrent_ = false; }  // the list is no longer refreshed
 
     // ---- Messages. ----
 
-    /// What is held, in short: told at the start of a connection and from time to time.
+    /// A digest of the copy, sent at the start of a connection and periodically.
     Json digestMessage() const;
     Json versionsMessage() const;  // a digest without the endpoints
     Json rolloutsMessage() const;
     Json fullEndpointsMessage() const;
     Json configurationMessage() const;
-    /// Whether fullEndpointsMessage() answers the fetch request, since its sender holds no endpoints: at a
-    /// start many ask at once, so the caller encodes the answer once for all of them.
+    /// Whether fullEndpointsMessage() answers the fetch request, because its sender has no endpoints. At a
+    /// start many proxies send such requests at once, so the caller encodes the response once for all of
+    /// them.
     bool wantsFullList(const Json& fetchRequest) const;
-    /// Takes digests, fetch requests, and updates of configuration, rollouts and endpoints; false where the
-    /// message is none of these. Throws nlohmann::json::exception on one that cannot be read; nothing of it
-    /// counts then.
+    /// Handles digests, fetch requests, and updates of configuration, rollouts and endpoints; false for any
+    /// other message. Throws nlohmann::json::exception, without any effect, on a message that cannot be
+    /// decoded.
     bool handleMessage(const Json& message, MessageSource from, Nanos now, const Reply& reply);
 
-    std::uint32_t version() const { return version_; }  // of the configuration; 0: none
+    std::uint32_t version() const { return version_; }  // of the configuration; 0: none received
     bool endpointsCurrent() const { return endpointsCurrent_; }
     const EndpointListVersion& endpointListVersion() const { return endpointListVersion_; }
-    std::uint64_t highestTermSeen() const { return highestTermSeen_; }  // own ones among them
+    std::uint64_t highestTermSeen() const { return highestTermSeen_; }  // including this node's own terms
     const discovery::EndpointSet& endpoints() const { return endpoints_; }
 
   private:
-    void compareDigest(const messages::Digest& theirs, MessageSource from, Nanos now, const Reply& reply);
-    messages::FetchRequest missingFrom(const messages::Digest& theirs, MessageSource from, Nanos now);
-    bool adoptOrFetchEndpoints(const messages::Digest::Endpoints& theirs, MessageSource from,
+    void compareDigest(const messages::Digest& remote, MessageSource from, Nanos now, const Reply& reply);
+    messages::FetchRequest fetchRequestFor(const messages::Digest& remote, MessageSource from, Nanos now);
+    bool adoptOrFetchEndpoints(const messages::Digest::Endpoints& remote, MessageSource from,
                                messages::FetchRequest& request);
     std::map<std::string, std::vector<std::string>> idsInDifferingRanges(
-        const messages::RangeHashes& theirs) const;
+        const messages::RangeHashes& remote) const;
     void answerFetch(const messages::FetchRequest& request, const Reply& reply) const;
     Json endpointsAnswer(const messages::FetchRequest::Endpoints& request) const;
     void applyEndpoints(const messages::EndpointsUpdate& update, MessageSource from, const Reply& reply);
@@ -92,10 +92,10 @@
     std::int64_t rolloutsNumber_ = -1;
     std::string rollouts_;
     discovery::EndpointSet endpoints_;
-    EndpointListVersion endpointListVersion_;  // of the list that the copy follows
+    EndpointListVersion endpointListVersion_;  // of the list that the copy is based on
     std::uint64_t highestTermSeen_ = 0;
     bool endpointsCurrent_ = false;
-    std::uint32_t requestedVersion_ = 0;  // of the configuration, last asked for
+    std::uint32_t requestedVersion_ = 0;  // version of the configuration fetched last
     Nanos requestedAt_ = 0;
     mutable messages::RangeHashes rangeHashes_{};
     mutable bool rangeHashesCurrent_ = true;
--- a/src/subscription/quorum_contact.cpp
+++ b/src/subscription/quorum_contact.cpp
@@ -8,21 +8,21 @@
 QuorumContact::Change QuorumContact::onControlNodeMessage(const std::string& controlNode, bool confirmed,
                                                           Nanos now) {
     controlNodes_[controlNode] = confirmed;
-    return changed(now);
+    return reevaluate(now);
 }
 
 QuorumContact::Change QuorumContact::onControlNodeDisconnected(const std::string& controlNode, Nanos now) {
     controlNodes_.erase(controlNode);
-    return changed(now);
+    return reevaluate(now);
 }
 
-bool QuorumContact::reached() const {
+bool QuorumContact::reachesQuorumContact() const {
     return std::any_of(controlNodes_.begin(), controlNodes_.end(),
-                       [](const auto& one) { return one.second; });
+                       [](const auto& node) { return node.second; });
 }
 
-QuorumContact::Change QuorumContact::changed(Nanos now) {
-    if (reached()) {
+QuorumContact::Change QuorumContact::reevaluate(Nanos now) {
+    if (reachesQuorumContact()) {
         unconfirmedSince_ = -1, fallbackRequested_ = false;
         return std::exchange(reportedUnconfirmed_, false) ? Change::confirmed : Change::none;
     }
@@ -31,15 +31,15 @@
     return std::exchange(reportedUnconfirmed_, true) ? Change::none : Change::unconfirmed;
 }
 
-bool QuorumContact::acceptsUpdates(bool confirmed, bool holding, Nanos now) {
-    if (confirmed || holding) return true;
-    if (unconfirmedSince_ < 0 && !reached())
-        unconfirmedSince_ = now;  // another proxy's, with no control node in reach
+bool QuorumContact::acceptsUpdates(bool confirmed, bool hasConfiguration, Nanos now) {
+    if (confirmed || hasConfiguration) return true;
+    if (unconfirmedSince_ < 0 && !reachesQuorumContact())
+        unconfirmedSince_ = now;  // from another proxy, while no control node is connected
     return hasWaitedLongEnough(now);
 }
 
-bool QuorumContact::waitElapsed(bool holding, Nanos now) {
-    if (fallbackRequested_ || holding || !hasWaitedLongEnough(now)) return false;
+bool QuorumContact::waitElapsed(bool hasConfiguration, Nanos now) {
+    if (fallbackRequested_ || hasConfiguration || !hasWaitedLongEnough(now)) return false;
     return fallbackRequested_ = true;
 }
 
--- a/src/subscription/quorum_contact.hpp
+++ b/src/subscription/quorum_contact.hpp
@@ -1,12 +1,12 @@
-/// Whether a proxy goes by what it is told.
+/// Decides whether a proxy accepts the updates it receives.
 ///
-/// A control node that is out of contact with a majority says so in each message (the field "sure" is false):
-/// what it tells was in force once, and may be so no more. For a proxy that holds a configuration this does
-/// no harm: it takes what is higher than its own, as always, and nothing else. One that holds none cannot
-/// tell how old such updates are, and takes them only where after a short wait no control node in contact is
-/// in reach.
+/// A control node without contact to a majority marks its messages as unconfirmed (the field "sure" is
+/// false): their content was in force once, but may be outdated. That is harmless for a proxy that has a
+/// configuration: as always it applies only what is newer than its own. A proxy without one cannot tell how
+/// old such updates are, and accepts them only if, after a short wait, it reaches no control node with quorum
+/// contact.
 ///
-/// Pure; one thread: steady time comes in as an argument.
+/// Pure: steady time is an argument. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -18,35 +18,35 @@
 
 class QuorumContact {
   public:
-    /// For a control node in contact, from when unconfirmed updates could first be had.
+    /// How long to wait for a control node with quorum contact once only unconfirmed updates are available.
     static constexpr Nanos kUnconfirmedWait = 1'500'000'000;
-    /// Of whether any control node in contact with a majority is in reach.
+    /// The change of whether any connected control node has quorum contact.
     enum class Change { none, unconfirmed, confirmed };
 
-    /// `confirmed`: the control node says that it is in contact with a majority.
+    /// `confirmed`: the control node states that it has contact to a majority.
     Change onControlNodeMessage(const std::string& controlNode, bool confirmed, Nanos now);
     Change onControlNodeDisconnected(const std::string& controlNode, Nanos now);
-    /// Whether a message is looked at. `confirmed`: its sender, a control node or a proxy, says that what it
-    /// tells is. `holding`: this proxy has a configuration already.
-    bool acceptsUpdates(bool confirmed, bool holding, Nanos now);
-    /// What is held has come, or was confirmed, by a confirmed message.
+    /// Whether to process a message. `confirmed`: its sender, a control node or a proxy, marked it as
+    /// confirmed. `hasConfiguration`: this proxy already has a configuration.
+    bool acceptsUpdates(bool confirmed, bool hasConfiguration, Nanos now);
+    /// With true: the proxy's state was received in or confirmed by a confirmed message.
     void markConfirmed(bool confirmed) { confirmed_ = confirmed_ || confirmed; }
-    /// True once, when the wait is over: the control nodes in reach are to be asked again.
-    bool waitElapsed(bool holding, Nanos now);
+    /// True once, when the wait is over: request the state again from the connected control nodes.
+    bool waitElapsed(bool hasConfiguration, Nanos now);
     bool isConfirmed() const { return confirmed_; }
 
   private:
-    Change changed(Nanos now);
+    Change reevaluate(Nanos now);
     bool hasWaitedLongEnough(Nanos now) const {
         return unconfirmedSince_ >= 0 && now - unconfirmedSince_ >= kUnconfirmedWait;
     }
-    bool reached() const;
+    bool reachesQuorumContact() const;
 
-    std::map<std::string, bool> controlNodes_;  // in reach, and whether each is in contact
-    bool confirmed_ = false;                    // what is held was told by one in contact
-    bool reportedUnconfirmed_ = false;          // by the last Change
+    std::map<std::string, bool> controlNodes_;  // connected ones, and whether each has quorum contact
+    bool confirmed_ = false;                    // see markConfirmed()
+    bool reportedUnconfirmed_ = false;          // the last Change reported was `unconfirmed`
     bool fallbackRequested_ = false;
-    Nanos unconfirmedSince_ = -1;  // since when only unconfirmed updates could be had
+    Nanos unconfirmedSince_ = -1;  // since when only unconfirmed updates are available; -1: not
 };
 
 }  // namespace lichenlanding::subscription
--- a/tests/subscription/catching_up.cpp
+++ b/tests/subscription/catching_up.cpp
@@ -1,6 +1,6 @@
-// Catching up costs what is held, not what has happened: bytes and messages of a restarted control node and a
-// restarted proxy after 10, 300 and 1,100 changes; and a configuration of 24,000 routes, squeezed, on a slow
-// line. Counted, never timed.
+// The cost of catching up depends on the size of the state, not on the number of changes: bytes and messages
+// of a restarted control node and a restarted proxy after 10, 300 and 1,100 changes; and the compressed size
+// of a configuration of 24,000 routes on a slow link. Costs are counted, not timed.
 #include <iostream>
 #include <random>
 
@@ -20,15 +20,15 @@
     void add(const Json& message) { ++messages, bytes += PeerConnection::encode(message)->size(); }
 };
 
-// A value that squeezes to nothing much, of one size whichever change it is.
+// An incompressible value, of the same size for every change.
 std::string valueOf(int change) {
     std::string value(20'000, 'v');
-    std::mt19937 chance(static_cast<unsigned>(change));
-    for (auto& letter : value) letter = static_cast<char>(chance());
+    std::mt19937 random(static_cast<unsigned>(change));
+    for (auto& byte : value) byte = static_cast<char>(random());
     return value;
 }
 
-// Much as operators' configurations are, as large as wanted.
+// A realistic configuration with `routes` routes.
 std::string configuration(int routes) {
     std::string all = R"({"config_version":"0000000c","resources":[)";
     for (int at = 0; at < routes; ++at) {
@@ -48,7 +48,7 @@
     return all + "}";
 }
 
-// What a proxy and a control node exchange when it has come up.
+// The cost of the exchange between a control node and a proxy that has just connected.
 Cost exchange(ConfigurationCache& controlNode, ConfigurationCache& proxy) {
     Cost cost;
     subscription_fixture::deliver(controlNode, proxy, controlNode.digestMessage(),
@@ -59,8 +59,9 @@
 
 constexpr int kChanges[] = {10, 300, 1100};
 
-// Bounds that know nothing of how many changes there were.
-void flat(const std::string& what, const std::vector<Cost>& costs, std::size_t messages, std::size_t bytes) {
+// Checks the costs for all numbers of changes against the same bounds.
+void expectBounded(const std::string& what, const std::vector<Cost>& costs, std::size_t messages,
+                   std::size_t bytes) {
     for (const auto& cost : costs) {
         std::cerr << "  catching up, " << what << ": " << cost.messages << " messages, " << cost.bytes
                   << " bytes\n";
@@ -86,14 +87,15 @@
                    return cluster.replica(at).isVotingMember();
                });
     }
-    // Asked again where there is no contact yet.
+    // Repeats the write until there is quorum contact.
     static void change(Cluster& cluster, int at, const std::string& to) {
-        cluster.until("a change is taken", [&] { return cluster.write(at, to, kSecond) == to; });
+        cluster.until("a change is accepted", [&] { return cluster.write(at, to, kSecond) == to; });
     }
 
   public:
-    // The third of three machines is away while the two others take all changes. It comes back with its old
-    // disk, or an empty one, and knows the newest: what it and they heard until then is counted.
+    // The third of three machines is down while the two others accept all changes. It comes back with its old
+    // disk or an empty one. Counts the messages that it and the others exchange until it has the newest
+    // value.
     void controlNodes() {
         for (const bool empty : {false, true}) {
             std::vector<Cost> costs;
@@ -103,18 +105,18 @@
                     Cluster before(3, 3);
                     before.until("all three vote", [&] { return votes(before, {0, 1, 2}); });
                     change(before, 0, valueOf(0));
-                    before.until("all three have it", [&] {
+                    before.until("all three have the value", [&] {
                         return std::all_of(before.members.begin(), before.members.end(),
                                            [&](const auto& member) { return !value(*member).empty(); });
                     });
-                    // They go down; their disks outlive them.
+                    // The processes end; their disks are kept.
                     machines.port = before.port, machines.disks.swap(before.disks);
                 }
                 for (const int at : {0, 1}) machines.launch(at, false);
                 for (int number = 1; number <= count; ++number) change(machines, number % 2, valueOf(number));
                 if (empty) machines.disks[2].restore({});
                 const auto newest = valueOf(count);
-                machines.until("what the two had to say to each other is over", [&] {
+                machines.until("the two others have the newest value", [&] {
                     return value(*machines.members[0]) == newest && value(*machines.members[1]) == newest;
                 });
                 machines.launch(2, false);
@@ -123,62 +125,62 @@
                 for (const auto& member : machines.members)
                     member->overheard = [&cost, third, all = member->at() == third](
                                             const PeerConnection& link, const Json& message) {
-                        // Pings say that one is there, whatever there is to catch up with.
+                        // Pings are sent regardless of what there is to catch up with.
                         const bool ping = message.at("t") == "ping" || message.at("t") == "pong";
                         if ((all || link.peer == third) && !ping) cost.add(message);
                     };
-                machines.until("the third knows the newest",
+                machines.until("the third has the newest value",
                                [&] { return value(*machines.members[2]) == newest && votes(machines, {2}); });
             }
-            // Rounds that meet one another begin anew, so counts differ a little from run to run.
-            flat(empty ? "control node, empty disk" : "control node, old disk", costs, 100,
-                 15 * valueOf(0).size());
+            // Proposals that collide are repeated, so the counts vary slightly between runs.
+            expectBounded(empty ? "control node, empty disk" : "control node, old disk", costs, 100,
+                          15 * valueOf(0).size());
         }
     }
 
-    // A proxy that starts, and one that comes back with the news of before, after so many changes of the
-    // configuration and as many of the list (40 pods at any time, each replaced in turn).
+    // A new proxy, and one that reconnects with old state, after a number of changes of the configuration and
+    // as many of the list (40 pods at any time, each replaced in turn).
     void proxies() {
         std::vector<Cost> empty;
         std::vector<Cost> old;
         for (const int count : kChanges) {
             ConfigurationCache controlNode{{}};
-            ConfigurationCache away{{}};
+            ConfigurationCache reconnecting{{}};
             controlNode.setConfiguration(1, valueOf(0));
             controlNode.setRollouts(0, "[]");
             controlNode.updateEndpoints(pods(10'000, 10'040), 1);
-            exchange(controlNode, away);
+            exchange(controlNode, reconnecting);
             for (int change = 1; change <= count; ++change) {
                 controlNode.setConfiguration(static_cast<std::uint32_t>(change + 1), valueOf(change));
                 controlNode.setRollouts(change, "[]");
                 controlNode.updateEndpoints(pods(10'000 + change, 10'040 + change),
                                             1 + static_cast<std::uint64_t>(change) / 100);
             }
-            ConfigurationCache fresh{{}};
-            empty.push_back(exchange(controlNode, fresh));
-            old.push_back(exchange(controlNode, away));
-            for (const auto* one : {&fresh, &away}) {
+            ConfigurationCache newProxy{{}};
+            empty.push_back(exchange(controlNode, newProxy));
+            old.push_back(exchange(controlNode, reconnecting));
+            for (const auto* one : {&newProxy, &reconnecting}) {
                 CPPUNIT_ASSERT(one->digestMessage() == controlNode.digestMessage());
                 CPPUNIT_ASSERT(one->endpoints().endpoints() == controlNode.endpoints().endpoints());
             }
         }
-        flat("proxy, empty", empty, 5, 21'000);
-        flat("proxy, with old updates", old, 5, 22'000);
+        expectBounded("proxy, empty", empty, 5, 21'000);
+        expectBounded("proxy, with old updates", old, 5, 22'000);
     }
 
-    // 24,000 routes: their size on disks and links, and that they are read.
+    // 24,000 routes: their size on disk and on the wire, and that they are parsed.
     void largeConfiguration() {
         const auto body = configuration(24'000);
         const auto compressed = compress(body);
         const auto packed = PeerConnection::encode(
             Json{{"t", "configuration"}, {"squeezed", messages::encodeBytes(compressed)}});
-        std::cerr << "  24,000 routes: " << body.size() << " bytes, squeezed " << compressed.size()
+        std::cerr << "  24,000 routes: " << body.size() << " bytes, compressed " << compressed.size()
                   << ", as a message " << packed->size() << "\n";
         CPPUNIT_ASSERT(compressed.size() * 8 < body.size());
-        CPPUNIT_ASSERT(packed->size() > kMaxUnchunkedBytes);  // so it goes in pieces
+        CPPUNIT_ASSERT(packed->size() > kMaxUnchunkedBytes);  // so it is sent in chunks
         CPPUNIT_ASSERT_EQUAL(std::size_t(24'000),
                              config::Configuration::parse(decompress(compressed)).routes.size());
-        // Proxies of a zone on lines of 2 Mbit/s have it in this time, beside all else.
+        // The transfer time to a proxy on a link of 2 Mbit/s.
         const auto seconds = static_cast<double>(packed->size()) * 8 / 2e6;
         CPPUNIT_ASSERT(seconds < 3);
     }
--- a/tests/support/subscription_fixture.hpp
+++ b/tests/support/subscription_fixture.hpp
@@ -1,4 +1,4 @@
-/// Lists of endpoints, and configuration caches that exchange messages, without connections or time.
+/// Builds lists of endpoints and lets configuration caches exchange messages, without connections or time.
 #pragma once
 
 #include "subscription/configuration_cache.hpp"
@@ -22,8 +22,8 @@
     return all;
 }
 
-/// Delivers a message of a control node to a proxy, or of a proxy to another, and all answers to it, both
-/// ways until there are no more; `each` is shown every message.
+/// Delivers a message from a control node to a proxy, or from one proxy to another, and then all replies in
+/// both directions until there are none. Calls `each` with every message.
 inline void deliver(
     ConfigurationCache& from, ConfigurationCache& to, Json message,
     ConfigurationCache::MessageSource role = ConfigurationCache::MessageSource::controlNode,
@@ -32,16 +32,16 @@
     const auto other = role == ConfigurationCache::MessageSource::controlNode
                            ? ConfigurationCache::MessageSource::subscriber
                            : ConfigurationCache::MessageSource::peerProxy;
-    std::vector<Json> way{std::move(message)};
-    for (bool forth = true; !way.empty(); forth = !forth) {
-        std::vector<Json> back;
-        for (const auto& one : way) {
-            each(one);
-            (forth ? to : from).handleMessage(one, forth ? role : other, 1'000'000'000, [&](Json reply) {
-                back.push_back(std::move(reply));
-            });
+    std::vector<Json> pending{std::move(message)};
+    for (bool forward = true; !pending.empty(); forward = !forward) {
+        std::vector<Json> replies;
+        for (const auto& current : pending) {
+            each(current);
+            (forward ? to : from)
+                .handleMessage(current, forward ? role : other, 1'000'000'000,
+                               [&](Json reply) { replies.push_back(std::move(reply)); });
         }
-        way = std::move(back);
+        pending = std::move(replies);
     }
 }
 
