--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -36,18 +36,20 @@
 
 Json encode(const consensus::Epoch& epoch) {
     Json members = Json::array();
-    for (const auto& one : epoch.members)
-        members.push_back(
-            {{kAddress, one.address}, {kDisk, one.disk}, {kZone, one.zone}, {kRegion, one.region}});
+    for (const auto& member : epoch.members)
+        members.push_back({{kAddress, member.address},
+                           {kDisk, member.disk},
+                           {kZone, member.zone},
+                           {kRegion, member.region}});
     return {{kNumber, epoch.number}, {kMembers, std::move(members)}};
 }
 
-consensus::Epoch decodeEpoch(const Json& from) {
+consensus::Epoch decodeEpoch(const Json& json) {
     consensus::Epoch epoch;
-    from.at(kNumber).get_to(epoch.number);
-    for (const auto& one : from.at(kMembers))
-        epoch.members.push_back({one.at(kAddress).get<std::string>(), one.at(kDisk).get<std::string>(),
-                                 one.at(kZone).get<std::string>(), one.at(kRegion).get<std::string>()});
+    json.at(kNumber).get_to(epoch.number);
+    for (const auto& member : json.at(kMembers))
+        epoch.members.push_back({member.at(kAddress).get<std::string>(), member.at(kDisk).get<std::string>(),
+                                 member.at(kZone).get<std::string>(), member.at(kRegion).get<std::string>()});
     return epoch;
 }
 
@@ -58,12 +60,12 @@
     return encoded;
 }
 
-consensus::EpochState decodeEpochState(const Json& from) {
+consensus::EpochState decodeEpochState(const Json& json) {
     consensus::EpochState state;
-    state.epoch = decodeEpoch(from.at(kEpoch));
-    from.at(kOpen).get_to(state.open);
-    if (from.contains(kNext)) state.next = decodeEpoch(from.at(kNext));
-    if (from.contains(kBefore)) state.before = decodeEpoch(from.at(kBefore));
+    state.epoch = decodeEpoch(json.at(kEpoch));
+    json.at(kOpen).get_to(state.open);
+    if (json.contains(kNext)) state.next = decodeEpoch(json.at(kNext));
+    if (json.contains(kBefore)) state.before = decodeEpoch(json.at(kBefore));
     return state;
 }
 
@@ -82,27 +84,27 @@
     return encoded;
 }
 
-consensus::Request decodeRequest(const Json& from) {
+consensus::Request decodeRequest(const Json& json) {
     consensus::Request request;
-    const auto kind = from.at(kKind).get<int>();
+    const auto kind = json.at(kKind).get<int>();
     request.kind = static_cast<consensus::Request::Kind>(kind);
-    from.at(kEpoch).get_to(request.epoch);
-    if (from.contains(kKey)) from.at(kKey).get_to(request.key);
-    if (from.contains(kProposalNumber))
-        request.proposalNumber = messages::decodeProposalNumber(from.at(kProposalNumber));
+    json.at(kEpoch).get_to(request.epoch);
+    if (json.contains(kKey)) json.at(kKey).get_to(request.key);
+    if (json.contains(kProposalNumber))
+        request.proposalNumber = messages::decodeProposalNumber(json.at(kProposalNumber));
     if (request.kind == consensus::Request::Kind::accept)
-        request.value = messages::decodeBytes(from.at(kValue));
-    if (from.contains(kHeldNumber)) request.held = messages::decodeProposalNumber(from.at(kHeldNumber));
-    if (from.contains(kHeldNumbers))
-        for (const auto& [key, proposalNumber] : from.at(kHeldNumbers).items())
+        request.value = messages::decodeBytes(json.at(kValue));
+    if (json.contains(kHeldNumber)) request.held = messages::decodeProposalNumber(json.at(kHeldNumber));
+    if (json.contains(kHeldNumbers))
+        for (const auto& [key, proposalNumber] : json.at(kHeldNumbers).items())
             request.holds[key] = messages::decodeProposalNumber(proposalNumber);
-    if (from.contains(kSuccessor)) request.to = decodeEpoch(from.at(kSuccessor));
-    if (from.contains(kPredecessor)) request.from = decodeEpoch(from.at(kPredecessor));
-    if (from.contains(kOpen)) from.at(kOpen).get_to(request.open);
+    if (json.contains(kSuccessor)) request.to = decodeEpoch(json.at(kSuccessor));
+    if (json.contains(kPredecessor)) request.from = decodeEpoch(json.at(kPredecessor));
+    if (json.contains(kOpen)) json.at(kOpen).get_to(request.open);
     using Kind = consensus::Request::Kind;
     const bool changesEpoch = request.kind == Kind::seal || request.kind == Kind::install;
     if (kind < 0 || kind > static_cast<int>(Kind::install) || changesEpoch != request.to.has_value())
-        from.at("no such request");  // throws: the field is never there
+        json.at("valid kind and successor epoch");  // always throws: there is no such field
     return request;
 }
 
@@ -115,17 +117,17 @@
     return encoded;
 }
 
-consensus::Reply decodeReply(const Json& from) {
+consensus::Reply decodeReply(const Json& json) {
     consensus::Reply reply;
-    from.at(kRejected).get_to(reply.rejected);
-    from.at(kAccepted).get_to(reply.accepted);
-    from.at(kEpoch).get_to(reply.epoch);
-    from.at(kSealed).get_to(reply.sealed);
-    from.at(kWrites).get_to(reply.writes);
-    reply.state = messages::decodeRegisterState(from.at(kState));
-    reply.valueOmitted = from.contains(kValueOmitted);
-    if (from.contains(kStates))
-        for (const auto& [key, state] : from.at(kStates).items())
+    json.at(kRejected).get_to(reply.rejected);
+    json.at(kAccepted).get_to(reply.accepted);
+    json.at(kEpoch).get_to(reply.epoch);
+    json.at(kSealed).get_to(reply.sealed);
+    json.at(kWrites).get_to(reply.writes);
+    reply.state = messages::decodeRegisterState(json.at(kState));
+    reply.valueOmitted = json.contains(kValueOmitted);
+    if (json.contains(kStates))
+        for (const auto& [key, state] : json.at(kStates).items())
             reply.states[key] = messages::decodeRegisterState(state);
     return reply;
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -15,59 +15,60 @@
     return std::find(members.begin(), members.end(), member) != members.end();
 }
 
-// Whether the loss of the `lost` places with most members leaves more than half of all members.
-template <typename Place>
-bool survives(const Members& members, int lost, Place place) {
+// Whether more than half of the members remain after the loss of the `lost` failure domains with most
+// members.
+template <typename DomainOf>
+bool survives(const Members& members, int lost, DomainOf domainOf) {
     std::map<std::string, std::size_t> counts;
-    for (const auto& member : members) ++counts[place(member)];
+    for (const auto& member : members) ++counts[domainOf(member)];
     std::vector<std::size_t> largest;
     for (const auto& [_, count] : counts) largest.push_back(count);
     std::sort(largest.rbegin(), largest.rend());
-    std::size_t gone = 0;
-    for (std::size_t at = 0; at < largest.size() && at < static_cast<std::size_t>(lost); ++at)
-        gone += largest[at];
-    return 2 * gone < members.size();
+    std::size_t lostMembers = 0;
+    for (std::size_t index = 0; index < largest.size() && index < static_cast<std::size_t>(lost); ++index)
+        lostMembers += largest[index];
+    return 2 * lostMembers < members.size();
 }
 
-// So many of `pool`, spread: always one from the region, then the zone, that has the fewest yet.
-Members spread(const Members& pool, std::size_t count, const Members& now) {
+// Chooses `count` members from `pool`, one at a time from the region, then the zone, with the fewest so far.
+Members spread(const Members& pool, std::size_t count, const Members& current) {
     Members chosen;
-    Members left = pool;
+    Members remaining = pool;
     std::map<std::string, int> zones;
     std::map<std::string, int> regions;
-    while (chosen.size() < count && !left.empty()) {
+    while (chosen.size() < count && !remaining.empty()) {
         const auto rank = [&](const consensus::Member& one) {
-            return std::tuple(regions[one.region], zones[one.zone], !contains(now, one),
+            return std::tuple(regions[one.region], zones[one.zone], !contains(current, one),
                               hashing::hash("member", one.address), one.disk);
         };
-        const auto best = std::min_element(left.begin(), left.end(), [&](const auto& one, const auto& other) {
-            return rank(one) < rank(other);
-        });
+        const auto best =
+            std::min_element(remaining.begin(), remaining.end(),
+                             [&](const auto& one, const auto& other) { return rank(one) < rank(other); });
         ++regions[best->region];
         ++zones[best->zone];
         chosen.push_back(*best);
-        left.erase(best);
+        remaining.erase(best);
     }
     return chosen;
 }
 
-// Those that can be members, in order: present, and complete or members already.
-Members eligible(const Members& now, const std::vector<Candidate>& candidates) {
+// The machines that can be members, sorted: present, and complete or already members.
+Members eligible(const Members& current, const std::vector<Candidate>& candidates) {
     Members pool;
     for (const auto& candidate : candidates)
-        if (candidate.present && (candidate.complete || contains(now, candidate.member)))
+        if (candidate.present && (candidate.complete || contains(current, candidate.member)))
             pool.push_back(candidate.member);
     std::sort(pool.begin(), pool.end());
     return pool;
 }
 
-// The smallest number of members with the fewest unmet losses.
-Members smallestSet(const Members& pool, const Members& now, const FaultTolerance& tolerance) {
-    const auto least = static_cast<std::size_t>(2 * std::max(tolerance.machines, 0) + 1);
+// The smallest set with the fewest losses that it does not survive.
+Members smallestSet(const Members& pool, const Members& current, const FaultTolerance& tolerance) {
+    const auto minimum = static_cast<std::size_t>(2 * std::max(tolerance.machines, 0) + 1);
     Members chosen;
     std::size_t fewestUnmet = 0;
-    for (auto count = least; count <= std::max(least, pool.size()); count += 2) {
-        auto members = spread(pool, count, now);
+    for (auto count = minimum; count <= std::max(minimum, pool.size()); count += 2) {
+        auto members = spread(pool, count, current);
         const auto unmet = unmetTolerance(members, tolerance).size();
         if (chosen.empty() || unmet < fewestUnmet) {
             chosen = std::move(members);
@@ -81,31 +82,31 @@
 }  // namespace
 
 std::vector<std::string> unmetTolerance(const Members& members, const FaultTolerance& tolerance) {
-    std::vector<std::string> all;
-    const auto check = [&](int lost, const char* kind, auto place) {
-        if (lost > 0 && !survives(members, lost, place))
-            all.push_back(std::to_string(lost) + " " + kind + (lost > 1 ? "s" : ""));
+    std::vector<std::string> losses;
+    const auto check = [&](int lost, const char* kind, auto domainOf) {
+        if (lost > 0 && !survives(members, lost, domainOf))
+            losses.push_back(std::to_string(lost) + " " + kind + (lost > 1 ? "s" : ""));
     };
     check(tolerance.machines, "machine", [](const consensus::Member& one) { return one.address; });
     check(tolerance.zones, "zone", [](const consensus::Member& one) { return one.zone; });
     check(tolerance.regions, "region", [](const consensus::Member& one) { return one.region; });
-    return all;
+    return losses;
 }
 
-Members planMembers(const Members& now, const std::vector<Candidate>& candidates,
+Members planMembers(const Members& current, const std::vector<Candidate>& candidates,
                     const FaultTolerance& tolerance) {
-    const auto pool = eligible(now, candidates);
-    auto chosen = smallestSet(pool, now, tolerance);
-    // Where the machines at hand are too few, absent members keep their places.
-    for (const auto& member : now) {
-        if (chosen.size() >= std::max(now.size(), std::size_t{1})) break;
+    const auto pool = eligible(current, candidates);
+    auto chosen = smallestSet(pool, current, tolerance);
+    // If too few machines are available, absent members stay.
+    for (const auto& member : current) {
+        if (chosen.size() >= std::max(current.size(), std::size_t{1})) break;
         if (!contains(chosen, member)) chosen.push_back(member);
     }
-    // What would not have a majority of its own at once is no plan.
-    const auto live = std::count_if(chosen.begin(), chosen.end(), [&](const auto& one) {
+    // A set without a majority of present members could not decide anything: keep the current members.
+    const auto presentMembers = std::count_if(chosen.begin(), chosen.end(), [&](const auto& one) {
         return std::binary_search(pool.begin(), pool.end(), one);
     });
-    if (2 * static_cast<std::size_t>(live) <= chosen.size()) return now;
+    if (2 * static_cast<std::size_t>(presentMembers) <= chosen.size()) return current;
     std::sort(chosen.begin(), chosen.end());
     return chosen;
 }
--- a/src/membership/membership.hpp
+++ b/src/membership/membership.hpp
@@ -1,7 +1,7 @@
-/// Which machines should be members of the register, and which losses a set of members survives: decided from
-/// what the settings say may be lost at once and from the machines at hand.
+/// Plans which machines should be members of the register, given the available machines and the fault
+/// tolerance in the settings, and checks which losses a set of members survives.
 ///
-/// Pure and thread-safe. How a change of the members is agreed is src/consensus's.
+/// Pure and thread-safe. Agreement on a change of the members is in src/consensus.
 #pragma once
 
 #include <string>
@@ -11,29 +11,29 @@
 
 namespace lichenlanding::membership {
 
-/// What may be lost at once with all guarantees kept: so many machines, or zones, or regions. Each 0 or more.
+/// The losses to survive with all guarantees kept: this number of machines, or zones, or regions at once.
+/// Each 0 or more.
 struct FaultTolerance {
     int machines = 0, zones = 0, regions = 0;
 };
 
-/// A machine that could be a member, as the one who plans sees it.
+/// A machine that could be a member, as seen by the planning replica.
 struct Candidate {
     consensus::Member member;
-    bool complete = false;  ///< its disk holds all values in force, synced
-    bool present = false;   ///< heard of late, and not about to leave
+    bool complete = false;  ///< its disk has all current values, synced
+    bool present = false;   ///< a message arrived from it recently, and it is not leaving
 };
 
-/// One entry for each kind of loss that these members don't survive, such as "1 zone".
+/// One entry, such as "1 zone", for each kind of loss in `tolerance` that these members don't survive.
 std::vector<std::string> unmetTolerance(const std::vector<consensus::Member>& members,
                                         const FaultTolerance& tolerance);
 
-/// The members that there should be, in order of address: as few as survive what `tolerance` names, spread
-/// over regions and zones, those of `now` before others.
+/// The planned members, ordered by address: the smallest set that survives the losses in `tolerance`, spread
+/// over regions and zones, preferring members of `current`.
 ///
-/// A place is never given up for nothing: an absent member stays until another that is complete replaces it,
-/// and the number of members never falls. Where not every loss can be survived, machines go before zones and
-/// regions.
-std::vector<consensus::Member> planMembers(const std::vector<consensus::Member>& now,
+/// An absent member stays until a complete candidate replaces it, and the number of members never falls. If
+/// not every loss can be survived, the loss of machines has priority over that of zones and regions.
+std::vector<consensus::Member> planMembers(const std::vector<consensus::Member>& current,
                                            const std::vector<Candidate>& candidates,
                                            const FaultTolerance& tolerance);
 
--- a/tests/membership/founding.cpp
+++ b/tests/membership/founding.cpp
@@ -1,6 +1,6 @@
-// How a register begins: founded once, whatever is killed on the way; from a store of before there were
-// epochs; or by the operator's command, when a majority is lost. Real replicas and connections, scripted
-// disks.
+// How a register is founded: exactly once, even if processes are killed meanwhile; from stores written before
+// there were epochs; or by the operator's command after the loss of a majority. Real replicas and
+// connections, simulated disks.
 #include <unistd.h>
 
 #include <cstdlib>
@@ -17,7 +17,7 @@
     return {name, "d-" + name, zone, region};
 }
 
-std::vector<membership::Candidate> all(const std::vector<consensus::Member>& members) {
+std::vector<membership::Candidate> candidatesOf(const std::vector<consensus::Member>& members) {
     std::vector<membership::Candidate> candidates;
     for (const auto& member : members) candidates.push_back({member, true, true});
     return candidates;
@@ -28,16 +28,16 @@
 class FoundingTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(FoundingTest);
     CPPUNIT_TEST(foundsOneRegisterOfFiveMachines);
-    CPPUNIT_TEST(foundsOneRegisterWhereAZoneMayBeLost);
-    CPPUNIT_TEST(foundsWithMembersThatAreNoSeeds);
+    CPPUNIT_TEST(foundsOneRegisterToleratingALostZone);
+    CPPUNIT_TEST(foundsWithMembersThatAreNotSeeds);
     CPPUNIT_TEST(foundsOneRegisterThroughKills);
-    CPPUNIT_TEST(guessesNothingFromEmptySeeds);
+    CPPUNIT_TEST(foundsNothingFromEmptySeeds);
     CPPUNIT_TEST(decidesNothingWithoutAMajority);
     CPPUNIT_TEST(readsStoresFromBeforeEpochs);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // Five machines, one to be lost: one register of three, whoever hears of whom first.
+    // Five machines that must tolerate the loss of one found one register of three, in any order of contact.
     void foundsOneRegisterOfFiveMachines() {
         Cluster cluster(5);
         for (const int at : {3, 0, 4, 2, 1}) cluster.launch(at, true);
@@ -46,14 +46,14 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(0).members().size());
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(4, "one"));
         for (int at = 0; at < 5; ++at) CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(at));
-        // Spares count for nothing.
-        int votes = 0;
-        for (int at = 0; at < 5; ++at) votes += cluster.replica(at).isVotingMember();
-        CPPUNIT_ASSERT_EQUAL(3, votes);
+        // Spares don't vote.
+        int votingMembers = 0;
+        for (int at = 0; at < 5; ++at) votingMembers += cluster.replica(at).isVotingMember();
+        CPPUNIT_ASSERT_EQUAL(3, votingMembers);
     }
 
-    // No machine but a zone to be lost: still one register, not one for each.
-    void foundsOneRegisterWhereAZoneMayBeLost() {
+    // Tolerance for the loss of a zone, but of no machine: still one register, not one for each machine.
+    void foundsOneRegisterToleratingALostZone() {
         Cluster cluster(3);
         cluster.tolerance = [](config::BootstrapSettings& boot) {
             boot.machinesLost = 0, boot.zonesLost = 1;
@@ -68,28 +68,28 @@
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(2, "two"));
     }
 
-    // The founders decide on three machines that are no seeds: these have linked to the seeds alone, and
-    // nobody was told to link to them. Whom the plan takes depends on the port, so it is looked for.
-    void foundsWithMembersThatAreNoSeeds() {
+    // The founders choose three machines that are not seeds. These are connected to the seeds only, and no
+    // settings name them. The plan depends on the port, so the test searches for a port with that plan.
+    void foundsWithMembersThatAreNotSeeds() {
         const auto zone = [](int at) { return at < 3 ? std::string("z0") : "z" + std::to_string(at); };
-        const std::vector<std::string> beyond{"127.0.3.4", "127.0.3.5", "127.0.3.6"};
+        const std::vector<std::string> nonSeeds{"127.0.3.4", "127.0.3.5", "127.0.3.6"};
         int port = 0;
         std::vector<std::string> chosen;
-        for (port = 20000; chosen != beyond && port < 24000; ++port) {
+        for (port = 20000; chosen != nonSeeds && port < 24000; ++port) {
             std::vector<consensus::Member> six;
             for (int at = 0; at < 6; ++at) {
                 const auto address = "127.0.3." + std::to_string(at + 1) + ":" + std::to_string(port);
                 six.push_back(machine(address, zone(at)));
             }
             chosen.clear();
-            for (const auto& member : membership::planMembers({}, all(six), {1, 1, 0}))
+            for (const auto& member : membership::planMembers({}, candidatesOf(six), {1, 1, 0}))
                 chosen.push_back(transport::hostOf(member.address));
-            if (chosen == beyond) break;
+            if (chosen == nonSeeds) break;
         }
-        CPPUNIT_ASSERT(chosen == beyond);
+        CPPUNIT_ASSERT(chosen == nonSeeds);
         Cluster cluster(6);
         cluster.port = port, cluster.zone = zone;
-        // Seeds of one zone don't bear its loss: they wait until the others are heard of.
+        // Seeds in one zone don't survive its loss: they wait until the other machines have contacted them.
         cluster.tolerance = [](config::BootstrapSettings& boot) {
             boot.machinesLost = 1, boot.zonesLost = 1;
         };
@@ -101,13 +101,13 @@
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(4));
     }
 
-    // A founder is killed after each of its first writes to disk, and comes back as one that isn't told it is
-    // the first start: there is one register all the same, and its epoch is agreed.
+    // A founder is killed after each of its first writes to disk and restarted without the flag for a first
+    // start: there is still exactly one register, and all agree on its epoch.
     void foundsOneRegisterThroughKills() {
         for (int victim = 0; victim < 3; ++victim)
             for (int writes = 0; writes < 6; ++writes) {
                 Cluster cluster(3, 3);
-                cluster.until("as many writes", [&] {
+                cluster.until("the number of writes", [&] {
                     return cluster.disks[victim].written() >= writes ||
                            cluster.replica(victim).hasQuorumContact();
                 });
@@ -120,7 +120,7 @@
                 CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(victim, "one"));
                 CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read((victim + 1) % 3));
             }
-        // All of them, once what makes them founders is on their disks.
+        // All founders are killed once each has written its role as a founder to disk.
         Cluster cluster(3, 3);
         cluster.until("each has written", [&] {
             return std::all_of(cluster.disks.begin(), cluster.disks.end(),
@@ -132,32 +132,32 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), cluster.registers().size());
     }
 
-    // Two of three seeds with nothing on their disks and no word that it is the first start: nothing is
-    // guessed.
-    void guessesNothingFromEmptySeeds() {
+    // Two of three seeds have empty disks and are started without the flag for a first start: no register is
+    // founded, since the disks may have been lost.
+    void foundsNothingFromEmptySeeds() {
         Cluster cluster(3);
         cluster.launch(0, true), cluster.launch(1, false), cluster.launch(2, false);
         int pings = 0;
-        cluster.until("they have met and talked",
+        cluster.until("they have exchanged messages",
                       [&] { return ++pings > 3000 && cluster.replica(0).connectedPeerCount() == 2; });
         for (int at = 0; at < 3; ++at) CPPUNIT_ASSERT(!cluster.replica(at).isFounded());
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(0, "one", 3600 * kSecond));
     }
 
-    // A majority is gone for good: the disk that is left decides nothing by itself; by the operator's command
-    // it is a register of one, to which others are added.
+    // A majority is lost for good. The remaining disk decides nothing by itself; the operator's command makes
+    // it a register of one, to which other machines are added.
     void decidesNothingWithoutAMajority() {
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        cluster.until("it holds it", [&] {
+        cluster.until("its disk has the value", [&] {
             return cluster.disks[0].image().first[control_plane::kConfigurationKey].value == "one";
         });
         for (auto& member : cluster.members) member->kill();
         for (int lost : {1, 2}) cluster.disks[lost].restore({});
         cluster.launch(0, false), cluster.launch(1, false), cluster.launch(2, false);
         int turns = 0;
-        cluster.until("they have met",
+        cluster.until("they are connected",
                       [&] { return ++turns > 3000 && cluster.replica(0).connectedPeerCount() == 2; });
         CPPUNIT_ASSERT_EQUAL(std::string("-"), cluster.write(0, "two", 3600 * kSecond));
         cluster.members[0]->kill();
@@ -171,13 +171,13 @@
         };
         {
             storage::LmdbReplicaStore store(folder.string(), 8 << 20);
-            // Not a configuration in the operators' sense, so the command is shown another key.
+            // The value is not a valid configuration, so the command finds it under another key.
             store.write({{"k", image.first.at(control_plane::kConfigurationKey)}}, image.second);
         }
         CPPUNIT_ASSERT_EQUAL(0, std::system(command("").c_str()));
-        CPPUNIT_ASSERT_EQUAL(
-            image.second.at("standing"),
-            storage::LmdbReplicaStore(folder.string(), 8 << 20).note("standing"));  // only told
+        CPPUNIT_ASSERT_EQUAL(image.second.at("standing"),
+                             storage::LmdbReplicaStore(folder.string(), 8 << 20)
+                                 .note("standing"));  // without --yes nothing changes
         CPPUNIT_ASSERT_EQUAL(0, std::system(command(" --yes").c_str()));
         auto founded = image;
         founded.second["standing"] = storage::LmdbReplicaStore(folder.string(), 8 << 20).note("standing");
@@ -192,7 +192,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(1, "two"));
     }
 
-    // Stores from before there were epochs: their members are the first epoch.
+    // Stores written before there were epochs: their members become the first epoch.
     void readsStoresFromBeforeEpochs() {
         Cluster cluster(3);
         std::string members;
--- a/tests/membership/reconfiguration.cpp
+++ b/tests/membership/reconfiguration.cpp
@@ -1,5 +1,5 @@
-// Changes of the members: by agreement, through lost disks, disks put back from an old image, cuts, and
-// machines that leave. Real replicas and connections, scripted disks.
+// Changes of the members: by agreement, after lost disks, disks restored from an old image, network
+// partitions, and machines that leave. Real replicas and connections, simulated disks.
 #include "membership/codec.hpp"
 #include "support/replica_node_fixture.hpp"
 
@@ -7,28 +7,28 @@
 
 class MembershipTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(MembershipTest);
-    CPPUNIT_TEST(endsAtOnceOutOfContact);
+    CPPUNIT_TEST(failsAtOnceWithoutQuorumContact);
     CPPUNIT_TEST(replacesLostMembersOneAfterTheOther);
     CPPUNIT_TEST(opensEpochWithoutAFullDisk);
     CPPUNIT_TEST(returnsAfterAllOthersWereReplaced);
-    CPPUNIT_TEST(keepsALateMember);
+    CPPUNIT_TEST(keepsAMemberThatRestartsLate);
     CPPUNIT_TEST(completesAnAbandonedReconfiguration);
     CPPUNIT_TEST(replacesIdentityOfAnOldImage);
-    CPPUNIT_TEST(handsMembershipOnAtStepDown);
+    CPPUNIT_TEST(handsOverMembershipAtStepDown);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // Cut off: a write and a read end at once, whatever time they have; the others go on; what is read after
-    // the cut is what they did meanwhile.
-    void endsAtOnceOutOfContact() {
+    // A partitioned member fails writes and reads at once, whatever their deadline, while the others
+    // continue. After the partition it reads what they wrote meanwhile.
+    void failsAtOnceWithoutQuorumContact() {
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
         cluster.members[0]->cut = true;
-        cluster.until("it knows", [&] { return !cluster.replica(0).hasQuorumContact(); });
-        // So do the others, long before its links are given up.
+        cluster.until("it has lost quorum contact", [&] { return !cluster.replica(0).hasQuorumContact(); });
+        // The others notice as well, long before its connections time out.
         const auto silent = cluster.members[0]->at();
-        cluster.until("it is heard no more", [&] {
+        cluster.until("the others receive nothing from it", [&] {
             return !cluster.replica(1).hearsPeer(silent) && !cluster.replica(2).hearsPeer(silent);
         });
         CPPUNIT_ASSERT(cluster.replica(1).hearsPeer(cluster.members[2]->at()));
@@ -41,14 +41,14 @@
         CPPUNIT_ASSERT_EQUAL(std::string("one"),
                              cluster.replica(0).known(control_plane::kConfigurationKey).value);
         cluster.members[0]->cut = false;
-        cluster.until("contact is back", [&] { return cluster.replica(0).hasQuorumContact(); });
-        // In contact means read from a majority since.
+        cluster.until("it has quorum contact again", [&] { return cluster.replica(0).hasQuorumContact(); });
+        // Quorum contact implies a read from a majority since the partition.
         CPPUNIT_ASSERT_EQUAL(std::string("two"),
                              cluster.replica(0).known(control_plane::kConfigurationKey).value);
     }
 
-    // A member dies and a spare takes its place, whole; then a second dies, then the last of the
-    // first three: each loss alone, and what was written first is still read.
+    // The three first members are killed one after the other, each once a spare has replaced the one before:
+    // the first value written can still be read.
     void replacesLostMembersOneAfterTheOther() {
         Cluster cluster(6, 6);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3, 4, 5}); });
@@ -62,7 +62,7 @@
             int witness = -1;
             for (int other = 0; other < 6; ++other)
                 if (!cluster.members[other]->gone) witness = other;
-            cluster.until("its place is taken", [&] {
+            cluster.until("it is replaced", [&] {
                 return cluster.replica(witness).epoch().number > epoch &&
                        !cluster.replica(witness).members().contains(gone) &&
                        cluster.replica(witness).hasQuorumContact();
@@ -70,12 +70,12 @@
             CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(witness).members().size());
             CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(witness));
         }
-        cluster.until("all know the same members", [&] { return cluster.registers().size() == 1; });
-        // Two of the first come back with their disks: they are spares, and are told so.
+        cluster.until("all have the same members", [&] { return cluster.registers().size() == 1; });
+        // Two of the first members come back with their disks: they are spares, and learn so.
         for (int at = 0; at < 2; ++at)
             if (cluster.members[at]->gone) {
                 cluster.launch(at, false);
-                cluster.until("it knows its place", [&] {
+                cluster.until("it knows that it is a spare", [&] {
                     return cluster.replica(at).hasQuorumContact() && !cluster.replica(at).isVotingMember() &&
                            !cluster.replica(at).members().contains(cluster.members[at]->at());
                 });
@@ -83,8 +83,8 @@
             }
     }
 
-    // A member's disk takes the seal of the old epoch and is full from then on. The new one opens without it;
-    // with room again it is part of majorities, so that the next loss is borne.
+    // A member's disk stores the seal of the old epoch and is full from then on. The new epoch opens without
+    // it; once the disk has room again the member votes, so that the next loss is survived.
     void opensEpochWithoutAFullDisk() {
         Cluster cluster(4, 4);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3}); });
@@ -102,26 +102,27 @@
             return cluster.disks[full].image().second["standing"].find("\"next\"") != std::string::npos;
         });
         cluster.disks[full].set(cluster.disks[full].full, true);
-        cluster.until("the place is taken", [&] {
+        cluster.until("the lost member is replaced", [&] {
             return cluster.replica(other).hasQuorumContact() && cluster.replica(spare).isVotingMember();
         });
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(other, "two"));
         CPPUNIT_ASSERT(!cluster.replica(full).isVotingMember());
         cluster.disks[full].set(cluster.disks[full].full, false);
-        cluster.until("it counts again", [&] { return cluster.replica(full).isVotingMember(); });
+        cluster.until("the member votes again", [&] { return cluster.replica(full).isVotingMember(); });
         cluster.members[spare]->kill();
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.read(other));
         CPPUNIT_ASSERT_EQUAL(std::string("three"), cluster.write(full, "three"));
     }
 
-    // While a member was away all others of its epoch were replaced, one after the other. None of them is
-    // left to tell what they saw of its disk; it stands by all the same, and takes a place when one is free.
+    // While a member was down, all other members of its epoch were replaced, one after the other. None of
+    // them is left to vouch for its disk; it becomes a spare all the same, and a member again when one is
+    // needed.
     void returnsAfterAllOthersWereReplaced() {
         Cluster cluster(7, 7);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3, 4, 5, 6}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        const auto takesOver = [&](const std::string& gone, int witness) {
-            cluster.until("a place is taken", [&] {
+        const auto untilReplaced = [&](const std::string& gone, int witness) {
+            cluster.until("it is replaced", [&] {
                 return cluster.replica(witness).hasQuorumContact() &&
                        !cluster.replica(witness).members().contains(gone);
             });
@@ -133,33 +134,33 @@
         while (cluster.replica(witness).isVotingMember()) ++witness;
         for (const int at : first) {
             cluster.members[at]->kill();
-            takesOver(cluster.members[at]->at(), witness);
+            untilReplaced(cluster.members[at]->at(), witness);
         }
         cluster.launch(first[0], false);
-        const auto back = cluster.members[first[0]]->at();
+        const auto returned = cluster.members[first[0]]->at();
         cluster.until("it is a spare", [&] { return cluster.replica(first[0]).hasQuorumContact(); });
-        // Members go on falling, one at a time and never a spare (a second loss that nobody knows
-        // of yet), until it is needed.
-        while (!cluster.replica(witness).members().contains(back)) {
+        // Further members are killed, one at a time, until it is needed. Spares are not killed: that would be
+        // a second, unnoticed loss.
+        while (!cluster.replica(witness).members().contains(returned)) {
             int next = 0;
             while (next == witness ||
                    !cluster.replica(witness).members().contains(cluster.members[next]->at()))
                 ++next;
             cluster.members[next]->kill();
-            takesOver(cluster.members[next]->at(), witness);
+            untilReplaced(cluster.members[next]->at(), witness);
         }
-        CPPUNIT_ASSERT(cluster.replica(witness).members().contains(back));
+        CPPUNIT_ASSERT(cluster.replica(witness).members().contains(returned));
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(first[0]));
         CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(witness, "two"));
     }
 
-    // All fall at once, and one member is later to come back than the others and a spare: it is
-    // not absent before it was given the time that any member is given.
-    void keepsALateMember() {
+    // All processes are killed at once, and one member restarts later than the others and a spare: it counts
+    // as absent only after the usual timeout.
+    void keepsAMemberThatRestartsLate() {
         Cluster cluster(4);
         cluster.tolerance = [](config::BootstrapSettings& boot) {
             boot.machinesLost = 1;
-            boot.controlReplaceAfter = 5 * kSecond;  // also on a machine that is busy with other things
+            boot.controlReplaceAfter = 5 * kSecond;  // long enough on a busy test machine as well
         };
         for (int at = 0; at < 4; ++at) cluster.launch(at, true);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3}); });
@@ -169,7 +170,7 @@
         std::vector<int> others;
         for (int at = 0; at < 4; ++at)
             if (at != late) others.push_back(at);
-        cluster.until("all hold it", [&] {
+        cluster.until("all disks have the value", [&] {
             return std::all_of(cluster.disks.begin(), cluster.disks.end(), [](Disk& disk) {
                 return disk.image().first[control_plane::kConfigurationKey].value == "one";
             });
@@ -178,28 +179,29 @@
         for (const int at : others) cluster.launch(at, false);
         cluster.until("they are in contact", [&] { return cluster.hasQuorumContact(others); });
         const Nanos since = now();
-        cluster.until("they have looked around", [&] { return now() - since > 300 * kMillisecond; });
+        cluster.until("they had time to notice the absent member",
+                      [&] { return now() - since > 300 * kMillisecond; });
         cluster.launch(late, false);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3}); });
         for (int at = 0; at < 4; ++at)
             CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), cluster.replica(at).epoch().number);
     }
 
-    // A change of the members was accepted by one disk, and whoever asked for it is gone: it is ended soon by
-    // the others, not when somebody happens to need another change.
+    // One disk has accepted a change of the members, and its proposer is lost: the others complete the change
+    // soon, without waiting for the next change.
     void completesAnAbandonedReconfiguration() {
         Cluster cluster(4, 4);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        int holds = 0;
+        int acceptor = 0;
         int spare = 0;
-        while (!cluster.replica(holds).isVotingMember()) ++holds;
+        while (!cluster.replica(acceptor).isVotingMember()) ++acceptor;
         while (cluster.replica(spare).isVotingMember()) ++spare;
-        auto next = cluster.replica(holds).epoch();
+        auto next = cluster.replica(acceptor).epoch();
         next.number = 2;
         for (int at = 0; at < 4; ++at)
-            if (cluster.replica(at).isVotingMember() && at != holds) {
-                // In the place of the other member that comes first, as if it had been thought absent.
+            if (cluster.replica(at).isVotingMember() && at != acceptor) {
+                // Replaces the first other member, as if it had seemed absent.
                 const auto disk = cluster.disks[spare].image().second.at("disk");
                 std::erase_if(next.members,
                               [&](const auto& one) { return one.address == cluster.members[at]->at(); });
@@ -207,19 +209,20 @@
                 std::sort(next.members.begin(), next.members.end());
                 break;
             }
-        cluster.members[holds]->kill();
-        auto image = cluster.disks[holds].image();
+        cluster.members[acceptor]->kill();
+        auto image = cluster.disks[acceptor].image();
         image.first["epoch/2"] = {{1, 77}, {1, 77}, membership::encode(next).dump()};
-        cluster.disks[holds].restore(image);
-        cluster.launch(holds, false);
-        cluster.until("it is ended", [&] {
+        cluster.disks[acceptor].restore(image);
+        cluster.launch(acceptor, false);
+        cluster.until("the change is completed", [&] {
             return cluster.replica(spare).epoch().number >= 2 && cluster.hasQuorumContact({0, 1, 2, 3});
         });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(spare));
-        CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(holds, "two"));
+        CPPUNIT_ASSERT_EQUAL(std::string("two"), cluster.write(acceptor, "two"));
     }
 
-    // A disk is put back as it was before it had answered: it counts as lost, and joins as another.
+    // A disk is restored from an image older than its last replies: it counts as lost and rejoins with a new
+    // identity.
     void replacesIdentityOfAnOldImage() {
         Cluster cluster(3, 3);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
@@ -227,7 +230,7 @@
         const auto image = cluster.disks[1].image();
         for (const auto* value : {"two", "three", "four"})
             CPPUNIT_ASSERT_EQUAL(std::string(value), cluster.write(0, value));
-        cluster.until("it has them", [&] {
+        cluster.until("its disk has the last value", [&] {
             return cluster.disks[1].image().first[control_plane::kConfigurationKey].value == "four";
         });
         const auto disk = image.second.at("disk");
@@ -238,34 +241,34 @@
             return cluster.replica(1).isVotingMember() && cluster.replica(1).hasQuorumContact();
         });
         CPPUNIT_ASSERT(cluster.disks[1].image().second.at("disk") != disk);
-        cluster.until("the others know",
+        cluster.until("the others have dropped the old identity",
                       [&] { return !cluster.replica(0).epoch().find(cluster.members[1]->at(), disk); });
         CPPUNIT_ASSERT_EQUAL(std::string("four"), cluster.read(1));
     }
 
-    // One that is told to go hands its place to a spare, and then is no member; where there is
-    // none it keeps the place, and the only copy is never left out.
-    void handsMembershipOnAtStepDown() {
+    // A member that steps down is replaced by a spare. Without a spare it stays a member, and the only copy
+    // is never removed.
+    void handsOverMembershipAtStepDown() {
         Cluster cluster(4, 4);
         cluster.until("all are in contact", [&] { return cluster.hasQuorumContact({0, 1, 2, 3}); });
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.write(0, "one"));
-        int leaver = 0;
-        while (!cluster.replica(leaver).isVotingMember()) ++leaver;
+        int leaving = 0;
+        while (!cluster.replica(leaving).isVotingMember()) ++leaving;
         const auto leave = [&](Cluster& of, int at) {
             bool left = false;
             spawn(of.io, "leave", [](ReplicaNode& replica, bool& left_) -> Task<> {
                 co_await replica.stepDown();
                 left_ = true;
             }(of.replica(at), left));
-            of.until("it has left", [&] { return left; });
+            of.until("it has stepped down", [&] { return left; });
         };
-        leave(cluster, leaver);
-        CPPUNIT_ASSERT(!cluster.replica(leaver).members().contains(cluster.members[leaver]->at()));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(leaver).members().size());
-        cluster.members[leaver]->kill();
-        const int other = (leaver + 1) % 4;
+        leave(cluster, leaving);
+        CPPUNIT_ASSERT(!cluster.replica(leaving).members().contains(cluster.members[leaving]->at()));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), cluster.replica(leaving).members().size());
+        cluster.members[leaving]->kill();
+        const int other = (leaving + 1) % 4;
         CPPUNIT_ASSERT_EQUAL(std::string("one"), cluster.read(other));
-        leave(cluster, other);  // there is no spare now
+        leave(cluster, other);  // no spare is left
         CPPUNIT_ASSERT(cluster.replica(other).members().contains(cluster.members[other]->at()));
         Cluster alone(1);
         alone.tolerance = [](config::BootstrapSettings&) {};
