--- a/src/discovery/endpoint_set.cpp
+++ b/src/discovery/endpoint_set.cpp
@@ -9,13 +9,13 @@
         return endpoints_.erase(id) > 0;
     }
     if (departed_.contains(id)) return false;
-    const auto at = endpoints_.find(id);
-    if (at == endpoints_.end()) {
+    const auto found = endpoints_.find(id);
+    if (found == endpoints_.end()) {
         endpoints_[id] = event.endpoint;
         return true;
     }
-    if (event.endpoint.draining && !at->second.draining) {
-        at->second.draining = true;
+    if (event.endpoint.draining && !found->second.draining) {
+        found->second.draining = true;
         return true;
     }
     return false;
@@ -24,15 +24,15 @@
 std::vector<EndpointEvent> EndpointSet::eventsTowards(const std::vector<Endpoint>& listed,
                                                       std::uint64_t after) const {
     std::vector<EndpointEvent> events;
-    std::set<std::string> there;
+    std::set<std::string> listedIds;
     for (const auto& endpoint : listed) {
-        there.insert(endpoint.id);
-        const auto at = endpoints_.find(endpoint.id);
-        const bool known = at != endpoints_.end() && (at->second.draining || !endpoint.draining);
+        listedIds.insert(endpoint.id);
+        const auto found = endpoints_.find(endpoint.id);
+        const bool known = found != endpoints_.end() && (found->second.draining || !endpoint.draining);
         if (!known && !departed_.contains(endpoint.id)) events.push_back({++after, endpoint, false, false});
     }
     for (const auto& [id, endpoint] : endpoints_)
-        if (!there.contains(id)) events.push_back({++after, endpoint, true, false});
+        if (!listedIds.contains(id)) events.push_back({++after, endpoint, true, false});
     return events;
 }
 
--- a/src/discovery/endpoint_set.hpp
+++ b/src/discovery/endpoint_set.hpp
@@ -1,9 +1,8 @@
-/// The endpoints of all services: what the platform's list says of them, and the view folded from its
-/// changes.
+/// The endpoints of all services: as the platform lists them, and the set that results from applying changes.
 ///
-/// Pure; one thread. An endpoint (one life of a pod, by its instance id) only ever goes from ready to
-/// draining to removed: an older list, or one that came by another way, brings no endpoint back. An endpoint
-/// that is `suspect` is taken out of the view, but a newer list may name it again.
+/// Pure. Not thread-safe. An endpoint (one incarnation of a pod, by its instance id) only changes from ready
+/// to draining to removed: an older list, from whatever source, never restores a removed endpoint. A
+/// `suspect` endpoint is removed from the set, but a newer list may contain it again.
 #pragma once
 
 #include <compare>
@@ -18,12 +17,12 @@
 
 namespace lichenlanding::discovery {
 
-/// One life of a pod, as the platform lists it.
+/// One incarnation of a pod, as the platform lists it.
 struct Endpoint {
     std::string id, service, address, zone, version;
     int slots = 1;
     bool draining = false;
-    Nanos warmup = 0;  // how much longer it is slow, from when it was listed
+    Nanos warmup = 0;  // remaining time of slow start when it was listed, nanoseconds
     bool operator==(const Endpoint& other) const {
         return id == other.id && address == other.address && draining == other.draining;
     }
@@ -33,32 +32,32 @@
 struct EndpointEvent {
     std::uint64_t number = 0;
     Endpoint endpoint;
-    bool removed = false;  // then only the id counts
-    bool suspect = false;  // with `removed`: not known to this list, but not seen to go either
+    bool removed = false;  // then only endpoint.id is used
+    bool suspect = false;  // with `removed`: not in this list, but its removal was not observed
 };
 
-/// Which list a copy follows: the term of the lease that its control node has, and the changes counted in
-/// that term. The higher is the newer; one version has one content.
+/// The version of a list: the lease term of the control node that polls it, and the number of changes in that
+/// term. A higher version is newer; a version identifies the content.
 struct EndpointListVersion {
     std::uint64_t term = 0, sequence = 0;
     auto operator<=>(const EndpointListVersion&) const = default;
 };
 
-/// The view: endpoints by id, and the ids that were seen to go.
+/// The current endpoints by id, and the ids of the endpoints that were removed.
 class EndpointSet {
   public:
-    /// True where the view has changed.
+    /// Applies a change; true if the set has changed.
     bool apply(const EndpointEvent& event);
     const std::map<std::string, Endpoint>& endpoints() const { return endpoints_; }
-    /// Was seen to go, so it never comes back.
+    /// Whether the removal of this endpoint was observed: it never comes back.
     bool hasLeft(const std::string& id) const { return departed_.contains(id); }
 
-    /// The events that bring this view to what a whole list says, numbered from `after` + 1.
+    /// The events that change this set to a complete list, numbered from `after` + 1.
     std::vector<EndpointEvent> eventsTowards(const std::vector<Endpoint>& listed, std::uint64_t after) const;
 
   private:
     std::map<std::string, Endpoint> endpoints_;
-    std::set<std::string> departed_;  // kept for good: the platform never uses an id twice
+    std::set<std::string> departed_;  // never forgotten: the platform doesn't reuse ids
 };
 
 }  // namespace lichenlanding::discovery
--- a/src/hashing/rendezvous.hpp
+++ b/src/hashing/rendezvous.hpp
@@ -1,5 +1,5 @@
-/// Which processes of the gateway have a task, by rendezvous hashing: who votes on a version, who has a
-/// lease, who watches whom. Pure; any thread.
+/// Assigns tasks to processes by rendezvous hashing: which proxies vote on a version, the order of candidates
+/// for a lease, which peers a proxy watches. Pure; thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,16 @@
 
 namespace lichenlanding::hashing {
 
-/// The same on every machine, in every run and in every version: processes agree by it without a message.
-std::uint64_t hash(std::string_view about, std::string_view name);
+/// A hash that is the same on every machine, in every run and in every version of the software: processes
+/// agree on it without messages.
+std::uint64_t hash(std::string_view key, std::string_view name);
 
-/// The `count` names of lowest hash for `about`, lowest first; all if there are no more.
-std::vector<std::string> rendezvousSelect(const std::vector<std::string>& names, std::string_view about,
+/// The `count` names with the lowest hash for `key`, lowest first; all names if there are fewer.
+std::vector<std::string> rendezvousSelect(const std::vector<std::string>& names, std::string_view key,
                                           std::size_t count);
 
-/// Those of `names` that `me` watches: the same on every machine that knows the same names, and changed by
-/// one at most when one comes or goes.
-std::vector<std::string> watchedPeers(std::vector<std::string> names, const std::string& me);
+/// The peers among `names` that `self` watches. The result depends only on the names, and changes by at most
+/// one peer if a name is added or removed.
+std::vector<std::string> watchedPeers(std::vector<std::string> names, const std::string& self);
 
 }  // namespace lichenlanding::hashing
--- a/src/leases/leases.cpp
+++ b/src/leases/leases.cpp
@@ -46,12 +46,12 @@
 bool reachesMajority(const std::string& holder, const std::set<std::string>& members,
                      const Reachability& reachability) {
     if (!members.contains(holder)) return false;
-    const auto reporting = std::count_if(members.begin(), members.end(), [&](const auto& member) {
+    const auto reachingMembers = std::count_if(members.begin(), members.end(), [&](const auto& member) {
         const auto report = reachability.find(member);
         return member != holder && report != reachability.end() && report->second.contains(holder);
     });
     const auto majority = members.size() / 2 + 1;
-    return static_cast<std::size_t>(reporting) + 1 >= majority;
+    return static_cast<std::size_t>(reachingMembers) + 1 >= majority;
 }
 
 bool LeaseMonitor::shouldAcquire(const Lease& current, const std::set<std::string>& members,
@@ -60,7 +60,7 @@
         unreachableSince_ = -1;
         return false;
     }
-    // An earlier incarnation of this process: nobody holds it.
+    // Held by an earlier incarnation of this process, which is gone.
     if (current.holder == self_.address) return true;
     if (current.term > 0 && reachesMajority(current.holder, members, reachability)) {
         unreachableSince_ = -1;
@@ -73,12 +73,12 @@
     return now - unreachableSince_ >= delay(current, members, reachability);
 }
 
-/// How long this process waits once the holder is unreachable: by its rank among the candidates it reaches.
+/// How long this process waits once the holder is unreachable, by its rank among the candidates it reaches.
 Nanos LeaseMonitor::delay(const Lease& current, const std::set<std::string>& members,
                           const Reachability& reachability) const {
     std::vector<std::string> candidates{self_.address};
-    if (const auto own = reachability.find(self_.address); own != reachability.end())
-        for (const auto& address : own->second)
+    if (const auto selfReport = reachability.find(self_.address); selfReport != reachability.end())
+        for (const auto& address : selfReport->second)
             if (members.contains(address) && address != current.holder && address != self_.address)
                 candidates.push_back(address);
     const auto ranked = hashing::rendezvousSelect(candidates, lease_, candidates.size());
--- a/tests/leases/leases.cpp
+++ b/tests/leases/leases.cpp
@@ -1,5 +1,6 @@
-// Leases with terms: who acquires one and when, what receivers make of a holder of a lower term, how long a
-// rollout has run, and what a proxy takes from a control node that is out of contact. All in virtual time.
+// Leases with terms: which member acquires one and when, how receivers treat messages of a lower term, the
+// age of rollouts, and which updates a proxy accepts from a control node without quorum contact. All in
+// virtual time.
 #include "leases/leases.hpp"
 
 #include <filesystem>
@@ -17,11 +18,11 @@
 
 constexpr Nanos kMillisecond = 1'000'000, kSecond = 1000 * kMillisecond;
 
-// Members that hear each other unless cut, down or frozen; their words of it are as old as `told` says. One
-// cell, changed by one ballot at a time, as the register sees to it.
-class Members {
+// Members that reach each other unless partitioned or down. The register is a single value, changed by one
+// proposal at a time.
+class SimulatedMembers {
   public:
-    explicit Members(int size) {
+    explicit SimulatedMembers(int size) {
         for (int at = 0; at < size; ++at) {
             members.insert(name(at));
             incarnations[name(at)] = std::uint64_t{100} + static_cast<std::uint64_t>(at);
@@ -30,55 +31,59 @@
             monitors.emplace(member, leases::LeaseMonitor("list", {member, incarnations[member]}));
     }
     static std::string name(int at) { return "10.1.0." + std::to_string(at + 1) + ":7720"; }
-    void cutBetween(const std::string& one, const std::string& other) {
-        cut.insert({one, other}), cut.insert({other, one});
+    void partition(const std::string& one, const std::string& other) {
+        partitioned.insert({one, other}), partitioned.insert({other, one});
     }
     void restart(const std::string& member) {
         down.erase(member), ++incarnations[member];
         monitors.insert_or_assign(member, leases::LeaseMonitor("list", {member, incarnations[member]}));
     }
-    bool hear(const std::string& one, const std::string& other) const {
-        return one != other && !down.contains(one) && !down.contains(other) && !cut.contains({one, other});
+    bool canReach(const std::string& one, const std::string& other) const {
+        return one != other && !down.contains(one) && !down.contains(other) &&
+               !partitioned.contains({one, other});
     }
-    leases::Reachability rows(const std::string& of) const {
-        leases::Reachability rows;
-        for (const auto& from : members)
-            if (from == of || hear(of, from))
+    leases::Reachability reachabilityAt(const std::string& observer) const {
+        leases::Reachability reachability;
+        for (const auto& reporter : members)
+            if (reporter == observer || canReach(observer, reporter))
                 for (const auto& other : members)
-                    if (hear(from, other)) rows[from].insert(other);
-        return rows;
+                    if (canReach(reporter, other)) reachability[reporter].insert(other);
+        return reachability;
     }
-    leases::Lease held() const {
-        const auto all = leases::decodeLeases(cell);
+    leases::Lease currentLease() const {
+        const auto all = leases::decodeLeases(registerValue);
         const auto at = all.find("list");
         return at == all.end() ? leases::Lease() : at->second;
     }
-    // Steps of 50 ms; those that stand in one step all stand on what they knew before it.
+    // Steps of 50 ms. All candidates of a step decide on the state before it.
     void run(Nanos span) {
         for (const Nanos end = now + span; now < end; now += 50 * kMillisecond) {
-            const auto before = held();
-            std::vector<std::string> standing;
+            const auto before = currentLease();
+            std::vector<std::string> candidates;
             for (const auto& member : members)
-                if (!down.contains(member) && rows(member)[member].size() + 1 >= members.size() / 2 + 1 &&
-                    monitors.at(member).shouldAcquire(before, members, rows(member), now))
-                    standing.push_back(member);
-            most = std::max(most, standing.size());
-            for (const auto& member : standing)
-                cell = leases::acquireLease("list", {member, incarnations.at(member)}, before.term)(cell);
-            if (held().term != before.term)
-                seen += "  at " + std::to_string((now - from) / kMillisecond) +
-                        " ms: " + held().holder.substr(0, 8) + ", term " + std::to_string(held().term) + "\n";
+                if (!down.contains(member) &&
+                    reachabilityAt(member)[member].size() + 1 >= members.size() / 2 + 1 &&
+                    monitors.at(member).shouldAcquire(before, members, reachabilityAt(member), now))
+                    candidates.push_back(member);
+            maxCandidates = std::max(maxCandidates, candidates.size());
+            for (const auto& member : candidates)
+                registerValue = leases::acquireLease("list", {member, incarnations.at(member)},
+                                                     before.term)(registerValue);
+            if (currentLease().term != before.term)
+                transcript += "  at " + std::to_string((now - phaseStart) / kMillisecond) +
+                              " ms: " + currentLease().holder.substr(0, 8) + ", term " +
+                              std::to_string(currentLease().term) + "\n";
         }
     }
-    void say(const std::string& what) { seen += what + "\n", from = now; }
+    void beginPhase(const std::string& what) { transcript += what + "\n", phaseStart = now; }
 
     std::set<std::string> members, down;
-    std::set<std::pair<std::string, std::string>> cut;
+    std::set<std::pair<std::string, std::string>> partitioned;
     std::map<std::string, std::uint64_t> incarnations;
     std::map<std::string, leases::LeaseMonitor> monitors;
-    std::string cell, seen;
-    Nanos now = 100 * kSecond, from = 0;
-    std::size_t most = 0;
+    std::string registerValue, transcript;
+    Nanos now = 100 * kSecond, phaseStart = 0;
+    std::size_t maxCandidates = 0;
 };
 
 }  // namespace
@@ -88,61 +93,62 @@
     CPPUNIT_TEST(candidatesAcquireInOrder);
     CPPUNIT_TEST(oneOfTwoCandidatesWins);
     CPPUNIT_TEST(lowerTermIsDropped);
-    CPPUNIT_TEST(endpointMissingInAHigherTermIsSetAside);
-    CPPUNIT_TEST(missedChangeIsMendedWithinATerm);
-    CPPUNIT_TEST(emptyCopiesAskForTheSame);
-    CPPUNIT_TEST(agesAreCountedOnBySteadyClocks);
+    CPPUNIT_TEST(endpointMissingInAHigherTermIsSuspect);
+    CPPUNIT_TEST(missedChangeIsRepairedWithinATerm);
+    CPPUNIT_TEST(emptyCopiesSendTheSameFetchRequest);
+    CPPUNIT_TEST(agesAreMeasuredWithSteadyClocks);
     CPPUNIT_TEST(earlierRolloutsAreRead);
-    CPPUNIT_TEST(unconfirmedStateIsTakenAfterAWait);
+    CPPUNIT_TEST(unconfirmedUpdatesAreAcceptedAfterAWait);
     CPPUNIT_TEST(nothingReadsAWallClock);
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // Who acquires the lease, and when: a first start, kills, restarts, cuts. Each fifty milliseconds are a
-    // step.
+    // Which member acquires the lease, and when: at a first start and after kills, restarts and partitions,
+    // in steps of 50 ms.
     void candidatesAcquireInOrder() {
-        std::string seen;
+        std::string transcript;
         for (const int size : {1, 3, 5}) {
-            Members group(size);
-            group.say(std::to_string(size) + " members, first start");
+            SimulatedMembers group(size);
+            group.beginPhase(std::to_string(size) + " members, first start");
             group.run(2 * kSecond);
-            group.say("quiet for a minute");
+            group.beginPhase("idle for a minute");
             group.run(60 * kSecond);
             if (size > 1) {
-                const auto holder = group.held().holder;
-                group.say("the holder is killed");
+                const auto holder = group.currentLease().holder;
+                group.beginPhase("the holder is killed");
                 group.down.insert(holder);
                 group.run(2 * kSecond);
-                CPPUNIT_ASSERT(group.held().holder != holder);
-                group.say("it comes back");
+                CPPUNIT_ASSERT(group.currentLease().holder != holder);
+                group.beginPhase("it restarts");
                 group.restart(holder);
                 group.run(10 * kSecond);
-                group.say("the new holder restarts, sooner than it is missed");
-                group.restart(group.held().holder);
+                group.beginPhase("the new holder restarts before its absence is noticed");
+                group.restart(group.currentLease().holder);
                 group.run(2 * kSecond);
-                group.say("the holder and one other don't hear each other: it stays, a minute");
+                group.beginPhase("the holder and one other are partitioned for a minute: it keeps the lease");
                 for (const auto& member : group.members)
-                    if (member != group.held().holder) {
-                        group.cutBetween(group.held().holder, member);
+                    if (member != group.currentLease().holder) {
+                        group.partition(group.currentLease().holder, member);
                         break;
                     }
                 group.run(60 * kSecond);
-                group.cut.clear();
-                group.say("the holder is cut off from all, then joined");
+                group.partitioned.clear();
+                group.beginPhase("the holder is partitioned from all, then reconnected");
                 for (const auto& member : group.members)
-                    if (member != group.held().holder) group.cutBetween(group.held().holder, member);
+                    if (member != group.currentLease().holder)
+                        group.partition(group.currentLease().holder, member);
                 group.run(5 * kSecond);
-                group.cut.clear();
+                group.partitioned.clear();
                 group.run(5 * kSecond);
             }
-            CPPUNIT_ASSERT(group.most <= 1);
-            seen += group.seen;
+            CPPUNIT_ASSERT(group.maxCandidates <= 1);
+            transcript += group.transcript;
         }
-        approve("leases-taken", seen);
+        approve("leases-taken", transcript);
     }
 
-    // Two that stand at once: one ballot is first, the other changes nothing. Seeded kills, cuts and restarts
-    // with a majority left: the lease has a holder again within a second and a half, and terms only rise.
+    // Two candidates at once: the first proposal wins, the other changes nothing. With seeded kills and
+    // restarts that leave a majority, the lease has a holder again within 1.5 seconds, and terms only rise.
     void oneOfTwoCandidatesWins() {
         const auto one = leases::acquireLease("list", {"a", 1}, 4);
         const auto other = leases::acquireLease("list", {"b", 2}, 4);
@@ -154,63 +160,65 @@
         CPPUNIT_ASSERT(leases::decodeLeases(first).at("rollouts") == (leases::Lease{"c", 3, 9}));
         for (unsigned seed = 1; seed <= 60; ++seed) {
             const std::string at = "seed " + std::to_string(seed);
-            std::mt19937 chance(seed);
-            Members group(seed % 2 ? 3 : 5);
+            std::mt19937 random(seed);
+            SimulatedMembers group(seed % 2 ? 3 : 5);
             group.run(2 * kSecond);
             std::uint64_t term = 0;
             for (int step = 0; step < 12; ++step) {
-                const auto member = Members::name(static_cast<int>(chance() % group.members.size()));
-                const auto what = chance() % 3;
+                const auto member = SimulatedMembers::name(static_cast<int>(random() % group.members.size()));
+                const auto what = random() % 3;
                 if (group.down.contains(member)) group.restart(member);
                 else if (what == 0 && group.down.size() + 1 <= group.members.size() / 2)
                     group.down.insert(member);
                 else if (what == 1) group.restart(member);
                 group.run(1500 * kMillisecond);
-                const auto held = group.held();
-                CPPUNIT_ASSERT_MESSAGE(at, held.term >= term);
-                term = held.term;
-                CPPUNIT_ASSERT_MESSAGE(at, !group.down.contains(held.holder));
-                CPPUNIT_ASSERT_MESSAGE(at, held.incarnation == group.incarnations.at(held.holder));
+                const auto currentLease = group.currentLease();
+                CPPUNIT_ASSERT_MESSAGE(at, currentLease.term >= term);
+                term = currentLease.term;
+                CPPUNIT_ASSERT_MESSAGE(at, !group.down.contains(currentLease.holder));
+                CPPUNIT_ASSERT_MESSAGE(
+                    at, currentLease.incarnation == group.incarnations.at(currentLease.holder));
             }
         }
     }
 
-    // A holder that has not noticed that its lease went to another: whatever it tells late changes nothing.
+    // Updates of a holder that has not noticed the loss of its lease are dropped.
     void lowerTermIsDropped() {
         ConfigurationCache old{{}};
         ConfigurationCache next{{}};
         ConfigurationCache proxy{{}};
-        ConfigurationCache neighbour{{}};
+        ConfigurationCache peer{{}};
         old.updateEndpoints({pod("a"), pod("b")}, 1);
         deliver(old, proxy, old.digestMessage());
-        deliver(proxy, neighbour, proxy.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
+        deliver(proxy, peer, proxy.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
         next.updateEndpoints({pod("b", true), pod("c")}, 2);
         deliver(next, proxy, next.digestMessage());
         CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
-        for (int step = 0; step < 3; ++step) {  // many changes in a lower term are lower still
+        for (int step = 0; step < 3; ++step) {  // however many changes, the lower term is lower
             deliver(old, proxy,
                     old.updateEndpoints({pod("a"), pod("b"), pod("d" + std::to_string(step))}, 1));
             deliver(old, proxy, old.digestMessage());
         }
         CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
         CPPUNIT_ASSERT(proxy.endpointListVersion() == (subscription::EndpointListVersion{2, 1}));
-        // It hears of the higher term in a proxy's digest, and tells no list any more.
+        // It learns the higher term from a proxy's digest and publishes no list any more.
         CPPUNIT_ASSERT(!old.digestMessage().contains("edition"));
         CPPUNIT_ASSERT(old.updateEndpoints({pod("e")}, 1).is_null() &&
                        !old.digestMessage().contains("edition"));
-        // Neighbours go by the same order, whichever of them speaks first.
-        deliver(neighbour, proxy, neighbour.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
-        CPPUNIT_ASSERT(neighbour.endpoints().endpoints() == next.endpoints().endpoints());
+        // Peer proxies compare terms in the same way, whichever sends first.
+        deliver(peer, proxy, peer.digestMessage(), ConfigurationCache::MessageSource::peerProxy);
+        CPPUNIT_ASSERT(peer.endpoints().endpoints() == next.endpoints().endpoints());
         CPPUNIT_ASSERT(proxy.endpoints().endpoints() == next.endpoints().endpoints());
     }
 
-    // A copy of a higher term may be asked for sooner than one of the term before: a pod that only that one
-    // knows is set aside, not taken for gone, and serves again as soon as the new holder lists it.
-    void endpointMissingInAHigherTermIsSetAside() {
+    // The list of a higher term may have been polled earlier than the last one of the term before. A pod that
+    // only the latter contains is removed as suspect, not for good, and is back as soon as the new holder
+    // lists it.
+    void endpointMissingInAHigherTermIsSuspect() {
         ConfigurationCache old{{}};
         ConfigurationCache next{{}};
         ConfigurationCache proxy{{}};
-        next.updateEndpoints({pod("a")}, 2);  // asked for, and late on its way
+        next.updateEndpoints({pod("a")}, 2);  // polled earlier, but delivered later
         old.updateEndpoints({pod("a"), pod("new")}, 1);
         deliver(old, proxy, old.digestMessage());
         CPPUNIT_ASSERT(proxy.endpoints().endpoints().contains("new"));
@@ -219,12 +227,12 @@
         deliver(next, proxy, next.updateEndpoints({pod("a"), pod("new")}, 2));
         CPPUNIT_ASSERT(proxy.endpoints().endpoints().contains("new"));
         deliver(next, proxy,
-                next.updateEndpoints({pod("new")}, 2));  // seen to go by the holder itself: for good
+                next.updateEndpoints({pod("new")}, 2));  // removal observed by the holder: for good
         CPPUNIT_ASSERT(proxy.endpoints().hasLeft("a"));
     }
 
-    // A proxy that has missed a change is mended from the holder's copy of the very edition it follows.
-    void missedChangeIsMendedWithinATerm() {
+    // A proxy that has missed a change is repaired from the holder's list of the same term.
+    void missedChangeIsRepairedWithinATerm() {
         ConfigurationCache holder{{}};
         ConfigurationCache proxy{{}};
         ConfigurationCache other{{}};
@@ -232,7 +240,7 @@
         for (auto* one : {&proxy, &other}) deliver(holder, *one, holder.digestMessage());
         deliver(holder, other, holder.updateEndpoints({pod("b"), pod("c")}, 1));
         const auto last = holder.updateEndpoints({pod("b"), pod("d")}, 1);
-        deliver(holder, proxy, last);  // the change before it never came
+        deliver(holder, proxy, last);  // the change before it was lost
         deliver(holder, other, last);
         for (const auto* one : {&proxy, &other}) {
             CPPUNIT_ASSERT(one->endpoints().endpoints() == holder.endpoints().endpoints());
@@ -240,57 +248,58 @@
         }
     }
 
-    // What a copy without pods asks for is the same for all of them; any other is answered on its own.
-    void emptyCopiesAskForTheSame() {
+    // All copies without pods send the same fetch request; other copies get individual responses.
+    void emptyCopiesSendTheSameFetchRequest() {
         ConfigurationCache holder{{}};
         ConfigurationCache empty{{}};
         ConfigurationCache other{{}};
         holder.updateEndpoints({pod("a"), pod("b", true), pod("c")}, 3);
-        Json want;
+        Json request;
         empty.handleMessage(holder.digestMessage(), ConfigurationCache::MessageSource::controlNode, kSecond,
-                            [&](Json reply) { want = reply; });
-        CPPUNIT_ASSERT(holder.wantsFullList(want));
+                            [&](Json reply) { request = reply; });
+        CPPUNIT_ASSERT(holder.wantsFullList(request));
         empty.handleMessage(holder.fullEndpointsMessage(), ConfigurationCache::MessageSource::controlNode,
                             kSecond, [](const Json&) {});
         CPPUNIT_ASSERT(empty.endpoints().endpoints() == holder.endpoints().endpoints());
         CPPUNIT_ASSERT(empty.digestMessage() == holder.digestMessage());
         other.updateEndpoints({pod("z")}, 1);
-        Json partly;
+        Json partialRequest;
         other.handleMessage(holder.digestMessage(), ConfigurationCache::MessageSource::controlNode, kSecond,
-                            [&](Json reply) { partly = reply; });
-        CPPUNIT_ASSERT(!holder.wantsFullList(partly));
+                            [&](Json reply) { partialRequest = reply; });
+        CPPUNIT_ASSERT(!holder.wantsFullList(partialRequest));
         holder.updateEndpoints({pod("c")}, 3);
-        CPPUNIT_ASSERT(!holder.wantsFullList(want));  // of an edition that has passed
+        CPPUNIT_ASSERT(!holder.wantsFullList(request));  // for an outdated list version
     }
 
-    // A rollout's age is a span: counted on by steady clocks, handed on between control nodes, written down
-    // each second.
-    void agesAreCountedOnBySteadyClocks() {
+    // A rollout's age is a duration: measured with steady clocks, passed between control nodes, stored every
+    // second.
+    void agesAreMeasuredWithSteadyClocks() {
         using verdict::Age;
         verdict::Ages first;
         verdict::Ages another;
         first.learn("s\nv2", {0, 0, 0}, 50 * kSecond);
         CPPUNIT_ASSERT(first.at("s\nv2", 53 * kSecond) == (Age{3000, 0, 3000}));
-        // The other control node's steady clock has nothing to do with this one's.
+        // The steady clocks of two control nodes are unrelated.
         another.learn("s\nv2", {0, 0, 0}, 7'000'000 * kSecond);
         another.learn("s\nv2", first.at("s\nv2", 53 * kSecond), 7'000'001 * kSecond);
         CPPUNIT_ASSERT(another.at("s\nv2", 7'000'003 * kSecond) == (Age{5000, 0, 5000}));
         another.learn("s\nv2", {1000, 0, 1000},
-                      7'000'004 * kSecond);  // what the register had: less, so no news
+                      7'000'004 * kSecond);  // the register's age: lower, so ignored
         CPPUNIT_ASSERT(another.at("s\nv2", 7'000'004 * kSecond) == (Age{6000, 0, 6000}));
-        another.learn("s\nv2", {6100, 1, 0}, 7'000'004 * kSecond);     // the next stage begins
-        another.learn("s\nv2", {6100, 0, 6100}, 7'000'005 * kSecond);  // a late word of the stage before
+        another.learn("s\nv2", {6100, 1, 0}, 7'000'004 * kSecond);  // the next stage begins
+        another.learn("s\nv2", {6100, 0, 6100},
+                      7'000'005 * kSecond);  // a late message about the previous stage
         CPPUNIT_ASSERT(another.at("s\nv2", 7'000'005 * kSecond) == (Age{7100, 1, 1000}));
         another.keep({});
         CPPUNIT_ASSERT(another.at("s\nv2", 7'000'009 * kSecond) == Age{});
         another.learn("s\nv2", {std::numeric_limits<std::int64_t>::max(), 9, -5},
-                      kSecond);  // absurd, and bounded
+                      kSecond);  // out of range: limited
         CPPUNIT_ASSERT(another.at("s\nv2", kSecond).order == 7 * 24 * 3600 * std::int64_t{1000});
         CPPUNIT_ASSERT_EQUAL(std::int64_t{0}, another.at("s\nv2", kSecond).inStage);
     }
 
-    // The register may hold rollouts of an earlier version, with times of a wall clock: they count from their
-    // reading.
+    // The register may contain rollouts of an earlier version, with wall-clock times: their ages start at
+    // zero when they are read.
     void earlierRolloutsAreRead() {
         const auto read = messages::decodeRollouts(
             R"([{"service":"s","target":"v2","state":"in_progress","stage":1,"number":4,"began":1764645000000,)"
@@ -303,68 +312,71 @@
         CPPUNIT_ASSERT(again[0].age == 1234 && again[0].inStage == 200 && again[0].number == 4);
     }
 
-    // A proxy's ways with control nodes in and out of contact.
-    void unconfirmedStateIsTakenAfterAWait() {
-        std::string seen;
+    // Which updates a proxy accepts from control nodes with and without quorum contact.
+    void unconfirmedUpdatesAreAcceptedAfterAWait() {
+        std::string transcript;
         Nanos now = 10 * kSecond;
-        const auto word = [](QuorumContact::Change change) {
+        const auto describe = [](QuorumContact::Change change) {
             return std::string(change == QuorumContact::Change::none          ? ""
-                               : change == QuorumContact::Change::unconfirmed ? ", logs news_unsure"
-                                                                              : ", logs news_sure");
+                               : change == QuorumContact::Change::unconfirmed ? ", reports unconfirmed"
+                                                                              : ", reports confirmed");
         };
-        bool holding = false;
-        const auto line = [&](QuorumContact& proxy, const std::string& what, QuorumContact::Change change) {
-            const bool asks = proxy.waitElapsed(holding, now);
-            seen += "  " + std::to_string(now / kMillisecond) + " ms, " + what + word(change) +
-                    ": looks at " +
-                    (proxy.acceptsUpdates(false, holding, now) ? "all news" : "sure news alone") +
-                    (asks ? ", asks again" : "") + "\n";
+        bool hasConfiguration = false;
+        const auto addLine = [&](QuorumContact& proxy, const std::string& what,
+                                 QuorumContact::Change change) {
+            const bool requestsAgain = proxy.waitElapsed(hasConfiguration, now);
+            transcript += "  " + std::to_string(now / kMillisecond) + " ms, " + what + describe(change) +
+                          ": accepts " +
+                          (proxy.acceptsUpdates(false, hasConfiguration, now) ? "all updates"
+                                                                              : "confirmed updates only") +
+                          (requestsAgain ? ", requests the state again" : "") + "\n";
         };
         {
             QuorumContact proxy;
-            seen += "an empty proxy on the cut-off side\n";
-            line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
+            transcript += "proxy without configuration, on the minority side of a partition\n";
+            addLine(proxy, "c1 unconfirmed", proxy.onControlNodeMessage("c1", false, now));
             now += 1499 * kMillisecond;
-            line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
+            addLine(proxy, "c1 unconfirmed", proxy.onControlNodeMessage("c1", false, now));
             now += kMillisecond;
-            line(proxy, "time", QuorumContact::Change::none);
-            holding = true, proxy.markConfirmed(false);
-            line(proxy, "holds c1's", QuorumContact::Change::none);
+            addLine(proxy, "the wait is over", QuorumContact::Change::none);
+            hasConfiguration = true, proxy.markConfirmed(false);
+            addLine(proxy, "has c1's configuration", QuorumContact::Change::none);
             CPPUNIT_ASSERT(!proxy.isConfirmed());
-            line(proxy, "c2 sure", proxy.onControlNodeMessage("c2", true, now));
+            addLine(proxy, "c2 confirmed", proxy.onControlNodeMessage("c2", true, now));
             proxy.markConfirmed(true);
             CPPUNIT_ASSERT(proxy.isConfirmed());
-            line(proxy, "c2 parted", proxy.onControlNodeDisconnected("c2", now));
+            addLine(proxy, "c2 disconnected", proxy.onControlNodeDisconnected("c2", now));
             now += 10 * kSecond;
-            line(proxy, "ten seconds on", QuorumContact::Change::none);
-            line(proxy, "c1 sure", proxy.onControlNodeMessage("c1", true, now));
+            addLine(proxy, "ten seconds later", QuorumContact::Change::none);
+            addLine(proxy, "c1 confirmed", proxy.onControlNodeMessage("c1", true, now));
         }
-        holding = false;
+        hasConfiguration = false;
         {
             QuorumContact proxy;
-            seen += "an empty proxy, one control node cut off, one not\n";
-            line(proxy, "c1 unsure", proxy.onControlNodeMessage("c1", false, now));
+            transcript += "proxy without configuration, one control node partitioned, one not\n";
+            addLine(proxy, "c1 unconfirmed", proxy.onControlNodeMessage("c1", false, now));
             now += kSecond;
-            line(proxy, "c2 sure", proxy.onControlNodeMessage("c2", true, now));
+            addLine(proxy, "c2 confirmed", proxy.onControlNodeMessage("c2", true, now));
             now += 5 * kSecond;
-            line(proxy, "c2 has nothing to tell", QuorumContact::Change::none);
-            line(proxy, "c2 parted", proxy.onControlNodeDisconnected("c2", now));
+            addLine(proxy, "c2 sends nothing", QuorumContact::Change::none);
+            addLine(proxy, "c2 disconnected", proxy.onControlNodeDisconnected("c2", now));
             now += 1400 * kMillisecond;
-            line(proxy, "a wait anew", QuorumContact::Change::none);
+            addLine(proxy, "within a new wait", QuorumContact::Change::none);
             now += 100 * kMillisecond;
-            line(proxy, "and its end", QuorumContact::Change::none);
+            addLine(proxy, "the new wait is over", QuorumContact::Change::none);
         }
         {
             QuorumContact proxy;
-            seen += "an empty proxy that only reaches neighbours\n";
-            line(proxy, "a neighbour's unsure word", QuorumContact::Change::none);
+            transcript += "proxy without configuration that reaches only peer proxies\n";
+            addLine(proxy, "unconfirmed message of a peer", QuorumContact::Change::none);
             now += 1500 * kMillisecond;
-            line(proxy, "again", QuorumContact::Change::none);
+            addLine(proxy, "another one", QuorumContact::Change::none);
         }
-        approve("leases-unsure", seen);
+        approve("leases-unsure", transcript);
     }
 
-    // Nothing of the gateway reads a wall clock but the log's stamp: one that steps can change nothing else.
+    // Only the log's timestamps read the wall clock, so a clock step cannot change anything else in the
+    // gateway.
     void nothingReadsAWallClock() {
         namespace fs = std::filesystem;
         const fs::path sources = fs::path(TRANSCRIPTS) / "../../src";
