--- a/src/admin/configuration_record.hpp
+++ b/src/admin/configuration_record.hpp
@@ -1,9 +1,9 @@
-// The configuration as the register keeps it, and what an order to replace it comes to. Beside the body in
-// force stand number and digest of the orders acknowledged last: one ballot decides both, so that whoever is
-// asked, in whatever order, knows an order again and tells it from another one under its number.
-// docs/design/admin-requests.md tells why, and what holds beyond the bound.
-//
-// Pure: no I/O, no clock, no chance.
+/// The configuration as stored in the register, and the outcome of requests to replace it. The value has the
+/// body in force and a history: number and digest of the requests acknowledged last. Both change in one
+/// proposal, so every control node recognizes a repeated request and rejects another body under the same
+/// number. See docs/design/admin-requests.md, also for requests that have left the history.
+///
+/// Pure: no I/O, no clock, no random numbers. Thread-safe.
 #pragma once
 
 #include <array>
@@ -15,21 +15,22 @@
 
 namespace lichenlanding::admin {
 
-constexpr std::size_t kRemembered = 64;  // orders acknowledged last, the one in force always among them
+/// Maximum number of requests in the history. The one in force is always among them.
+constexpr std::size_t kMaxHistoryEntries = 64;
 
 using Digest = std::array<std::uint8_t, 20>;  // SHA-1
 Digest digest(std::string_view body);
 
-// A value that this text cannot read: another format, or cut.
+/// A stored value has an unknown format or is truncated.
 struct ParseError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// An order as it came.
+/// A request as received.
 struct ConfigurationRequest {
-    std::uint32_t number = 0;  // its version
-    Digest body{};             // of the bytes as they were sent
-    std::string compressed;    // those bytes (transport::compress)
+    std::uint32_t number = 0;  // config_version of the body
+    Digest body{};             // of the body as sent by the client
+    std::string compressed;    // the body, compressed by transport::compress()
 };
 ConfigurationRequest makeRequest(std::uint32_t number, std::string_view body);
 
@@ -39,32 +40,32 @@
     bool operator==(const AcknowledgedRequest&) const = default;
 };
 
-// What stands in a value. A value of texts before this one has no history: what is in force is all of it.
+/// A decoded value. A value in the earlier format has no history: its only entry is the request in force.
 struct ConfigurationRecord {
     std::uint32_t version = 0;
     std::string compressed;                    // the body in force
     std::vector<AcknowledgedRequest> history;  // oldest first
 };
 
-// "" is no value yet: none of these takes it but applyRequest(). They throw Unreadable.
+/// The functions on `value` below throw ParseError. Only checkDuplicate() and applyRequest() accept "", which
+/// means no value yet.
 ConfigurationRecord decodeRecord(std::string_view value);
-std::string encodeRecord(const ConfigurationRecord& held);
-// The same, without the history.
+std::string encodeRecord(const ConfigurationRecord& record);
+/// Parts of decodeRecord(value), without decoding the history.
 std::uint32_t version(std::string_view value);
 std::string_view compressed(std::string_view value);
-std::string body(std::string_view value);  // as it was sent
+std::string body(std::string_view value);  // decompressed, as sent by the client
 
 enum class DuplicateCheck {
-    unknown,   // not among those remembered
-    known,     // acknowledged, and may be so again
-    conflict,  // another body was acknowledged under its number
+    unknown,   // not in the history
+    known,     // acknowledged before; acknowledge it again
+    conflict,  // another body was acknowledged under the same number
 };
 DuplicateCheck checkDuplicate(std::string_view value, const ConfigurationRequest& request);
 
-// What is to be in force after the order: a higher number takes the place of what was; a lower one that is
-// not known changes nothing but is remembered; one that is known, or clashes, changes nothing at all. After a
-// ballot with this change the checkDuplicate() of what it ended with is the answer, wherever the value came
-// from.
+/// The value after the request. A higher number replaces the configuration; an unknown lower one is only
+/// added to the history; a known or conflicting one changes nothing. After a proposal with this change,
+/// checkDuplicate() on the resulting value is the response to the request, whoever proposed the value.
 std::string applyRequest(const std::string& value, const ConfigurationRequest& request);
 
 }  // namespace lichenlanding::admin
--- a/src/admin/rollout_requests.cpp
+++ b/src/admin/rollout_requests.cpp
@@ -9,8 +9,8 @@
     return one.service == other.service && one.target == other.target && one.term == other.term;
 }
 
-// Lets go of the oldest that have ended.
-void bound(std::vector<messages::Rollout>& rollouts) {
+// Drops the oldest ended rollouts beyond kMaxEndedRollouts.
+void dropOldest(std::vector<messages::Rollout>& rollouts) {
     const auto needed = [&](const messages::Rollout& rollout) {
         if (rollout.running()) return true;
         return rollout.state == "completed" &&
@@ -21,10 +21,11 @@
     };
     std::vector<bool> keep(rollouts.size());
     std::size_t ended = 0;
-    for (auto at = rollouts.size(); at-- > 0;) keep[at] = needed(rollouts[at]) || ++ended <= kEndedKept;
+    for (auto index = rollouts.size(); index-- > 0;)
+        keep[index] = needed(rollouts[index]) || ++ended <= kMaxEndedRollouts;
     std::vector<messages::Rollout> kept;
-    for (std::size_t at = 0; at < rollouts.size(); ++at)
-        if (keep[at]) kept.push_back(rollouts[at]);
+    for (std::size_t index = 0; index < rollouts.size(); ++index)
+        if (keep[index]) kept.push_back(rollouts[index]);
     rollouts = std::move(kept);
 }
 
@@ -46,26 +47,26 @@
 
 const messages::Rollout* newestRollout(const std::vector<messages::Rollout>& rollouts,
                                        const std::string& service) {
-    const auto at = std::find_if(rollouts.rbegin(), rollouts.rend(),
-                                 [&](const auto& rollout) { return rollout.service == service; });
-    return at == rollouts.rend() ? nullptr : &*at;
+    const auto newest = std::find_if(rollouts.rbegin(), rollouts.rend(),
+                                     [&](const auto& rollout) { return rollout.service == service; });
+    return newest == rollouts.rend() ? nullptr : &*newest;
 }
 
 RolloutRequestOutcome classifyRequest(const std::vector<messages::Rollout>& rollouts,
                                       const messages::Rollout& request) {
-    const auto any = [&](auto holds) { return std::any_of(rollouts.begin(), rollouts.end(), holds); };
+    const auto any = [&](auto matches) { return std::any_of(rollouts.begin(), rollouts.end(), matches); };
     if (any([&](const auto& one) { return isSameRequest(one, request); }))
         return RolloutRequestOutcome::known;
     if (any([&](const auto& one) {
             return one.service == request.service && one.target == request.target && one.running();
         }))
         return RolloutRequestOutcome::underWay;
-    const messages::Rollout* reached = nullptr;
+    const messages::Rollout* lastCompleted = nullptr;
     for (const auto& one : rollouts)
         if (one.service == request.service && one.state == "completed" &&
-            (!reached || one.number > reached->number))
-            reached = &one;
-    if (reached && reached->target == request.target) return RolloutRequestOutcome::inForce;
+            (!lastCompleted || one.number > lastCompleted->number))
+            lastCompleted = &one;
+    if (lastCompleted && lastCompleted->target == request.target) return RolloutRequestOutcome::inForce;
     return RolloutRequestOutcome::begun;
 }
 
@@ -76,7 +77,7 @@
     for (const auto& one : rollouts) added.number = std::max(added.number, one.number + 1);
     added.number = std::max<std::int64_t>(added.number, 1);
     rollouts.push_back(std::move(added));
-    bound(rollouts);
+    dropOldest(rollouts);
     return messages::encode(rollouts);
 }
 
