--- a/src/routing/attempt.cpp
+++ b/src/routing/attempt.cpp
@@ -90,8 +90,8 @@
            (state == AttemptState::unsent || state == AttemptState::knownNotExecuted);
 }
 
-bool mayAttempt(const Attempts& attempts, bool repeatable) {
-    return repeatable || mayPromiseNotExecuted(attempts);
+bool mayAttempt(const Attempts& attempts, bool idempotent) {
+    return idempotent || mayPromiseNotExecuted(attempts);
 }
 
 std::optional<AttemptEvent> classifyResponse(const ResponseHead& response) {
--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -96,9 +96,9 @@
 /// they were sent.
 std::size_t possibleArrivals(const Attempts& attempts);
 
-/// Whether the request may be sent to one more host now (guarantee TWICE: a request that is not repeatable is
+/// Whether the request may be sent to one more host now (guarantee TWICE: a request that is not idempotent is
 /// never executed twice).
-bool mayAttempt(const Attempts& attempts, bool repeatable);
+bool mayAttempt(const Attempts& attempts, bool idempotent);
 /// Whether 429, 503, 408 or 421 may be answered (guarantee REFUSED: these promise that the request was not
 /// executed and never will be).
 bool mayPromiseNotExecuted(const Attempts& attempts);
--- a/src/routing/hedge_policy.hpp
+++ b/src/routing/hedge_policy.hpp
@@ -13,7 +13,7 @@
 class HedgePolicy {
   public:
     /// When a hedged request is due for a request sent at `sentAt`; `deadline` if the route is not
-    /// repeatable. Never after `deadline`.
+    /// idempotent. Never after `deadline`.
     Nanos hedgeAt(const config::Route& route, Nanos deadline, Nanos sentAt) const;
     /// When to check again after a hedged request was due but could not be sent.
     Nanos nextCheckAt(const config::Route& route, Nanos deadline, Nanos now) const;
--- a/src/routing/upstream_host.cpp
+++ b/src/routing/upstream_host.cpp
@@ -19,7 +19,7 @@
 
 constexpr Nanos kDefaultKeepAlive = 4 * kSecond;  // assumed keep-alive timeout of a host that sends none
 constexpr double kKeepAliveFraction = 0.7;  // of the keep-alive timeout during which a connection is reused
-constexpr Nanos kSafeIdleTime = 1500 * kMillisecond;  // maximum idle time for a non-repeatable request
+constexpr Nanos kSafeIdleTime = 1500 * kMillisecond;  // maximum idle time for a non-idempotent request
 
 void backOff(UpstreamHost& host, Nanos now) {
     const auto doublings = std::min(host.consecutiveFailures, kBackoffMaxDoublings);
--- a/src/routing/upstream_host.hpp
+++ b/src/routing/upstream_host.hpp
@@ -49,7 +49,7 @@
 
 /// How long an idle connection may be reused, given the host's Keep-Alive timeout (0: none received).
 Nanos idleLimit(Nanos keepAliveTimeout);
-/// Whether a non-repeatable request may use a connection that has been idle for `age`. `idleLimit`: see
+/// Whether a non-idempotent request may use a connection that has been idle for `age`. `idleLimit`: see
 /// above.
 bool safeToReuse(Nanos age, Nanos idleLimit);
 
--- a/tests/routing/attempt.cpp
+++ b/tests/routing/attempt.cpp
@@ -95,20 +95,20 @@
 struct RequestModel {
     std::function<bool(const Attempts&, bool)> mayAttempt = realMayAttempt;
     std::function<bool(const Attempts&)> mayPromiseNotExecuted = realMayPromise;
-    static bool realMayAttempt(const Attempts& attempts, bool repeatable) {
-        return lichenlanding::routing::mayAttempt(attempts, repeatable);
+    static bool realMayAttempt(const Attempts& attempts, bool idempotent) {
+        return lichenlanding::routing::mayAttempt(attempts, idempotent);
     }
     static bool realMayPromise(const Attempts& attempts) {
         return lichenlanding::routing::mayPromiseNotExecuted(attempts);
     }
 
-    std::string violation(bool repeatable) const {
+    std::string violation(bool idempotent) const {
         std::size_t visited = 0;
-        return walk({}, {}, repeatable, "", visited);
+        return walk({}, {}, idempotent, "", visited);
     }
-    std::size_t sequences(bool repeatable) const {
+    std::size_t sequences(bool idempotent) const {
         std::size_t visited = 0;
-        walk({}, {}, repeatable, "", visited);
+        walk({}, {}, idempotent, "", visited);
         return visited;
     }
 
@@ -121,7 +121,7 @@
         return copies;
     }
 
-    std::string walk(const Attempts& attempts, const ActualAttempts& actuals, bool repeatable,
+    std::string walk(const Attempts& attempts, const ActualAttempts& actuals, bool idempotent,
                      const std::string& sequence, std::size_t& visited) const {
         ++visited;
         int executions = 0;
@@ -131,7 +131,7 @@
             executions += actual.executed, inFlightCount += !actual.ended,
                 unproven += actual.written && actual.last != AttemptEvent::rejectedByHost &&
                             actual.last != AttemptEvent::misdirected;
-        if (!repeatable && executions > 1) return "TWICE:" + sequence;
+        if (!idempotent && executions > 1) return "TWICE:" + sequence;
         // A promise is final: no attempt has been executed or can still be.
         if (mayPromiseNotExecuted(attempts) && (executions > 0 || inFlightCount > 0 || unproven > 0))
             return "REFUSED:" + sequence;
@@ -143,7 +143,7 @@
             if (actuals[index].written && !actuals[index].executed && !actuals[index].ended) {
                 auto executed = actuals;
                 executed[index].executed = true;
-                violated = walk(attempts, executed, repeatable, sequence + label + "executed,", visited);
+                violated = walk(attempts, executed, idempotent, sequence + label + "executed,", visited);
             }
             for (const auto event : actuals[index].next()) {
                 if (!violated.empty()) break;
@@ -151,16 +151,16 @@
                 next[index] = actuals[index].with(event);
                 auto updated = copy(attempts);
                 updated[index]->apply(event);
-                violated = walk(updated, next, repeatable, sequence + label + name(event) + ",", visited);
+                violated = walk(updated, next, idempotent, sequence + label + name(event) + ",", visited);
             }
         }
-        const std::size_t atMost = repeatable ? 2 : 3;
-        if (violated.empty() && attempts.size() < atMost && mayAttempt(attempts, repeatable)) {
+        const std::size_t atMost = idempotent ? 2 : 3;
+        if (violated.empty() && attempts.size() < atMost && mayAttempt(attempts, idempotent)) {
             auto more = copy(attempts);
             more.push_back(std::make_shared<Attempt>(nullptr));
             auto next = actuals;
             next.emplace_back();
-            violated = walk(more, next, repeatable, sequence + " send,", visited);
+            violated = walk(more, next, idempotent, sequence + " send,", visited);
         }
         return violated;
     }
@@ -267,12 +267,12 @@
     }
 
     void decisionsHoldForEveryRequest() {
-        for (const bool repeatable : {true, false})
-            CPPUNIT_ASSERT_EQUAL(std::string(), RequestModel().violation(repeatable));
+        for (const bool idempotent : {true, false})
+            CPPUNIT_ASSERT_EQUAL(std::string(), RequestModel().violation(idempotent));
         std::string transcript =
-            "sequences of a non-repeatable request with three attempts: " +
+            "sequences of a non-idempotent request with three attempts: " +
             std::to_string(RequestModel().sequences(false)) +
-            "\nof a repeatable request with two: " + std::to_string(RequestModel().sequences(true)) + "\n";
+            "\nof an idempotent request with two: " + std::to_string(RequestModel().sequences(true)) + "\n";
         approve("attempt-requests", transcript);
     }
 
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -69,8 +69,8 @@
     Nanos now = 100 * kSecond;
 };
 
-const char* const kRepeatable = "idempotent";
-const char* const kNotRepeatable = "non_idempotent";
+const char* const kIdempotent = "idempotent";
+const char* const kNonIdempotent = "non_idempotent";
 
 }  // namespace
 
@@ -96,11 +96,11 @@
     CPPUNIT_TEST_SUITE_END();
 
   public:
-    // For every end of a first attempt, repeatable or not: whether it is hedged or retried, and the local
+    // For every end of a first attempt, idempotent or not: whether it is hedged or retried, and the local
     // reply.
     void retriesByEndOfTheFirstAttempt() {
         std::string transcript;
-        for (const auto* kind : {kRepeatable, kNotRepeatable})
+        for (const auto* kind : {kIdempotent, kNonIdempotent})
             for (const auto& [name, end] : std::vector<std::pair<const char*, AttemptEvent>>{
                      {"rejected by host", AttemptEvent::rejectedByHost},
                      {"misdirected", AttemptEvent::misdirected},
@@ -130,7 +130,7 @@
     // max_attempts counts the pods that the request was sent to; up to two unreachable ones are tried beyond
     // it.
     void unreachedHostsDoNotCountAsAttempts() {
-        for (const auto* kind : {kRepeatable, kNotRepeatable}) {
+        for (const auto* kind : {kIdempotent, kNonIdempotent}) {
             RouterFixture fixture(8);
             auto request = fixture.begin(kind);  // to at most three pods
             std::string ends;
@@ -164,7 +164,7 @@
             const int before = retries;
             for (int at = 0; at < 20; ++at) {
                 fixture.now += kSecond / 20;
-                auto request = fixture.begin(kRepeatable);
+                auto request = fixture.begin(kIdempotent);
                 for (auto sent = fixture.send(request); sent != "-"; sent = fixture.send(request)) {
                     if (routing::possibleArrivals(request.attempts) > 1) ++retries;
                     fixture.end(request, rejecting ? AttemptEvent::rejectedByHost : AttemptEvent::answered);
@@ -188,19 +188,19 @@
         int canaryRequests = 0;
         for (int at = 0; at < 1000; ++at) {
             fixture.now += 10 * kMillisecond;
-            auto request = fixture.begin(kRepeatable);
+            auto request = fixture.begin(kIdempotent);
             canaryRequests += fixture.send(request)[0] == 'n';
             fixture.end(request, AttemptEvent::answered);
         }
         CPPUNIT_ASSERT(canaryRequests >= 40);
         CPPUNIT_ASSERT(canaryRequests <= 50);
-        const auto counted = fixture.router->totals("s", "v2").at(kRepeatable);
+        const auto counted = fixture.router->totals("s", "v2").at(kIdempotent);
         CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(canaryRequests), counted[0].total());
         CPPUNIT_ASSERT_EQUAL(1000U, counted[0].total() + counted[1].total());
         canaryRequests = 0;
         for (int at = 0; at < 2000; ++at) {
             fixture.now += 10 * kMillisecond;
-            auto request = fixture.begin(kNotRepeatable);
+            auto request = fixture.begin(kNonIdempotent);
             const bool toCanary = fixture.send(request)[0] == 'n';
             canaryRequests += toCanary;
             fixture.end(request, toCanary ? AttemptEvent::connectionLost : AttemptEvent::answered);
@@ -225,7 +225,7 @@
                 int canaryRequests = 0;
                 for (int at = 0; at < 12; ++at) {
                     fixture.now += 270 * kMillisecond;
-                    auto request = fixture.begin(kNotRepeatable);
+                    auto request = fixture.begin(kNonIdempotent);
                     canaryRequests += fixture.send(request)[0] == 'n';
                     fixture.end(request, AttemptEvent::answered);
                 }
@@ -249,7 +249,7 @@
         std::map<std::string, int> attemptsByVersion;
         for (int at = 0; at < 1000; ++at) {
             fixture.now += 10 * kMillisecond;
-            auto request = fixture.begin(kRepeatable);
+            auto request = fixture.begin(kIdempotent);
             CPPUNIT_ASSERT(fixture.send(request) != "-");
             ++attemptsByVersion[fixture.last->host()->endpoint.version];
             fixture.end(request, AttemptEvent::answered);
@@ -272,7 +272,7 @@
             int canaryRequests = 0;
             for (int at = 0; at < 600; ++at) {
                 fixture.now += 10 * kMillisecond;
-                auto request = fixture.begin(kRepeatable);
+                auto request = fixture.begin(kIdempotent);
                 CPPUNIT_ASSERT(fixture.send(request) != "-");
                 const bool toCanary = fixture.last->host()->endpoint.version == "v2";
                 canaryRequests += toCanary;
@@ -301,7 +301,7 @@
         const auto recordVersions = [&](const std::string& what, RouterFixture& fixture) {
             std::map<std::string, int> attemptsByVersion;
             for (int at = 0; at < 200; ++at) {
-                auto request = fixture.begin(kRepeatable);
+                auto request = fixture.begin(kIdempotent);
                 const auto sent = fixture.send(request);
                 ++attemptsByVersion[sent == "-" ? sent : fixture.last->host()->endpoint.version];
                 if (sent != "-") fixture.end(request, AttemptEvent::answered);
@@ -342,15 +342,15 @@
     // Guarantee DRAIN: no attempts at a pod that is draining, is removed, or whose address another pod has.
     void drainingHostsGetNothing() {
         RouterFixture fixture(1);
-        auto request = fixture.begin(kRepeatable);
+        auto request = fixture.begin(kIdempotent);
         CPPUNIT_ASSERT_EQUAL(std::string("p0"), fixture.send(request));
         fixture.list("p0", "v1", true);
-        auto other = fixture.begin(kRepeatable);
+        auto other = fixture.begin(kIdempotent);
         CPPUNIT_ASSERT_EQUAL(std::string("-"), fixture.send(other));
         fixture.list("p1");
         CPPUNIT_ASSERT_EQUAL(std::string("p1"), fixture.send(other));
         fixture.end(other, AttemptEvent::misdirected);
-        auto third = fixture.begin(kRepeatable);
+        auto third = fixture.begin(kIdempotent);
         CPPUNIT_ASSERT_EQUAL(std::string("-"), fixture.send(third));
     }
 
@@ -359,7 +359,7 @@
         RouterFixture fixture;
         fixture.router->setConfiguration(configurationOf("00000009", "t"));
         fixture.router->setConfiguration(configurationOf("00000008"));
-        auto request = fixture.begin(kRepeatable);
+        auto request = fixture.begin(kIdempotent);
         CPPUNIT_ASSERT_EQUAL(std::string("t"), request.service);
         CPPUNIT_ASSERT_EQUAL(9U, fixture.router->configuration()->version);
     }
@@ -375,7 +375,7 @@
             int others = 0;
             for (int at = 0; at < 2000; ++at) {
                 fixture.now += 60 * kMillisecond;
-                auto request = fixture.begin(kNotRepeatable);
+                auto request = fixture.begin(kNonIdempotent);
                 const bool other = fixture.send(request)[0] == 'f';
                 others += at >= 1000 && other;
                 fixture.router->onLoadReport(*fixture.last->host(), 3, other ? far : near, fixture.now);
@@ -391,19 +391,19 @@
     // A pod without responses for long gets no attempts while others can; after a response it does again.
     void unresponsiveHostsGetNothing() {
         RouterFixture fixture(2);
-        auto unanswered = fixture.begin(kNotRepeatable);
+        auto unanswered = fixture.begin(kNonIdempotent);
         const auto unresponsivePod = fixture.send(unanswered);
         const auto unansweredAttempt = fixture.last;
         fixture.now += kSecond;
         for (int at = 0; at < 50; ++at) {
-            auto request = fixture.begin(kRepeatable);
+            auto request = fixture.begin(kIdempotent);
             CPPUNIT_ASSERT(fixture.send(request) != unresponsivePod);
             fixture.end(request, AttemptEvent::answered);
         }
         fixture.endAttempt(unanswered, *unansweredAttempt, AttemptEvent::answered, 200, kSecond);
         bool selectedAgain = false;
         for (int at = 0; at < 50; ++at) {
-            auto request = fixture.begin(kRepeatable);
+            auto request = fixture.begin(kIdempotent);
             selectedAgain = fixture.send(request) == unresponsivePod || selectedAgain;
             fixture.end(request, AttemptEvent::answered);
         }
@@ -416,13 +416,13 @@
         for (const auto end : {AttemptEvent::unreached, AttemptEvent::connectionLost, AttemptEvent::malformed,
                                AttemptEvent::timedOut}) {
             RouterFixture fixture;
-            auto failed = fixture.begin(kNotRepeatable);
+            auto failed = fixture.begin(kNonIdempotent);
             const auto pod = fixture.send(failed);
             fixture.end(failed, end);
             fixture.now += 2 * kSecond;
             int selectedAgain = 0;
             for (int at = 0; at < 50; ++at) {
-                auto request = fixture.begin(kRepeatable);
+                auto request = fixture.begin(kIdempotent);
                 selectedAgain += fixture.send(request) == pod;
                 fixture.end(request, AttemptEvent::answered);
             }
@@ -437,7 +437,7 @@
         const auto usedHosts = [&] {
             std::set<std::string> used;
             for (int at = 0; at < 500; ++at) {
-                auto request = fixture.begin(kRepeatable);
+                auto request = fixture.begin(kIdempotent);
                 used.insert(fixture.send(request));
                 fixture.end(request, AttemptEvent::answered);
             }
@@ -456,7 +456,7 @@
     void cancelledAttemptsBackOffFromNoHost() {
         RouterFixture fixture;
         for (int at = 0; at < 20; ++at) {
-            auto request = fixture.begin(kRepeatable);
+            auto request = fixture.begin(kIdempotent);
             fixture.send(request);
             fixture.end(request, AttemptEvent::cancelled);
         }
@@ -466,7 +466,7 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(name, 1.0, host->relativeLatency);
             CPPUNIT_ASSERT_MESSAGE(name, routing::isAvailable(*host, fixture.now));
         }
-        auto slow = fixture.begin(kRepeatable);
+        auto slow = fixture.begin(kIdempotent);
         const auto chosen = fixture.send(slow);
         fixture.endAttempt(slow, *slow.attempts.back(), AttemptEvent::cancelled, 0, 100 * kSecond);
         CPPUNIT_ASSERT(fixture.router->hosts().at(chosen)->relativeLatency > 1);
@@ -481,14 +481,14 @@
         fixture.now += 3 * kSecond;
         std::map<std::string, int> sent;
         for (int at = 0; at < 400; ++at) {
-            auto request = fixture.begin(kRepeatable);
+            auto request = fixture.begin(kIdempotent);
             ++sent[fixture.send(request)];
             fixture.end(request, AttemptEvent::cancelled);
         }
         CPPUNIT_ASSERT(sent["n"] > 0);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fixture.router->canaryFailures());
         const auto& totals = fixture.router->totals("s", "v2");
-        const auto& counts = totals.at(kRepeatable)[0];
+        const auto& counts = totals.at(kIdempotent)[0];
         CPPUNIT_ASSERT_EQUAL(static_cast<std::uint32_t>(sent["n"]), counts.total());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, counts.failures);
     }
@@ -500,13 +500,13 @@
         fixture.list("n", "v2"), fixture.list("m", "v2");
         fixture.rollout("in_progress");
         fixture.now += 3 * kSecond;
-        auto waiting = fixture.begin(kRepeatable);
+        auto waiting = fixture.begin(kIdempotent);
         fixture.send(waiting);
         for (int at = 0; at < 500; ++at) CPPUNIT_ASSERT(!fixture.router->nextAttempt(waiting, fixture.now));
         fixture.rollout("in_progress", 1, 2);  // the full-traffic trial, within the unused share
         int canaryRequests = 0;
         for (int at = 0; at < 20; ++at) {
-            auto request = fixture.begin(kNotRepeatable);
+            auto request = fixture.begin(kNonIdempotent);
             const auto sent = fixture.send(request);
             canaryRequests += sent != "-" && sent != "p0";
             if (sent != "-") fixture.end(request, AttemptEvent::answered);
