--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -55,8 +55,8 @@
 
 Json encode(const consensus::EpochState& state) {
     Json encoded{{kEpoch, encode(state.epoch)}, {kOpen, state.open}};
-    if (state.next) encoded[kNext] = encode(*state.next);
-    if (state.before) encoded[kBefore] = encode(*state.before);
+    if (state.successor) encoded[kNext] = encode(*state.successor);
+    if (state.predecessor) encoded[kBefore] = encode(*state.predecessor);
     return encoded;
 }
 
@@ -64,8 +64,8 @@
     consensus::EpochState state;
     state.epoch = decodeEpoch(json.at(kEpoch));
     json.at(kOpen).get_to(state.open);
-    if (json.contains(kNext)) state.next = decodeEpoch(json.at(kNext));
-    if (json.contains(kBefore)) state.before = decodeEpoch(json.at(kBefore));
+    if (json.contains(kNext)) state.successor = decodeEpoch(json.at(kNext));
+    if (json.contains(kBefore)) state.predecessor = decodeEpoch(json.at(kBefore));
     return state;
 }
 
@@ -75,11 +75,11 @@
     if (request.proposalNumber.round > 0) encoded[kProposalNumber] = messages::encode(request.proposalNumber);
     if (request.kind == consensus::Request::Kind::accept)
         encoded[kValue] = messages::encodeBytes(request.value);
-    if (request.held.round > 0) encoded[kHeldNumber] = messages::encode(request.held);
-    for (const auto& [key, proposalNumber] : request.holds)
+    if (request.knownNumber.round > 0) encoded[kHeldNumber] = messages::encode(request.knownNumber);
+    for (const auto& [key, proposalNumber] : request.knownNumbers)
         encoded[kHeldNumbers][key] = messages::encode(proposalNumber);
-    if (request.to) encoded[kSuccessor] = encode(*request.to);
-    if (request.from) encoded[kPredecessor] = encode(*request.from);
+    if (request.successor) encoded[kSuccessor] = encode(*request.successor);
+    if (request.predecessor) encoded[kPredecessor] = encode(*request.predecessor);
     if (request.open) encoded[kOpen] = true;
     return encoded;
 }
@@ -94,16 +94,17 @@
         request.proposalNumber = messages::decodeProposalNumber(json.at(kProposalNumber));
     if (request.kind == consensus::Request::Kind::accept)
         request.value = messages::decodeBytes(json.at(kValue));
-    if (json.contains(kHeldNumber)) request.held = messages::decodeProposalNumber(json.at(kHeldNumber));
+    if (json.contains(kHeldNumber))
+        request.knownNumber = messages::decodeProposalNumber(json.at(kHeldNumber));
     if (json.contains(kHeldNumbers))
         for (const auto& [key, proposalNumber] : json.at(kHeldNumbers).items())
-            request.holds[key] = messages::decodeProposalNumber(proposalNumber);
-    if (json.contains(kSuccessor)) request.to = decodeEpoch(json.at(kSuccessor));
-    if (json.contains(kPredecessor)) request.from = decodeEpoch(json.at(kPredecessor));
+            request.knownNumbers[key] = messages::decodeProposalNumber(proposalNumber);
+    if (json.contains(kSuccessor)) request.successor = decodeEpoch(json.at(kSuccessor));
+    if (json.contains(kPredecessor)) request.predecessor = decodeEpoch(json.at(kPredecessor));
     if (json.contains(kOpen)) json.at(kOpen).get_to(request.open);
     using Kind = consensus::Request::Kind;
     const bool changesEpoch = request.kind == Kind::seal || request.kind == Kind::install;
-    if (kind < 0 || kind > static_cast<int>(Kind::install) || changesEpoch != request.to.has_value())
+    if (kind < 0 || kind > static_cast<int>(Kind::install) || changesEpoch != request.successor.has_value())
         json.at("valid kind and successor epoch");  // always throws: there is no such field
     return request;
 }
@@ -111,7 +112,7 @@
 Json encode(const consensus::Reply& reply) {
     Json encoded{{kRejected, reply.rejected}, {kAccepted, reply.accepted},
                  {kEpoch, reply.epoch},       {kSealed, reply.sealed},
-                 {kWrites, reply.writes},     {kState, messages::encode(reply.state)}};
+                 {kWrites, reply.writeCount}, {kState, messages::encode(reply.state)}};
     if (reply.valueOmitted) encoded[kValueOmitted] = true;
     for (const auto& [key, state] : reply.states) encoded[kStates][key] = messages::encode(state);
     return encoded;
@@ -123,7 +124,7 @@
     json.at(kAccepted).get_to(reply.accepted);
     json.at(kEpoch).get_to(reply.epoch);
     json.at(kSealed).get_to(reply.sealed);
-    json.at(kWrites).get_to(reply.writes);
+    json.at(kWrites).get_to(reply.writeCount);
     reply.state = messages::decodeRegisterState(json.at(kState));
     reply.valueOmitted = json.contains(kValueOmitted);
     if (json.contains(kStates))
--- a/src/routing/canary.cpp
+++ b/src/routing/canary.cpp
@@ -221,7 +221,7 @@
         const bool isCanary = rollout.target == host.endpoint.version;
         if (!isCanary && roleOf(host) != VersionRole::stable) continue;
         auto& canary = canaryOf(rollout);
-        canary.totals[route.name][isCanary ? 0 : 1].count(elapsed, route.target, failed);
+        canary.totals[route.name][isCanary ? 0 : 1].count(elapsed, route.targetLatency, failed);
         if (!isCanary) continue;
         ++canary.outcomes;
         if (!failed) continue;
--- a/src/routing/hedge_policy.cpp
+++ b/src/routing/hedge_policy.cpp
@@ -15,15 +15,15 @@
 constexpr double kInitialTargetDivisor = 3;  // typical latency before the first success: target / this
 
 double initialTypicalLatency(const config::Route& route) {
-    return static_cast<double>(route.target) / kInitialTargetDivisor;
+    return static_cast<double>(route.targetLatency) / kInitialTargetDivisor;
 }
 
 }  // namespace
 
 Nanos HedgePolicy::hedgeAt(const config::Route& route, Nanos deadline, Nanos sentAt) const {
-    if (!route.repeatable) return deadline;
+    if (!route.idempotent) return deadline;
     const auto typical = typicalLatencies_.find(route.name);
-    const auto target = static_cast<double>(route.target);
+    const auto target = static_cast<double>(route.targetLatency);
     const double delay =
         std::min(typical == typicalLatencies_.end() ? target : kHedgeAfterTypicalLatencies * typical->second,
                  kHedgeAfterTargetFraction * target);
@@ -31,7 +31,7 @@
 }
 
 Nanos HedgePolicy::nextCheckAt(const config::Route& route, Nanos deadline, Nanos now) const {
-    if (!route.repeatable) return deadline;
+    if (!route.idempotent) return deadline;
     return std::min(deadline,
                     now + std::max(static_cast<Nanos>(typicalLatency(route) / 2), kMinRecheckDelay));
 }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -95,7 +95,7 @@
 bool Router::mayAttemptAgain(const RoutedRequest& request, Nanos now) const {
     const auto& [attempts, route] = std::tie(request.attempts, *request.route);
     // Unreachable hosts don't count as attempts, but only a few of them are tried for one request.
-    return mayAttempt(attempts, route.repeatable) &&
+    return mayAttempt(attempts, route.idempotent) &&
            static_cast<std::int64_t>(possibleArrivals(attempts)) < route.maxAttempts &&
            static_cast<std::int64_t>(attempts.size()) < route.maxAttempts + kExtraUnreachedAttempts &&
            request.deadline - now > kMinTimeLeft;
--- a/src/subscription/configuration_cache.cpp
+++ b/src/subscription/configuration_cache.cpp
@@ -49,7 +49,7 @@
     highestTermSeen_ = term;
     if (!firstOfTerm && events.empty()) return nullptr;
     messages::EndpointsUpdate update;
-    update.before = endpointListVersion_;
+    update.baseVersion = endpointListVersion_;
     endpointListVersion_ = {term, firstOfTerm ? 1 : endpointListVersion_.sequence + 1};
     update.version = endpointListVersion_;
     for (const auto& event : events) {
@@ -197,7 +197,7 @@
 bool ConfigurationCache::wantsFullList(const Json& fetchRequest) const {
     const auto request = messages::decodeFetchRequest(fetchRequest);
     return endpointsCurrent_ && request.endpoints && request.endpoints->version == endpointListVersion_ &&
-           std::all_of(request.endpoints->held.begin(), request.endpoints->held.end(),
+           std::all_of(request.endpoints->heldIds.begin(), request.endpoints->heldIds.end(),
                        [](const auto& range) { return range.second.empty(); });
 }
 
@@ -212,11 +212,11 @@
 
 Json ConfigurationCache::endpointsAnswer(const messages::FetchRequest::Endpoints& request) const {
     std::set<std::string> remoteIds;
-    for (const auto& [_, ids] : request.held) remoteIds.insert(ids.begin(), ids.end());
+    for (const auto& [_, ids] : request.heldIds) remoteIds.insert(ids.begin(), ids.end());
     messages::EndpointsUpdate update;
     update.version = endpointListVersion_;
     for (const auto& [id, endpoint] : endpoints_.endpoints())
-        if (request.held.contains(std::to_string(rangeOf(id))) &&
+        if (request.heldIds.contains(std::to_string(rangeOf(id))) &&
             (endpoint.draining || !remoteIds.contains(id)))
             update.endpoints.push_back(endpoint);
     // A copy of this version must not contain other endpoints. But only endpoints whose removal was observed
@@ -241,7 +241,8 @@
     if (newer && update.suspect) removeAll(*update.suspect, true);
     highestTermSeen_ = std::max(highestTermSeen_, update.version.term);
     // A pushed change names the version before it; the response to a fetch request does not.
-    const bool missedUpdate = update.before && (!endpointsCurrent_ || *update.before != endpointListVersion_);
+    const bool missedUpdate =
+        update.baseVersion && (!endpointsCurrent_ || *update.baseVersion != endpointListVersion_);
     if (from == MessageSource::controlNode && update.version.term < endpointListVersion_.term) {
         reply(digestMessage());  // another control node has its lease, which it may not know
     } else if (newer && missedUpdate) {
--- a/tests/membership/reconfiguration.cpp
+++ b/tests/membership/reconfiguration.cpp
@@ -159,7 +159,7 @@
     void keepsAMemberThatRestartsLate() {
         Cluster cluster(4);
         cluster.tolerance = [](config::BootstrapSettings& boot) {
-            boot.machinesLost = 1;
+            boot.tolerableMachineLosses = 1;
             boot.controlReplaceAfter = 5 * kSecond;  // long enough on a busy test machine as well
         };
         for (int at = 0; at < 4; ++at) cluster.launch(at, true);
--- a/tests/routing/router.cpp
+++ b/tests/routing/router.cpp
@@ -267,7 +267,7 @@
         messages::Rollout first;
         messages::Rollout repeated;
         first.service = repeated.service = "s", first.target = repeated.target = "v2";
-        first.term = 12'000, repeated.term = 15'000, first.number = 1, repeated.number = 3;
+        first.timeLimitMs = 12'000, repeated.timeLimitMs = 15'000, first.number = 1, repeated.number = 3;
         const auto serve = [&] {
             int canaryRequests = 0;
             for (int at = 0; at < 600; ++at) {
