--- a/src/proxy/upstream.cpp
+++ b/src/proxy/upstream.cpp
@@ -63,7 +63,7 @@
               : responseId == id                 ? ResponseHead::Id::own
                                                  : ResponseHead::Id::other;
     head.notExecuted = response.count("X-Not-Executed") > 0;
-    head.stamped = response.count("X-Response-Seal") > 0;
+    head.sealed = response.count("X-Response-Seal") > 0;
     head.encoded = response.count(http::field::content_encoding) > 0;
     head.delimited = delimited(response);
     return head;
@@ -195,7 +195,7 @@
             if (isUnreadable(error)) call->end = AttemptEvent::malformed;
             break;
         }
-        const auto outcome = routing::judge(responseHeadOf(call->response, id));
+        const auto outcome = routing::classifyResponse(responseHeadOf(call->response, id));
         if (!outcome && !call->unread) {
             read.mismatched = true;
             continue;
--- a/tests/support/replica_node_fixture.hpp
+++ b/tests/support/replica_node_fixture.hpp
@@ -213,7 +213,7 @@
             at, [](const std::string& value) { return value; }, kSecond);
     }
     std::string change(int at, const consensus::Change& change, Nanos timeout) {
-        const auto result = event_loop_fixture::result(
+        const auto result = event_loop_fixture::runTask(
             io, replica(at).update(control_plane::kConfigurationKey, change, timeout),
             [&](auto done) { until("a change ends", done); });
         return result.value_or("-");
