--- a/src/control_plane/disk_identity.hpp
+++ b/src/control_plane/disk_identity.hpp
@@ -20,8 +20,8 @@
 /// Names of the notes that are read at the start. They are part of the disk format.
 inline const std::string kWritesNote = "writes";  ///< number of writes since the disk was first used, decimal
 inline const std::string kWitnessNote = "witness";  ///< JSON object: highest write count seen, by disk id
-inline const std::array<std::string, 5> kStoredNotes{storage::kDiskNote, storage::kStandingNote, kWritesNote,
-                                                     kWitnessNote, storage::kOldMembersNote};
+inline const std::array<std::string, 5> kStoredNotes{storage::kDiskIdentityNote, storage::kEpochStateNote,
+                                                     kWritesNote, kWitnessNote, storage::kLegacyMembersNote};
 
 /// Settings that decide whether a replica founds the register.
 struct FoundingRules {
--- a/src/control_plane/reconfiguration_driver.cpp
+++ b/src/control_plane/reconfiguration_driver.cpp
@@ -105,7 +105,7 @@
     if (now() - epochs_.reconfigurationSince() < kDeferral / 2 + jitter) co_return;
     const auto [from, to] = *epochs_.reconfiguration();
     // A seal is irreversible, so it must wait until a majority of the new members is present.
-    if (!storage_.acceptor().epochState().next && !contact_.isMajorityPresent(to)) co_return;
+    if (!storage_.acceptor().epochState().successor && !contact_.isMajorityPresent(to)) co_return;
     running_ = true;
     const bool done = co_await execute(from, to);
     if (!done) epochs_.restartSuccessorDelay();
--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -22,11 +22,11 @@
 // Includes the deadline, because a finished rollout of the same service and version may be requested again
 // with another one.
 std::string requestKey(const messages::Rollout& rollout) {
-    return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.term);
+    return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.timeLimitMs);
 }
 
 bool isSameRequest(const messages::Rollout& one, const messages::Rollout& other) {
-    return one.service == other.service && one.target == other.target && one.term == other.term;
+    return one.service == other.service && one.target == other.target && one.timeLimitMs == other.timeLimitMs;
 }
 
 messages::Rollout afterTransition(messages::Rollout rollout, const verdict::StageTransition& transition,
@@ -34,8 +34,8 @@
     if (transition.completed) rollout.state = kCompletedState;
     else if (transition.rolledBack) rollout.state = kRolledBackState;
     else ++rollout.stage;
-    rollout.age = age;
-    rollout.inStage = 0;
+    rollout.ageMs = age;
+    rollout.stageAgeMs = 0;
     return rollout;
 }
 
@@ -62,8 +62,8 @@
     for (auto& rollout : rollouts) {
         if (!rollout.running()) continue;
         const auto age = ages.ageOf(requestKey(rollout), now);
-        rollout.age = std::max(rollout.age, age.order);
-        if (age.stage == rollout.stage) rollout.inStage = std::max(rollout.inStage, age.inStage);
+        rollout.ageMs = std::max(rollout.ageMs, age.order);
+        if (age.stage == rollout.stage) rollout.stageAgeMs = std::max(rollout.stageAgeMs, age.inStage);
     }
     return messages::encode(rollouts);
 }
@@ -75,7 +75,7 @@
     for (const auto& rollout : messages::decodeRollouts(replica_.known(kRolloutsKey).value)) {
         if (!rollout.running()) continue;
         running_.insert(requestKey(rollout));
-        ages_.merge(requestKey(rollout), {rollout.age, rollout.stage, rollout.inStage}, now());
+        ages_.merge(requestKey(rollout), {rollout.ageMs, rollout.stage, rollout.stageAgeMs}, now());
     }
     ages_.retainOnly(running_);
 }
@@ -139,7 +139,7 @@
     const auto age = ages_.ageOf(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
     const auto transition =
-        verdict::nextTransition(rollout.stage, votes.counts, age.order, inStage, rollout.term);
+        verdict::nextTransition(rollout.stage, votes.counts, age.order, inStage, rollout.timeLimitMs);
     if (!transition) co_return;
     const auto after = afterTransition(rollout, *transition, age.order);
     const char* why = transition->reason;
