--- a/bench/metadata.cpp
+++ b/bench/metadata.cpp
@@ -7,7 +7,7 @@
 
 #include "support/metadata_repository.hpp"
 
-using namespace stand_ins;
+using namespace metadata_fixture;
 
 namespace {
 
@@ -30,12 +30,12 @@
         for (int target = 0; target < targetCount; ++target)
             byBin[bins.roleOf(digest("sha256", pathOf(target)))].push_back(target);
         delegateBins(top.role("targets"), bins, {key.key()});
-        top.redo("targets");
+        top.markChanged("targets");
         for (const auto& [name, targets] : byBin) {
             auto envelope = newTargets(kStart + 90 * kDay);
             for (const auto target : targets) addTarget(envelope, pathOf(target), "bytes");
             sign(envelope, key);
-            top.put(name, 1, textOf(envelope));
+            top.writeFile(name, 1, textOf(envelope));
             addListing(top.snapshot, name + ".json", listingOf(1, "", false));
         }
         top.publish();
@@ -55,9 +55,9 @@
     for (auto _ : state) {
         Client client(bins().top.firstRoot());
         benchmark::DoNotOptimize(client.update(files, kStart + 60, {pathOf(7)}));
-        if (client.whoLists(pathOf(7)) == "-") state.SkipWithError("not found");
+        if (client.listingRole(pathOf(7)) == "-") state.SkipWithError("not found");
         bytes = 0;
-        for (const auto& name : client.asked)
+        for (const auto& name : client.requestedPaths)
             if (files.count(name)) bytes += files.at(name).size();
     }
     state.counters["bytes"] = static_cast<double>(bytes);
@@ -78,20 +78,20 @@
         state.PauseTiming();
         Client client(bins().top.firstRoot());
         auto set = TrustedSet::start(bins().top.firstRoot(), kStart);
-        Update update(std::move(*set), client.kept);
+        Update update(std::move(*set), client.stored);
         const auto drive = [&] {
-            while (update.next().kind == Update::Next::fetch) {
+            while (update.next().kind == Update::NextAction::fetch) {
                 const auto file = files.find(update.next().path);
                 if (file == files.end()) update.notFound();
                 else update.receive(file->second);
-                client.kept.take(update.takeTransactions());
+                client.stored.apply(update.takeTransactions());
             }
         };
         drive();
         state.ResumeTiming();
         for (int target = 0; target < 100; ++target) update.search(pathOf(target * 977));
         drive();
-        if (update.next().kind != Update::Next::done) state.SkipWithError("refused");
+        if (update.next().kind != Update::NextAction::done) state.SkipWithError("refused");
     }
     state.SetItemsProcessed(state.iterations() * 100);
 }
--- a/bench/refresh_and_hits.cpp
+++ b/bench/refresh_and_hits.cpp
@@ -99,7 +99,7 @@
 
 // The mirror alone: making a new set takes it longer than a pod may stand still.
 std::pair<pid_t, std::uint16_t> mirrorOf(const std::string& rootFile) {
-    stand_ins::Repository repository(true, wall());
+    metadata_fixture::Repository repository(true, wall());
     std::ofstream(rootFile) << repository.firstRoot();
     return child<std::uint16_t>([&](auto told) {
         EventLoop loop;
@@ -109,7 +109,7 @@
                 metadata::addTarget(repository.role("targets"), "releases/" + std::to_string(one),
                                     std::to_string(round));
             ++round;
-            repository.redo("targets");
+            repository.markChanged("targets");
             repository.publish();
         };
         renew();
--- a/src/command/metadata_client.cpp
+++ b/src/command/metadata_client.cpp
@@ -106,7 +106,7 @@
         return take(*found, refresh.update().consistent(), counts);
     }
 
-    int take(const Found& found, bool consistent, sidecar::FetchCounts& counts) {
+    int take(const FoundTarget& found, bool consistent, sidecar::FetchCounts& counts) {
         // Its name as one file's name; what is too long for one goes by its hash.
         auto name = percentEncoded(found.path);
         if (name.size() > 200 || name == "." || name == "..") name = digest("sha256", found.path);
--- a/src/metadata/attested_builds.cpp
+++ b/src/metadata/attested_builds.cpp
@@ -37,13 +37,13 @@
     return paths;
 }
 
-Attestation AttestedBuilds::attestationBy(const std::optional<Found>& found, bool everListed) {
+Attestation AttestedBuilds::attestationBy(const std::optional<FoundTarget>& found, bool everListed) {
     if (!found) return everListed ? Attestation::withdrawn : Attestation::none;
     const auto* withdrawn = member(found->target.custom, "withdrawn", Json::value_t::boolean);
     return withdrawn && withdrawn->get<bool>() ? Attestation::withdrawn : Attestation::valid;
 }
 
-bool AttestedBuilds::isDirected(const std::string& path, const std::optional<Found>& found,
+bool AttestedBuilds::isDirected(const std::string& path, const std::optional<FoundTarget>& found,
                                 const Directives& directives) {
     return std::any_of(directives.begin(), directives.end(), [&](const auto& entry) {
         return entry.second.path == path && !uptane::verifyAgreement(entry.second, found);
--- a/src/metadata/attested_builds.hpp
+++ b/src/metadata/attested_builds.hpp
@@ -15,7 +15,7 @@
         int build = 0;
         Attestation attestation = Attestation::none;
     };
-    using FoundTargets = std::map<std::string, std::optional<Found>>;
+    using FoundTargets = std::map<std::string, std::optional<FoundTarget>>;
     using Directives = std::map<std::string, uptane::Directive>;
 
     /// `pattern`: of the targets' paths, with "{build}" once. Throws std::invalid_argument.
@@ -55,8 +55,8 @@
         bool everListed = false;
     };
     std::vector<Change> update(const FoundTargets& found, UnixSeconds expires, const Directives* directives);
-    static Attestation attestationBy(const std::optional<Found>& found, bool everListed);
-    static bool isDirected(const std::string& path, const std::optional<Found>& found,
+    static Attestation attestationBy(const std::optional<FoundTarget>& found, bool everListed);
+    static bool isDirected(const std::string& path, const std::optional<FoundTarget>& found,
                            const Directives& directives);
 
     std::string prefix_, suffix_;     // of the pattern
--- a/src/metadata/trusted_set.cpp
+++ b/src/metadata/trusted_set.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-Result<TrustedSet> TrustedSet::start(std::string_view bytes, UnixSeconds now, const Sizes& sizes) {
+Result<TrustedSet> TrustedSet::start(std::string_view bytes, UnixSeconds now, const SizeLimits& sizes) {
     auto envelope = Envelope::read(bytes, "root", "root", sizes.root);
     if (!envelope) return envelope.refusal();
     auto root = Root::read(*envelope);
@@ -124,7 +124,7 @@
 
 Check TrustedSet::delegated(std::string_view bytes, const std::string& role, const std::string& parent) {
     if (auto refusal = checkSnapshot()) return refusal;
-    const auto* listing = listed(role);
+    const auto* listing = listedFile(role);
     if (!listing) return Refusal{Reason::notListed, role, 0, "by the snapshot"};
     const bool top = role == "targets";
     const auto from = targets_.find(parent);
@@ -180,7 +180,7 @@
     return trustedBy_.contains({role, parent});
 }
 
-const FileInfo* TrustedSet::listed(const std::string& role) const {
+const FileInfo* TrustedSet::listedFile(const std::string& role) const {
     if (!snapshot_) return nullptr;
     const auto found = snapshot_->files.find(role + ".json");
     return found == snapshot_->files.end() ? nullptr : &found->second;
--- a/src/metadata/trusted_set.hpp
+++ b/src/metadata/trusted_set.hpp
@@ -14,17 +14,19 @@
 namespace lichenlanding::metadata {
 
 /// Bounds of one document, in bytes. A listed length goes before the last two.
-struct Sizes {
+struct SizeLimits {
     std::size_t root = 512'000, timestamp = 16'384, snapshot = 16'000'000, targets = 32'000'000;
 
     /// For a process of little memory: while a document is read it takes up to 16 times its size.
-    static constexpr Sizes small(std::size_t bytes = 4'000'000) { return {512'000, 16'384, bytes, bytes}; }
+    static constexpr SizeLimits small(std::size_t bytes = 4'000'000) {
+        return {512'000, 16'384, bytes, bytes};
+    }
 };
 
 class TrustedSet {
   public:
     /// From a root that is trusted already: shipped, or stored before. It must be signed by itself.
-    static Result<TrustedSet> start(std::string_view root, UnixSeconds now, const Sizes& sizes = {});
+    static Result<TrustedSet> start(std::string_view root, UnixSeconds now, const SizeLimits& sizes = {});
 
     Check root(std::string_view bytes);  ///< the next version; refused once a timestamp is there
     /// A version that equals the trusted one is accepted and changes nothing.
@@ -48,13 +50,13 @@
     const Targets* trusted(const std::string& role = "targets") const;
     /// Whether a role is trusted by this parent's word; another parent may name other keys for it.
     bool trustedBy(const std::string& role, const std::string& parent) const;
-    const FileInfo* listed(const std::string& role) const;  ///< by the snapshot; none if it is not there
-    const Sizes& sizes() const { return sizes_; }
+    const FileInfo* listedFile(const std::string& role) const;  ///< by the snapshot; none if it is not there
+    const SizeLimits& sizeLimits() const { return sizes_; }
     UnixSeconds now() const { return now_; }
     UnixSeconds expires() const;  ///< the earliest of all that is there and in use
 
   private:
-    TrustedSet(Root root, UnixSeconds now, const Sizes& sizes)
+    TrustedSet(Root root, UnixSeconds now, const SizeLimits& sizes)
         : root_(std::move(root)), now_(now), sizes_(sizes) {}
     Result<Timestamp> readTimestamp(std::string_view bytes) const;
     Result<Snapshot> readSnapshot(std::string_view bytes) const;
@@ -66,7 +68,7 @@
     std::map<std::string, Targets> targets_;                   // by role
     std::set<std::pair<std::string, std::string>> trustedBy_;  // role and parent
     UnixSeconds now_;
-    Sizes sizes_;
+    SizeLimits sizes_;
 };
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/update.cpp
+++ b/src/metadata/update.cpp
@@ -4,7 +4,7 @@
 
 namespace lichenlanding::metadata {
 
-std::string Found::location() const { return locationOf(path, target); }
+std::string FoundTarget::location() const { return locationOf(path, target); }
 
 Update::Update(TrustedSet set, const StoredMetadata& kept, UpdateLimits bounds)
     : set_(std::move(set)), kept_(kept), limits_(bounds), before_(set_.root()) {
@@ -12,13 +12,13 @@
 }
 
 void Update::request(std::string path, std::size_t maxBytes, const std::string& role) {
-    next_ = {Next::fetch, std::move(path), maxBytes, role};
+    next_ = {NextAction::fetch, std::move(path), maxBytes, role};
 }
 
 void Update::refuse(Refusal why) {
     refusal_ = std::move(why);
     refusedRequest_ = next_;
-    next_ = {Next::refused, {}, 0, refusal_.role};
+    next_ = {NextAction::refused, {}, 0, refusal_.role};
 }
 
 void Update::storeFile(const std::string& name, std::string_view bytes) {
@@ -32,11 +32,11 @@
 }
 
 void Update::requestRoot() {
-    request(std::to_string(set_.root().version + 1) + ".root.json", set_.sizes().root, "root");
+    request(std::to_string(set_.root().version + 1) + ".root.json", set_.sizeLimits().root, "root");
 }
 
 void Update::receive(std::string_view bytes) {
-    if (next_.kind != Next::fetch) return;
+    if (next_.kind != NextAction::fetch) return;
     if (bytes.size() > next_.maxBytes)
         return refuse(
             {Reason::tooLong, next_.role, 0, "more than " + std::to_string(next_.maxBytes) + " bytes"});
@@ -81,25 +81,26 @@
 }
 
 void Update::notFound() {
-    if (next_.kind != Next::fetch) return;
+    if (next_.kind != NextAction::fetch) return;
     if (at_ == At::root) return startTimestamp();
     refuse({Reason::unavailable, next_.role, 0, "no mirror has " + escaped(next_.path, 100)});
 }
 
 void Update::fail(Refusal why) {
-    if (next_.kind != Next::fetch) return;
+    if (next_.kind != NextAction::fetch) return;
     if (why.role.empty()) why.role = next_.role;
     refuse(std::move(why));
 }
 
 void Update::retry() {
-    if (next_.kind == Next::refused && refusedRequest_.kind == Next::fetch) next_ = refusedRequest_;
+    if (next_.kind == NextAction::refused && refusedRequest_.kind == NextAction::fetch)
+        next_ = refusedRequest_;
 }
 
 void Update::abort(Refusal why) {
     refuse(std::move(why));
     refusedRequest_ = {};
-    refusedRequest_.kind = Next::refused;  // nothing to ask again for
+    refusedRequest_.kind = NextAction::refused;  // nothing to ask again for
 }
 
 void Update::startTimestamp() {
@@ -112,7 +113,7 @@
     // As a floor; what does not verify any more is none.
     if (!rotated)
         if (const auto bytes = kept_.read("timestamp.json")) (void)set_.loadTimestamp(*bytes);
-    request("timestamp.json", set_.sizes().timestamp, "timestamp");
+    request("timestamp.json", set_.sizeLimits().timestamp, "timestamp");
 }
 
 void Update::startSnapshot() {
@@ -120,7 +121,8 @@
     if (const auto bytes = kept_.read("snapshot.json"))
         if (!set_.loadSnapshot(*bytes)) return startTargets();  // it is the listed one
     const auto& listing = set_.timestamp()->snapshot;
-    const auto length = listing.length ? static_cast<std::size_t>(*listing.length) : set_.sizes().snapshot;
+    const auto length =
+        listing.length ? static_cast<std::size_t>(*listing.length) : set_.sizeLimits().snapshot;
     request(fileOf("snapshot", listing.version), length, "snapshot");
 }
 
@@ -139,9 +141,10 @@
 }
 
 void Update::requestRole(const std::string& role) {
-    const auto* listing = set_.listed(role);
+    const auto* listing = set_.listedFile(role);
     if (!listing) return refuse({Reason::notListed, role, 0, "by the snapshot"});
-    const auto length = listing->length ? static_cast<std::size_t>(*listing->length) : set_.sizes().targets;
+    const auto length =
+        listing->length ? static_cast<std::size_t>(*listing->length) : set_.sizeLimits().targets;
     request(fileOf(role, listing->version), length, role);
 }
 
@@ -149,7 +152,7 @@
     if (found_.contains(path) || std::find(searches_.begin(), searches_.end(), path) != searches_.end())
         return;
     searches_.push_back(path);
-    if (next_.kind == Next::done) continueSearch();
+    if (next_.kind == NextAction::done) continueSearch();
 }
 
 // Continues with the role just trusted, `visiting_`, until a role must be fetched or all searches are over.
@@ -158,7 +161,7 @@
         const auto path = searches_.front();
         const auto* role = set_.trusted(visiting_.role);
         if (role->targets.contains(path)) {
-            found_[path] = Found{path, visiting_.role, role->targets.at(path)};
+            found_[path] = FoundTarget{path, visiting_.role, role->targets.at(path)};
         } else {
             const auto steps = role->rolesFor(path);
             if (!steps.empty() && steps.back().terminating) open_.clear();
@@ -182,7 +185,7 @@
         visiting_ = {"targets", "root"};
         visited_ = {"targets"};
     }
-    next_ = {Next::done, {}, 0, {}};
+    next_ = {NextAction::done, {}, 0, {}};
 }
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/update.hpp
+++ b/src/metadata/update.hpp
@@ -5,7 +5,7 @@
 //
 //     Update update(set, kept, bounds);
 //     update.search("releases/42");                 // any number, now or once an earlier search is over
-//     while (update.next().kind == Update::Next::fetch)
+//     while (update.next().kind == Update::NextAction::fetch)
 //         ... fetch update.next().path; update.receive(bytes) or update.notFound(), then store
 //         update.takeTransactions()
 #pragma once
@@ -34,7 +34,7 @@
     std::vector<std::pair<std::string, std::optional<std::string>>> files;
 };
 
-struct Found {
+struct FoundTarget {
     std::string path, role;  ///< role: that lists it
     Target target;
     std::string location() const;  ///< where it lies under the target base of a consistent repository
@@ -42,7 +42,7 @@
 
 class Update {
   public:
-    struct Next {
+    struct NextAction {
         enum Kind { fetch, done, refused } kind = fetch;
         std::string path;          ///< under the metadata base
         std::size_t maxBytes = 0;  ///< bytes; more is refused as tooLong and need not be read
@@ -51,7 +51,7 @@
 
     Update(TrustedSet set, const StoredMetadata& stored, UpdateLimits limits = {});
 
-    const Next& next() const { return next_; }
+    const NextAction& next() const { return next_; }
     void receive(std::string_view bytes);
     void notFound();          ///< the mirrors say that there is none
     void fail(Refusal why);   ///< none could be had
@@ -62,12 +62,12 @@
     /// A search through the delegations: preorder, by priority, no role twice (5.6.7). Its result is in
     /// found() once nothing is to be fetched any more. A refusal in one ends this search and the update.
     void search(const std::string& path);
-    const std::map<std::string, std::optional<Found>>& found() const { return found_; }
+    const std::map<std::string, std::optional<FoundTarget>>& found() const { return found_; }
 
     const Refusal& refusal() const { return refusal_; }  ///< once next().kind is refused
     const TrustedSet& set() const { return set_; }
     bool consistent() const { return set_.root().consistent; }
-    int visited() const { return visitedInAll_; }
+    int visitedRoles() const { return visitedInAll_; }
     /// Whether the update has trusted another version of any role than before it.
     bool changed() const { return changed_; }
 
@@ -93,7 +93,7 @@
     const StoredMetadata& kept_;
     UpdateLimits limits_;
     At at_ = At::root;
-    Next next_, refusedRequest_;  // refused_: what was wanted when a refusal came
+    NextAction next_, refusedRequest_;  // refused_: what was wanted when a refusal came
     Refusal refusal_;
     std::vector<StoreTransaction> transactions_;
     int roots_ = 0, visitedInAll_ = 0;
@@ -104,7 +104,7 @@
     std::vector<Visit> open_;  // of the search at hand, the next at the end
     std::set<std::string> visited_;
     Visit visiting_;
-    std::map<std::string, std::optional<Found>> found_;
+    std::map<std::string, std::optional<FoundTarget>> found_;
 };
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/uptane.cpp
+++ b/src/metadata/uptane.cpp
@@ -41,7 +41,7 @@
     return all;
 }
 
-Check verifyAgreement(const Directive& directive, const std::optional<Found>& image) {
+Check verifyAgreement(const Directive& directive, const std::optional<FoundTarget>& image) {
     const auto role = escaped(directive.path, 80);
     if (!image) return Refusal{Reason::notFound, role, 0, "the image repository does not list it"};
     const auto no = [&](const char* what) { return Refusal{Reason::disagrees, role, 0, what}; };
@@ -74,7 +74,7 @@
 }
 
 Result<Directive> Secondary::targets(std::string_view bytes, UnixSeconds now) {
-    const auto envelope = Envelope::read(bytes, "targets", "targets", Sizes{}.targets);
+    const auto envelope = Envelope::read(bytes, "targets", "targets", SizeLimits{}.targets);
     if (!envelope) return envelope.refusal();
     if (const auto refusal = envelope->verify(keys_, director_, "targets")) return *refusal;
     if (envelope->version < version_)
--- a/src/metadata/uptane.hpp
+++ b/src/metadata/uptane.hpp
@@ -24,7 +24,7 @@
 
 /// The image repository lists the same image: length and at least one common hash, all common ones equal, the
 /// same hardware and release counter where it tells them. Refuses with disagrees, or notFound if it has none.
-Check verifyAgreement(const Directive& directive, const std::optional<Found>& image);
+Check verifyAgreement(const Directive& directive, const std::optional<FoundTarget>& image);
 
 /// What a unit has: its hardware, and the release counter of what it runs. Refuses with wrongUnit or
 /// rollback.
--- a/src/sidecar/metadata_refresh.cpp
+++ b/src/sidecar/metadata_refresh.cpp
@@ -67,7 +67,7 @@
 }
 
 Task MetadataRefresh::run() {
-    while (update_.next().kind == Update::Next::fetch) {
+    while (update_.next().kind == Update::NextAction::fetch) {
         DocumentAwaiter awaiter(*this);
         co_await awaiter;
         if (awaiter.result == MirrorFetch::Result::missing) update_.notFound();
@@ -83,7 +83,7 @@
 }
 
 Check MetadataRefresh::refusal() const {
-    if (update_.next().kind == Update::Next::refused) return update_.refusal();
+    if (update_.next().kind == Update::NextAction::refused) return update_.refusal();
     return {};
 }
 
@@ -91,7 +91,8 @@
                                const FetchTimeouts& timeouts, FetchCounts& counts)
     : budget_(mirrors.size()), fetch_(loop, mirrors, bases, budget_, timeouts, counts) {}
 
-void TargetDownload::start(const Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone) {
+void TargetDownload::start(const FoundTarget& found, bool consistent, std::size_t maxBytes,
+                           ResultHandler onDone) {
     const auto& target = found.target;
     if (target.length > static_cast<std::int64_t>(maxBytes))
         return onDone(
--- a/src/sidecar/metadata_refresh.hpp
+++ b/src/sidecar/metadata_refresh.hpp
@@ -51,7 +51,8 @@
                    const metadata::FetchTimeouts& timeouts, FetchCounts& counts);
     /// `onDone` is called once: from within this call if the target is larger than `maxBytes`, else from the
     /// loop, unless this is destroyed first.
-    void start(const metadata::Found& found, bool consistent, std::size_t maxBytes, ResultHandler onDone);
+    void start(const metadata::FoundTarget& found, bool consistent, std::size_t maxBytes,
+               ResultHandler onDone);
 
   private:
     metadata::RetryBudget budget_;
--- a/src/sidecar/trust_config.cpp
+++ b/src/sidecar/trust_config.cpp
@@ -118,7 +118,7 @@
     auto& within = config.timeouts.response;
     within = fields.integer("answerMs", 50, 3'600'000, within / kMillisecond) * kMillisecond;
     const auto megabytes = fields.integer("documentMegabytes", 1, 64, 4);
-    config.sizes = metadata::Sizes::small(static_cast<std::size_t>(megabytes) * 1'000'000);
+    config.sizes = metadata::SizeLimits::small(static_cast<std::size_t>(megabytes) * 1'000'000);
 }
 
 void readServe(const Json& json, const std::string& path, TrustConfig& config) {
--- a/src/sidecar/trust_config.hpp
+++ b/src/sidecar/trust_config.hpp
@@ -27,8 +27,8 @@
     std::vector<MirrorUrl> metadata, targets;
     std::string builds;  ///< "releases/{build}"
     metadata::RefreshSchedule::Intervals rhythm;
-    metadata::Sizes sizes = metadata::Sizes::small();  ///< limits of documents
-    bool thread = true;                                ///< verify on a WorkerThread
+    metadata::SizeLimits sizes = metadata::SizeLimits::small();  ///< limits of documents
+    bool thread = true;                                          ///< verify on a WorkerThread
     metadata::FetchTimeouts timeouts;
     std::optional<Address> serve;  ///< as a mirror for others
     std::size_t serveConnections = 64, serveBytes = 32U << 20;
--- a/src/sidecar/trust_manager.cpp
+++ b/src/sidecar/trust_manager.cpp
@@ -306,7 +306,7 @@
     mirror_->publish(std::move(documents));
 }
 
-void TrustManager::queueDownload(const Found& found, bool consistent) {
+void TrustManager::queueDownload(const FoundTarget& found, bool consistent) {
     if (!consistent || mirror_->hasTarget(found.location())) return;
     downloads_.push_back({found, consistent});
     if (!download_) startNextDownload();
--- a/src/sidecar/trust_manager.hpp
+++ b/src/sidecar/trust_manager.hpp
@@ -48,7 +48,7 @@
         metadata::UnixSeconds expires = 0;
     };
     struct PendingDownload {
-        metadata::Found found;
+        metadata::FoundTarget found;
         bool consistent;
     };
     static Repository repositoryOf(const std::vector<MirrorUrl>& mirrors, std::uint32_t seed);
@@ -68,7 +68,7 @@
     void expire();
 
     void publish(const metadata::Update& update);
-    void queueDownload(const metadata::Found& found, bool consistent);
+    void queueDownload(const metadata::FoundTarget& found, bool consistent);
     void startNextDownload();
     void applyPendingConfig();
 
@@ -85,7 +85,7 @@
     std::vector<Url> targetBases_;
     metadata::Mirrors targetMirrors_;
     std::size_t maxTargetBytes_;
-    metadata::Sizes sizes_;
+    metadata::SizeLimits sizes_;
     metadata::FetchTimeouts timeouts_;
     Counts counts_;
     std::string lastRefusal_;
--- a/src/sidecar/trust_store.cpp
+++ b/src/sidecar/trust_store.cpp
@@ -16,8 +16,8 @@
     auto store = inMemory();
     store->disk_ = std::make_unique<store::PosixDisk>(directory);
     const auto opened = store->disk_->open();
-    if (opened != store::PosixDisk::Opened::yes) {
-        const auto reason = opened == store::PosixDisk::Opened::busy ? Reason::busy : Reason::folder;
+    if (opened != store::PosixDisk::OpenStatus::opened) {
+        const auto reason = opened == store::PosixDisk::OpenStatus::busy ? Reason::busy : Reason::folder;
         return Refusal{reason, {}, 0, store->disk_->lastError()};
     }
     store->folder_ = std::make_unique<store::TransactionalDirectory>(*store->disk_);
@@ -46,7 +46,7 @@
 }
 
 Result<TrustedSet> TrustStore::start(const std::string& shippedRoot, UnixSeconds now, std::string& choice,
-                                     const Sizes& sizes) {
+                                     const SizeLimits& sizes) {
     const auto bytes = read(kRootFile);
     auto stored = bytes ? TrustedSet::start(*bytes, now, sizes)
                         : Result<TrustedSet>(Refusal{Reason::notFound, "root", 0, {}});
--- a/src/sidecar/trust_store.hpp
+++ b/src/sidecar/trust_store.hpp
@@ -19,7 +19,7 @@
     /// Starts from the stored root, or from the shipped one if it is newer or the other cannot be read. A
     /// shipped root that is used is stored at once. `choice` explains it for the log.
     metadata::Result<metadata::TrustedSet> start(const std::string& shippedRoot, metadata::UnixSeconds now,
-                                                 std::string& choice, const metadata::Sizes& sizes = {});
+                                                 std::string& choice, const metadata::SizeLimits& sizes = {});
 
   private:
     std::unique_ptr<store::PosixDisk> disk_;
--- a/src/store/disk.cpp
+++ b/src/store/disk.cpp
@@ -51,16 +51,16 @@
     if (lock_ >= 0) close(lock_);
 }
 
-PosixDisk::Opened PosixDisk::open() {
+PosixDisk::OpenStatus PosixDisk::open() {
     for (std::size_t at = 1; at <= folder_.size(); ++at)
         if (at == folder_.size() || folder_[at] == '/')
             if (mkdir(folder_.substr(0, at).c_str(), 0700) != 0 && errno != EEXIST)
-                return fails("cannot make", ""), Opened::failed;
+                return fails("cannot make", ""), OpenStatus::failed;
     lock_ = ::open(pathOf(kLockName).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
-    if (lock_ < 0) return fails("cannot open", kLockName), Opened::failed;
-    if (flock(lock_, LOCK_EX | LOCK_NB) == 0) return Opened::yes;
+    if (lock_ < 0) return fails("cannot open", kLockName), OpenStatus::failed;
+    if (flock(lock_, LOCK_EX | LOCK_NB) == 0) return OpenStatus::opened;
     lastError_ = folder_ + " is in use by another process";
-    return errno == EWOULDBLOCK ? Opened::busy : Opened::failed;
+    return errno == EWOULDBLOCK ? OpenStatus::busy : OpenStatus::failed;
 }
 
 bool PosixDisk::fails(const char* what, const std::string& name) {
--- a/src/store/disk.hpp
+++ b/src/store/disk.hpp
@@ -29,13 +29,13 @@
 /// process, is refused. Files are made with mode 0600, directories with 0700.
 class PosixDisk final : public Disk {
   public:
-    enum class Opened { yes, busy, failed };
+    enum class OpenStatus { opened, busy, failed };
 
     explicit PosixDisk(std::string folder);
     ~PosixDisk() override;
     PosixDisk(const PosixDisk&) = delete;
 
-    Opened open();  ///< makes the directory if it is missing
+    OpenStatus open();  ///< makes the directory if it is missing
     bool write(const std::string& name, std::string_view bytes) override;
     bool rename(const std::string& from, const std::string& to) override;
     bool remove(const std::string& name) override;
--- a/tests/fuzz/gateway.cpp
+++ b/tests/fuzz/gateway.cpp
@@ -392,6 +392,6 @@
                                       "\"weight\":0",
                                       "1e400",
                                       "\xf0\x9f\x98\x80"};
-    return playSeeded(seeds, words, 60'000);
+    return runSeededMutations(seeds, words, 60'000);
 }
 #endif
--- a/tests/fuzz/metadata.cpp
+++ b/tests/fuzz/metadata.cpp
@@ -9,7 +9,7 @@
 #include "seeded.hpp"
 #include "support/metadata_repository.hpp"
 
-using namespace stand_ins;
+using namespace metadata_fixture;
 
 namespace {
 
@@ -115,6 +115,6 @@
                                       "\xf0\x9f\x98\x80",
                                       "\\ud800",
                                       "1e400"};
-    return playSeeded(seeds, words, 20'000);
+    return runSeededMutations(seeds, words, 20'000);
 }
 #endif
--- a/tests/fuzz/seeded.hpp
+++ b/tests/fuzz/seeded.hpp
@@ -12,8 +12,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
-inline int playSeeded(const std::vector<std::string>& seeds, std::span<const std::string_view> words,
-                      int rounds) {
+inline int runSeededMutations(const std::vector<std::string>& seeds, std::span<const std::string_view> words,
+                              int rounds) {
     std::mt19937 chance(17);
     for (int round = 0; round < rounds; ++round) {
         auto input = seeds[chance() % seeds.size()];
--- a/tests/metadata/properties.cpp
+++ b/tests/metadata/properties.cpp
@@ -5,7 +5,7 @@
 #include "support/metadata_repository.hpp"
 #include "support/trace.hpp"
 
-using namespace stand_ins;
+using namespace metadata_fixture;
 
 namespace {
 
@@ -181,11 +181,11 @@
         } else {
             ++accepted;
             // Only what does not count may have been changed: space, or a signature nobody needs.
-            REQUIRE_MESSAGE((client.whoLists("releases/2") == "rel" || name == "3.root.json"),
+            REQUIRE_MESSAGE((client.listingRole("releases/2") == "rel" || name == "3.root.json"),
                             name << ": " << bytes);
         }
         // Whatever happened: each document kept is, in canonical form, one that was published.
-        for (const auto& [file, kept] : client.kept.files) {
+        for (const auto& [file, kept] : client.stored.files) {
             const auto read = parseJson(kept, 1 << 20);
             REQUIRE(read);
             REQUIRE_MESSAGE(published.count(canonical((*read)["signed"])), file << ": " << kept);
--- a/tests/metadata/uptane.cpp
+++ b/tests/metadata/uptane.cpp
@@ -4,7 +4,7 @@
 #include "support/metadata_repository.hpp"
 #include "support/trace.hpp"
 
-using namespace stand_ins;
+using namespace metadata_fixture;
 
 namespace {
 
@@ -26,13 +26,13 @@
         director.publish();
         images.publish();
         directorClient.update(director.files);
-        auto set = TrustedSet::start(directorClient.kept.files.at("root.json"), kStart + 60);
-        set->timestamp(directorClient.kept.files.at("timestamp.json"));
-        set->snapshot(directorClient.kept.files.at("snapshot.json"));
-        set->targets(directorClient.kept.files.at("targets.json"));
+        auto set = TrustedSet::start(directorClient.stored.files.at("root.json"), kStart + 60);
+        set->timestamp(directorClient.stored.files.at("timestamp.json"));
+        set->snapshot(directorClient.stored.files.at("snapshot.json"));
+        set->targets(directorClient.stored.files.at("targets.json"));
         return uptane::readDirectives(*set->trusted());
     }
-    std::map<std::string, std::optional<Found>> found(const std::vector<std::string>& paths) {
+    std::map<std::string, std::optional<FoundTarget>> found(const std::vector<std::string>& paths) {
         imageClient.update(images.files, kStart + 60, paths);
         return imageClient.found;
     }
@@ -72,7 +72,7 @@
     });
     differs("no such image", [](auto& images) {
         removeTarget(images.role("targets"), "releases/42");
-        images.redo("targets");
+        images.markChanged("targets");
     });
     trace << "for another unit: " << word(uptane::checkInstallable(directive, {"pods-b", "m2", 1})) << '\n';
     trace << "for other hardware: " << word(uptane::checkInstallable(directive, {"pods-a", "m9", 1})) << '\n';
@@ -143,7 +143,7 @@
     const auto play = [&](const char* what, const Json& manifest) {
         const auto read = uptane::readManifest(textOf(manifest), primary.key(), known);
         trace << what << ": ";
-        if (!read) trace << masked(read.refusal().text());
+        if (!read) trace << maskVolatile(read.refusal().text());
         else
             for (const auto& report : *read)
                 trace << report.unit << " runs " << report.path << " (" << report.releaseCounter << ")"
@@ -189,7 +189,7 @@
     repository.target("targets", "releases/42", "42", {{"withdrawn", true}});
     look("one marked");
     removeTarget(repository.role("targets"), "releases/41");
-    repository.redo("targets");
+    repository.markChanged("targets");
     look("one gone");
     repository.target("targets", "releases/42", "42");
     repository.target("targets", "releases/43", "43");
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -3,23 +3,23 @@
 #include "support/metadata_repository.hpp"
 #include "support/trace.hpp"
 
-using namespace stand_ins;
+using namespace metadata_fixture;
 
 namespace {
 
 class Tape {
   public:
     void note(const std::string& what, const std::string& said) {
-        tape_ << what << ": " << masked(said) << '\n';
+        tape_ << what << ": " << maskVolatile(said) << '\n';
     }
     // A refusal changes nothing of what is kept.
     void refuses(const std::string& what, Client& client, const std::map<std::string, std::string>& files,
                  UnixSeconds now = kStart + 60, const std::vector<std::string>& paths = {}) {
-        const auto before = client.kept.files;
+        const auto before = client.stored.files;
         const auto said = client.update(files, now, paths);
         note(what, said);
         CHECK(said.find("done") == std::string::npos);
-        CHECK(client.kept.files == before);
+        CHECK(client.stored.files == before);
     }
     void matches(const std::string& name) { matchesTrace(name, tape_.str()); }
 
@@ -72,12 +72,12 @@
         bumpVersion(spoilt.snapshot, kStart + 7 * kDay);
         bumpVersion(spoilt.timestamp, kStart + kDay);
         sign(spoilt.snapshot, spoilt.keys.at("snapshot"));
-        spoilt.put("snapshot", versionOf(spoilt.snapshot), textOf(spoilt.snapshot));
+        spoilt.writeFile("snapshot", versionOf(spoilt.snapshot), textOf(spoilt.snapshot));
         spoilt.publishTimestamp();
         auto kNewSuffix = client;  // the timestamp is taken before the snapshot is seen, as it should be
         tape.note("a new snapshot of older targets", kNewSuffix.update(spoilt.files));
-        CHECK(kNewSuffix.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
-        CHECK(kNewSuffix.kept.files.at("snapshot.json") == client.kept.files.at("snapshot.json"));
+        CHECK(kNewSuffix.stored.files.at("targets.json") == client.stored.files.at("targets.json"));
+        CHECK(kNewSuffix.stored.files.at("snapshot.json") == client.stored.files.at("snapshot.json"));
     }
     {
         Repository spoilt = repository;
@@ -110,12 +110,12 @@
         late.publish();
         kNewSuffix = client;
         tape.note("at the targets' end", kNewSuffix.update(late.files, kStart + 90 * kDay));
-        CHECK(kNewSuffix.kept.files.at("targets.json") == client.kept.files.at("targets.json"));
+        CHECK(kNewSuffix.stored.files.at("targets.json") == client.stored.files.at("targets.json"));
     }
     tape.refuses("at the root's end", client, now, kStart + 365 * kDay);
     {
         Repository spoilt = repository;
-        spoilt.make("rel");
+        spoilt.addRole("rel");
         spoilt.publish();
         auto kNewSuffix = client;
         tape.note("a role more", kNewSuffix.update(spoilt.files));
@@ -159,17 +159,17 @@
     }
     repository.publish();
     tape.note("three roots on", client.update(repository.files));
-    CHECK(client.kept.files.count("root_history/3.root.json") == 1);
+    CHECK(client.stored.files.count("root_history/3.root.json") == 1);
     {
         Client late(first.at("1.root.json"));
         auto files = repository.files;
         files["3.root.json"] = files.at("4.root.json");
         tape.note("a root left out", late.update(files));
-        CHECK(late.kept.files.count("timestamp.json") == 0);
+        CHECK(late.stored.files.count("timestamp.json") == 0);
         Client bounded(first.at("1.root.json"));
         bounded.update(repository.files, kStart + 60, {}, {2, 64});
-        CHECK(bounded.kept.files.count("root_history/3.root.json") == 1);
-        CHECK(bounded.kept.files.count("root_history/4.root.json") == 0);
+        CHECK(bounded.stored.files.count("root_history/3.root.json") == 1);
+        CHECK(bounded.stored.files.count("root_history/4.root.json") == 0);
     }
     {
         Repository thief = repository;
@@ -204,7 +204,7 @@
         documentOf(stolen.snapshot)["meta"]["targets.json"]["version"] = 1;
         stolen.snapshot["signatures"] = Json::array();
         sign(stolen.snapshot, stolen.keys.at("snapshot"));
-        stolen.put("snapshot", 5000, textOf(stolen.snapshot));
+        stolen.writeFile("snapshot", 5000, textOf(stolen.snapshot));
         bumpVersion(stolen.timestamp, kStart + kDay);
         stolen.publishTimestamp();
         auto victim = client;
@@ -221,7 +221,7 @@
         auto files = mended.files;
         files.erase("timestamp.json");
         tape.note("cut off behind the new root", cut.update(files));
-        CHECK(!cut.kept.read("timestamp.json"));
+        CHECK(!cut.stored.read("timestamp.json"));
         tape.note("and the next update", cut.update(mended.files));
         auto bounded = victim;
         tape.note("the new root is the last that the bound allows",
@@ -376,7 +376,7 @@
         });
         Client kNewSuffix(repository.firstRoot());
         tape.note("a hash of no known kind", kNewSuffix.update(files));
-        CHECK(!kNewSuffix.kept.read("snapshot.json"));
+        CHECK(!kNewSuffix.stored.read("snapshot.json"));
     }
     bytes("signed by no one", [&] {
         auto envelope = repository.timestamp;
@@ -404,14 +404,14 @@
         auto& delegations = documentOf(repository.role("targets"))["delegations"];
         delegations["keys"][repository.keys.at(name).key().id()] = repository.keys.at(name).key().object();
         delegations["roles"] = {entry};
-        repository.redo("targets");
+        repository.markChanged("targets");
         repository.roles.emplace(name, newTargets(kStart + 90 * kDay));
         addTarget(repository.roles.at(name), "file", "bytes");
         repository.publish();
         Client client(repository.firstRoot());
         const auto said = client.update(repository.files, kStart + 60, {"file"});
-        tape.note("role " + what, said + ", listed by " + escaped(client.whoLists("file"), 60));
-        for (const auto& [file, bytes] : client.kept.files) {
+        tape.note("role " + what, said + ", listed by " + escaped(client.listingRole("file"), 60));
+        for (const auto& [file, bytes] : client.stored.files) {
             CHECK((file.find('/') == std::string::npos || file.compare(0, 13, "root_history/") == 0));
             CHECK(file.find('\0') == std::string::npos);
             CHECK(file.size() < 256);
@@ -430,11 +430,11 @@
         Repository repository;
         documentOf(repository.role("targets"))["targets"][name] = {
             {"length", 5}, {"hashes", {{"sha256", digest("sha256", "bytes")}}}};
-        repository.redo("targets");
+        repository.markChanged("targets");
         repository.publish();
         Client client(repository.firstRoot());
         const auto said = client.update(repository.files, kStart + 60, {name});
-        tape.note("target " + what, said + ", listed by " + client.whoLists(name));
+        tape.note("target " + what, said + ", listed by " + client.listingRole(name));
     };
     target("with dots", "../../etc/passwd");
     target("with %", "%2e%2e/x");
@@ -453,7 +453,7 @@
         of.publish();
         Client client(of.firstRoot());
         auto said = client.update(of.files, kStart + 60, paths, bounds);
-        for (const auto& path : paths) said += ", " + path + " by " + client.whoLists(path);
+        for (const auto& path : paths) said += ", " + path + " by " + client.listingRole(path);
         tape.note(what, said + ", visited " + std::to_string(client.visited));
         return client;
     };
@@ -467,9 +467,9 @@
         of.target("second", "releases/b", "second's");
         of.target("second", "other/c", "not its path");
         auto client = play("preorder", of, {"releases/a", "releases/b", "other/c", "releases/x/y"});
-        CHECK(client.asked.size() == 7);  // no role is fetched twice in one update
+        CHECK(client.requestedPaths.size() == 7);  // no role is fetched twice in one update
         tape.note("and kept", client.update(of.files, kStart + 61, {"releases/a", "releases/b"}));
-        CHECK(client.asked.size() == 2);  // the next root, the timestamp
+        CHECK(client.requestedPaths.size() == 2);  // the next root, the timestamp
     }
     {
         Repository of = repository;
@@ -512,10 +512,10 @@
     }
     {
         Repository of = repository;
-        of.make("bins-" + digest("sha256", "releases/a").substr(0, 1));
+        of.addRole("bins-" + digest("sha256", "releases/a").substr(0, 1));
         const auto& key = of.keys.at("bins-" + digest("sha256", "releases/a").substr(0, 1)).key();
         CHECK(!delegateBins(of.role("targets"), {{{key.id()}, 1}, 4, "bins"}, {key}));
-        of.redo("targets");
+        of.markChanged("targets");
         of.target("bins-" + digest("sha256", "releases/a").substr(0, 1), "releases/a", "bytes");
         play("succinct bins", of, {"releases/a"});
     }
@@ -528,7 +528,7 @@
         const auto honest = SigningKey::fromPem(of.keys.at("shared").toPem());
         const auto other = SigningKey::generate(Scheme::ed25519);
         delegate(of.role("b"), {"shared", {{other.key().id()}, 1}, false, {"*/*"}, {}}, {other.key()});
-        of.redo("b");
+        of.markChanged("b");
         of.target("shared", "a/x", "a's");
         of.target("shared", "b/x", "a's, not b's");
         play("a role under two parents with other keys", of, {"a/x", "b/x"});
@@ -556,7 +556,7 @@
         play("paths and prefixes at once", of, {"a"});
         documentOf(envelope)["delegations"]["roles"][0].erase("paths");
         documentOf(envelope)["delegations"]["roles"][0]["path_hash_prefixes"] = {"XY"};
-        of.redo("targets");
+        of.markChanged("targets");
         play("a prefix that is no hex", of, {"a"});
     }
     tape.matches("metadata-delegations");
@@ -564,7 +564,7 @@
 
 TEST_CASE("nothing can be called in a wrong order") {
     Repository repository;
-    repository.make("rel");
+    repository.addRole("rel");
     repository.publish();
     auto set = TrustedSet::start(repository.firstRoot(), kStart);
     REQUIRE(set);
--- a/tests/sidecar/trust_manager.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -11,8 +11,8 @@
         fixture.files = files;
         fixture.sendRequests(20);
         const auto said = fixture.nextRefresh();
-        trace << what << ": " << (said.empty() ? "accepted" : masked(said.substr(0, said.find(": at "))))
-              << '\n';
+        trace << what << ": "
+              << (said.empty() ? "accepted" : maskVolatile(said.substr(0, said.find(": at ")))) << '\n';
     };
     const auto old = fixture.repository.files;
     serve("first", old);
@@ -205,7 +205,7 @@
     CHECK(fixture.attestationOf(5) == Attestation::valid);
     // The image repository lists it no more, whatever the director says.
     removeTarget(fixture.repository.role("targets"), "releases/5");
-    fixture.repository.redo("targets");
+    fixture.repository.markChanged("targets");
     fixture.repository.publish();
     fixture.files = fixture.repository.files;
     CHECK(fixture.nextRefresh().empty());
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -277,7 +277,7 @@
         REQUIRE(child >= 0);
         if (child == 0) {
             PosixDisk disk(path.string());
-            if (disk.open() != PosixDisk::Opened::yes) _exit(3);
+            if (disk.open() != PosixDisk::OpenStatus::opened) _exit(3);
             TransactionalDirectory folder(disk);
             const auto at = folder.read("root.json");
             for (int version = at ? std::atoi(at->c_str()) + 1 : 1;; ++version) {
@@ -294,7 +294,7 @@
         REQUIRE(waitpid(child, &status, 0) == child);
         CHECK(WIFSIGNALED(status));
         PosixDisk disk(path.string());
-        REQUIRE(disk.open() == PosixDisk::Opened::yes);
+        REQUIRE(disk.open() == PosixDisk::OpenStatus::opened);
         TransactionalDirectory folder(disk);
         REQUIRE(!folder.openError());
         const auto root = folder.read("root.json");
@@ -316,13 +316,13 @@
     {
         PosixDisk one(path.string());
         PosixDisk two(path.string());
-        REQUIRE(one.open() == PosixDisk::Opened::yes);
-        CHECK(two.open() == PosixDisk::Opened::busy);
+        REQUIRE(one.open() == PosixDisk::OpenStatus::opened);
+        CHECK(two.open() == PosixDisk::OpenStatus::busy);
         REQUIRE(one.write("a", "x"));
         PosixDisk below((path / "a").string());
-        CHECK(below.open() == PosixDisk::Opened::failed);
+        CHECK(below.open() == PosixDisk::OpenStatus::failed);
     }
     PosixDisk three(path.string());
-    CHECK(three.open() == PosixDisk::Opened::yes);
+    CHECK(three.open() == PosixDisk::OpenStatus::opened);
     std::filesystem::remove_all(path);
 }
--- a/tests/support/metadata_repository.hpp
+++ b/tests/support/metadata_repository.hpp
@@ -10,7 +10,7 @@
 #include "metadata/authoring.hpp"
 #include "metadata/update.hpp"
 
-namespace stand_ins {
+namespace metadata_fixture {
 
 using namespace lichenlanding::metadata;
 
@@ -18,20 +18,20 @@
 constexpr UnixSeconds kDay = 86'400;
 
 // Without what differs from run to run: key ids, and ports.
-inline std::string masked(const std::string& text) {
+inline std::string maskVolatile(const std::string& text) {
     static const std::regex kIds("[0-9a-f]{12,}");
     static const std::regex kPorts("127\\.0\\.0\\.1:[0-9]+");
     return std::regex_replace(std::regex_replace(text, kIds, "ID"), kPorts, "MIRROR");
 }
 
-class MemoryKept : public StoredMetadata {
+class MemoryStore : public StoredMetadata {
   public:
     std::map<std::string, std::string> files;
     std::optional<std::string> read(const std::string& name) const override {
         const auto found = files.find(name);
         return found == files.end() ? std::nullopt : std::optional(found->second);
     }
-    void take(const std::vector<StoreTransaction>& steps) {
+    void apply(const std::vector<StoreTransaction>& steps) {
         for (const auto& step : steps)
             for (const auto& [name, bytes] : step.files) {
                 if (bytes) files[name] = *bytes;
@@ -42,7 +42,7 @@
 
 class Repository {
   public:
-    explicit Repository(bool consistent_ = true, UnixSeconds from_ = stand_ins::kStart)
+    explicit Repository(bool consistent_ = true, UnixSeconds from_ = metadata_fixture::kStart)
         : consistent(consistent_), start(from_) {
         root = newRoot(start + 365 * kDay, consistent);
         for (const auto* role : {"root", "timestamp", "snapshot", "targets"}) {
@@ -60,13 +60,13 @@
     void publish() {
         for (auto& [name, envelope] : roles) {
             sign(envelope, keys.at(name));
-            put(name, versionOf(envelope), textOf(envelope));
+            writeFile(name, versionOf(envelope), textOf(envelope));
             addListing(snapshot, name + ".json", listingOf(versionOf(envelope), textOf(envelope), hashed));
         }
         if (published_) bumpVersion(snapshot, snapshotUntil), bumpVersion(timestamp, timestampUntil);
         published_ = true;
         sign(snapshot, keys.at("snapshot"));
-        put("snapshot", versionOf(snapshot), textOf(snapshot));
+        writeFile("snapshot", versionOf(snapshot), textOf(snapshot));
         publishTimestamp();
     }
     void publishTimestamp() {
@@ -91,29 +91,29 @@
     }
     Json& role(const std::string& name) { return roles.at(name); }
     // A delegated role with a key of its own.
-    Json& make(const std::string& name) {
+    Json& addRole(const std::string& name) {
         if (!keys.contains(name)) keys.emplace(name, SigningKey::generate(Scheme::ed25519));
         return roles.emplace(name, newTargets(start + 90 * kDay)).first->second;
     }
     void delegateTo(const std::string& from, const std::string& to, std::vector<std::string> paths,
                     bool terminating = false, std::vector<std::string> prefixes = {}) {
-        make(to);
+        addRole(to);
         delegate(role(from),
                  {to, {{keys.at(to).key().id()}, 1}, terminating, std::move(paths), std::move(prefixes)},
                  {keys.at(to).key()});
-        redo(from);
+        markChanged(from);
     }
     void target(const std::string& in, const std::string& path, const std::string& bytes,
                 const Json& custom = {}) {
         addTarget(role(in), path, bytes, custom);
         contents[path] = bytes;
-        redo(in);
+        markChanged(in);
     }
-    void redo(const std::string& name) {
+    void markChanged(const std::string& name) {
         if (published_) bumpVersion(role(name), start + 90 * kDay);
         else role(name)["signatures"] = Json::array();
     }
-    void put(const std::string& name, std::int64_t version, const std::string& text) {
+    void writeFile(const std::string& name, std::int64_t version, const std::string& text) {
         files[(consistent ? std::to_string(version) + "." : "") + percentEncoded(name) + ".json"] = text;
     }
     const std::string& firstRoot() const { return files.at("1.root.json"); }
@@ -133,26 +133,26 @@
 // A client: what it keeps, and whole updates against files.
 class Client {
   public:
-    explicit Client(const std::string& root) { kept.files["root.json"] = root; }
+    explicit Client(const std::string& root) { stored.files["root.json"] = root; }
 
     // "done" with the versions trusted, or the refusal's text.
     std::string update(const std::map<std::string, std::string>& files, UnixSeconds now = kStart + 60,
                        const std::vector<std::string>& paths = {}, UpdateLimits bounds = {}) {
-        auto set = TrustedSet::start(kept.files.at("root.json"), now);
+        auto set = TrustedSet::start(stored.files.at("root.json"), now);
         if (!set) return set.refusal().text();
-        Update update(std::move(*set), kept, bounds);
+        Update update(std::move(*set), stored, bounds);
         for (const auto& path : paths) update.search(path);
-        asked.clear();
-        while (update.next().kind == Update::Next::fetch) {
-            asked.push_back(update.next().path);
+        requestedPaths.clear();
+        while (update.next().kind == Update::NextAction::fetch) {
+            requestedPaths.push_back(update.next().path);
             const auto file = files.find(update.next().path);
             if (file == files.end()) update.notFound();
             else update.receive(file->second);
-            kept.take(update.takeTransactions());
+            stored.apply(update.takeTransactions());
         }
         found = update.found();
-        visited = update.visited();
-        if (update.next().kind == Update::Next::refused) return update.refusal().text();
+        visited = update.visitedRoles();
+        if (update.next().kind == Update::NextAction::refused) return update.refusal().text();
         std::stringstream said;
         said << "done: root " << update.set().root().version << ", timestamp "
              << update.set().timestamp()->version << ", snapshot " << update.set().snapshot()->version
@@ -160,15 +160,15 @@
         return said.str();
     }
     // "role" that lists the path, or "-".
-    std::string whoLists(const std::string& path) const {
+    std::string listingRole(const std::string& path) const {
         const auto at = found.find(path);
         return at == found.end() ? "not looked for" : at->second ? at->second->role : "-";
     }
 
-    MemoryKept kept;
-    std::vector<std::string> asked;
-    std::map<std::string, std::optional<Found>> found;
+    MemoryStore stored;
+    std::vector<std::string> requestedPaths;
+    std::map<std::string, std::optional<FoundTarget>> found;
     int visited = 0;
 };
 
-}  // namespace stand_ins
+}  // namespace metadata_fixture
--- a/tests/support/trust_fixture.hpp
+++ b/tests/support/trust_fixture.hpp
@@ -9,7 +9,7 @@
 #include "support/metadata_repository.hpp"
 #include "support/sidecar_fixture.hpp"
 
-using namespace stand_ins;
+using namespace metadata_fixture;
 
 inline UnixSeconds wall() {
     return std::chrono::duration_cast<std::chrono::seconds>(
