--- a/src/store/disk.cpp
+++ b/src/store/disk.cpp
@@ -17,96 +17,98 @@
 
 class Descriptor {
   public:
-    explicit Descriptor(int held) : held_(held) {}
+    explicit Descriptor(int descriptor) : descriptor_(descriptor) {}
     ~Descriptor() {
-        if (held_ >= 0) close(held_);
+        if (descriptor_ >= 0) close(descriptor_);
     }
     Descriptor(const Descriptor&) = delete;
-    operator int() const { return held_; }
+    operator int() const { return descriptor_; }
 
   private:
-    int held_;
+    int descriptor_;
 };
 
-std::string folderOf(const std::string& path) { return path.substr(0, path.rfind('/')); }
+std::string parentDirectoryOf(const std::string& path) { return path.substr(0, path.rfind('/')); }
 
-void namesIn(const std::string& folder, const std::string& before, std::vector<std::string>& into) {
-    const std::unique_ptr<DIR, int (*)(DIR*)> open(opendir(folder.c_str()), closedir);
-    if (!open) return;
-    while (const auto* entry = readdir(open.get())) {
+// Appends the names of the regular files, with one level of subdirectories.
+void listFiles(const std::string& directory, const std::string& prefix, std::vector<std::string>& names) {
+    const std::unique_ptr<DIR, int (*)(DIR*)> stream(opendir(directory.c_str()), closedir);
+    if (!stream) return;
+    while (const auto* entry = readdir(stream.get())) {
         const std::string name = entry->d_name;
         if (name == "." || name == ".." || name == kLockName) continue;
-        struct stat what {};
-        if (stat((folder + "/" + name).c_str(), &what) != 0) continue;
-        if (S_ISDIR(what.st_mode) && before.empty()) namesIn(folder + "/" + name, name + "/", into);
-        if (S_ISREG(what.st_mode)) into.push_back(before + name);
+        struct stat status {};
+        if (stat((directory + "/" + name).c_str(), &status) != 0) continue;
+        if (S_ISDIR(status.st_mode) && prefix.empty()) listFiles(directory + "/" + name, name + "/", names);
+        if (S_ISREG(status.st_mode)) names.push_back(prefix + name);
     }
 }
 
 }  // namespace
 
-PosixDisk::PosixDisk(std::string folder) : folder_(std::move(folder)) {}
+PosixDisk::PosixDisk(std::string directory) : directory_(std::move(directory)) {}
 
 PosixDisk::~PosixDisk() {
     if (lock_ >= 0) close(lock_);
 }
 
 PosixDisk::OpenStatus PosixDisk::open() {
-    for (std::size_t at = 1; at <= folder_.size(); ++at)
-        if (at == folder_.size() || folder_[at] == '/')
-            if (mkdir(folder_.substr(0, at).c_str(), 0700) != 0 && errno != EEXIST)
-                return fails("cannot make", ""), OpenStatus::failed;
+    for (std::size_t end = 1; end <= directory_.size(); ++end)
+        if (end == directory_.size() || directory_[end] == '/')
+            if (mkdir(directory_.substr(0, end).c_str(), 0700) != 0 && errno != EEXIST)
+                return recordError("cannot create directory", ""), OpenStatus::failed;
     lock_ = ::open(pathOf(kLockName).c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600);
-    if (lock_ < 0) return fails("cannot open", kLockName), OpenStatus::failed;
+    if (lock_ < 0) return recordError("cannot open", kLockName), OpenStatus::failed;
     if (flock(lock_, LOCK_EX | LOCK_NB) == 0) return OpenStatus::opened;
-    lastError_ = folder_ + " is in use by another process";
+    lastError_ = directory_ + " is in use by another process";
     return errno == EWOULDBLOCK ? OpenStatus::busy : OpenStatus::failed;
 }
 
-bool PosixDisk::fails(const char* what, const std::string& name) {
-    lastError_ = std::string(what) + " " + pathOf(name) + ": " + std::strerror(errno);
+bool PosixDisk::recordError(const char* operation, const std::string& name) {
+    lastError_ = std::string(operation) + " " + pathOf(name) + ": " + std::strerror(errno);
     return false;
 }
 
 bool PosixDisk::write(const std::string& name, std::string_view bytes) {
     const auto path = pathOf(name);
-    if (const auto folder = folderOf(path); folder != folder_) {
-        if (mkdir(folder.c_str(), 0700) == 0) touched_.push_back(folder_);
-        else if (errno != EEXIST) return fails("cannot make the folder of", name);
+    if (const auto parent = parentDirectoryOf(path); parent != directory_) {
+        if (mkdir(parent.c_str(), 0700) == 0) unsyncedDirectories_.push_back(directory_);
+        else if (errno != EEXIST) return recordError("cannot create the directory of", name);
     }
     const Descriptor file(::open(path.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, 0600));
-    if (file < 0) return fails("cannot write", name);
+    if (file < 0) return recordError("cannot write", name);
     while (!bytes.empty()) {
         const auto length = ::write(file, bytes.data(), bytes.size());
         if (length < 0 && errno == EINTR) continue;
-        if (length <= 0) return fails("cannot write", name);
+        if (length <= 0) return recordError("cannot write", name);
         bytes.remove_prefix(static_cast<std::size_t>(length));
     }
-    if (fsync(file) != 0) return fails("cannot sync", name);
-    touched_.push_back(folderOf(path));
+    if (fsync(file) != 0) return recordError("cannot sync", name);
+    unsyncedDirectories_.push_back(parentDirectoryOf(path));
     return true;
 }
 
 bool PosixDisk::rename(const std::string& from, const std::string& to) {
-    if (::rename(pathOf(from).c_str(), pathOf(to).c_str()) != 0) return fails("cannot rename to", to);
-    touched_.push_back(folderOf(pathOf(to)));
+    if (::rename(pathOf(from).c_str(), pathOf(to).c_str()) != 0) return recordError("cannot rename to", to);
+    unsyncedDirectories_.push_back(parentDirectoryOf(pathOf(to)));
     return true;
 }
 
 bool PosixDisk::remove(const std::string& name) {
-    if (unlink(pathOf(name).c_str()) != 0 && errno != ENOENT) return fails("cannot remove", name);
-    touched_.push_back(folderOf(pathOf(name)));
+    if (unlink(pathOf(name).c_str()) != 0 && errno != ENOENT) return recordError("cannot remove", name);
+    unsyncedDirectories_.push_back(parentDirectoryOf(pathOf(name)));
     return true;
 }
 
 bool PosixDisk::sync() {
-    std::sort(touched_.begin(), touched_.end());
-    touched_.erase(std::unique(touched_.begin(), touched_.end()), touched_.end());
-    for (const auto& folder : touched_) {
-        const Descriptor open(::open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-        if (open < 0 || fsync(open) != 0) return fails("cannot sync", "");
+    std::sort(unsyncedDirectories_.begin(), unsyncedDirectories_.end());
+    unsyncedDirectories_.erase(std::unique(unsyncedDirectories_.begin(), unsyncedDirectories_.end()),
+                               unsyncedDirectories_.end());
+    for (const auto& directory : unsyncedDirectories_) {
+        const Descriptor descriptor(::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+        if (descriptor < 0 || fsync(descriptor) != 0) return recordError("cannot sync", "");
     }
-    touched_.clear();
+    unsyncedDirectories_.clear();
     return true;
 }
 
@@ -114,21 +116,21 @@
     const Descriptor file(::open(pathOf(name).c_str(), O_RDONLY | O_CLOEXEC));
     if (file < 0) return {};
     std::string bytes;
-    char piece[65536];
+    char buffer[65536];
     while (true) {
-        const auto length = ::read(file, piece, sizeof piece);
+        const auto length = ::read(file, buffer, sizeof buffer);
         if (length < 0 && errno == EINTR) continue;
         if (length < 0) return {};
         if (length == 0) return bytes;
-        bytes.append(piece, static_cast<std::size_t>(length));
+        bytes.append(buffer, static_cast<std::size_t>(length));
     }
 }
 
 std::vector<std::string> PosixDisk::list() const {
-    std::vector<std::string> all;
-    namesIn(folder_, "", all);
-    std::sort(all.begin(), all.end());
-    return all;
+    std::vector<std::string> names;
+    listFiles(directory_, "", names);
+    std::sort(names.begin(), names.end());
+    return names;
 }
 
 }  // namespace lichenlanding::store
--- a/src/store/disk.hpp
+++ b/src/store/disk.hpp
@@ -1,5 +1,5 @@
-// The few things that a store asks of a file system, so that tests can put one before it that crashes at any
-// step, forgets what was not synced, or is full.
+// The file system operations that a store uses. Tests substitute an implementation that crashes at any
+// operation, loses what was not synced, or is full.
 #pragma once
 
 #include <memory>
@@ -10,32 +10,38 @@
 
 namespace lichenlanding::store {
 
-/// Names are relative, with at most one '/' in them. All calls return false, or nothing, on an error; why()
-/// then tells it for an operator.
+/// Files of one directory. Names are relative and contain at most one '/'. On an error every call returns
+/// false or nothing, and lastError() describes the error.
 class Disk {
   public:
     virtual ~Disk() = default;
-    virtual bool write(const std::string& name,
-                       std::string_view bytes) = 0;  ///< anew, whole, its data synced
+    /// Creates or truncates the file, writes all bytes and syncs the file's data.
+    virtual bool write(const std::string& name, std::string_view bytes) = 0;
     virtual bool rename(const std::string& from, const std::string& to) = 0;  ///< atomic
-    virtual bool remove(const std::string& name) = 0;                         ///< true if it was not there
-    virtual bool sync() = 0;  ///< names: what was renamed, made or removed before is there after a crash
+    virtual bool remove(const std::string& name) = 0;  ///< true if the file does not exist
+    /// Syncs directory entries: files created, renamed or removed so far remain so after a crash.
+    virtual bool sync() = 0;
     virtual std::optional<std::string> read(const std::string& name) const = 0;
-    virtual std::vector<std::string> list() const = 0;  ///< sorted
-    virtual std::string lastError() const = 0;
+    virtual std::vector<std::string> list() const = 0;  ///< names of all files, sorted
+    virtual std::string lastError() const = 0;          ///< description of the last error, for operators
 };
 
-/// A directory of the real file system. Locked while it lives: a second one on the same folder, in whatever
-/// process, is refused. Files are made with mode 0600, directories with 0700.
+/// A directory of the real file system, locked from open() until destruction: a second PosixDisk on the same
+/// directory, in this or another process, gets OpenStatus::busy. Files are created with mode 0600,
+/// directories with 0700.
 class PosixDisk final : public Disk {
   public:
-    enum class OpenStatus { opened, busy, failed };
+    enum class OpenStatus {
+        opened,
+        busy,   ///< another process, or another object of this one, holds the lock
+        failed  ///< see lastError()
+    };
 
-    explicit PosixDisk(std::string folder);
+    explicit PosixDisk(std::string directory);
     ~PosixDisk() override;
     PosixDisk(const PosixDisk&) = delete;
 
-    OpenStatus open();  ///< makes the directory if it is missing
+    OpenStatus open();  ///< locks the directory; creates it, with its parents, if it is missing
     bool write(const std::string& name, std::string_view bytes) override;
     bool rename(const std::string& from, const std::string& to) override;
     bool remove(const std::string& name) override;
@@ -45,11 +51,11 @@
     std::string lastError() const override { return lastError_; }
 
   private:
-    bool fails(const char* what, const std::string& name);
-    std::string pathOf(const std::string& name) const { return folder_ + "/" + name; }
+    bool recordError(const char* operation, const std::string& name);  // always returns false
+    std::string pathOf(const std::string& name) const { return directory_ + "/" + name; }
 
-    std::string folder_, lastError_;
-    std::vector<std::string> touched_;  // directories whose names await a sync
+    std::string directory_, lastError_;
+    std::vector<std::string> unsyncedDirectories_;  // with entries changed since the last sync()
     int lock_ = -1;
 };
 
--- a/tests/store/crash.cpp
+++ b/tests/store/crash.cpp
@@ -1,6 +1,7 @@
-// A store on a disk that crashes at any step, forgets what was not synced, is full or broken, and a real one
-// whose process is killed. The invariant: after a crash all files of a step are as before it or as after it,
-// and never older than what commit() has reported as lasting.
+// Atomicity and durability of the transactional directory: on a simulated disk that crashes at any operation,
+// loses what was not synced, is full or fails, and on a real disk whose process is killed. Invariant: after a
+// crash all files of a transaction are as before it or all as after it, and never older than the last
+// transaction that commit() reported as durable.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -17,96 +18,97 @@
 
 namespace {
 
-// Names and what they point to, in memory and on the platter. A crash keeps, of the names changed since the
-// last sync, any that chance picks, each by itself; of a file that was being written, a part, or noise.
+// Holds the current files and those that survive a crash. Of the names changed since the last sync, restart()
+// keeps each one or not at random. A crash within write() leaves a part of the file.
 class CrashingDisk : public Disk {
   public:
-    explicit CrashingDisk(std::uint32_t seed) : chance(seed) {}
+    explicit CrashingDisk(std::uint32_t seed) : random(seed) {}
 
     struct Crash {};
-    std::mt19937 chance;
-    int stepsLeft = -1;           // until it crashes; below 0: never
-    std::size_t room = SIZE_MAX;  // bytes that fit
-    bool broken = false;          // every change fails
+    std::mt19937 random;
+    int stepsUntilCrash = -1;         // below 0: never crashes
+    std::size_t capacity = SIZE_MAX;  // most bytes in one file
+    bool broken = false;              // every change fails
     int steps = 0;
 
     bool write(const std::string& name, std::string_view bytes) override {
-        if (broken) return fails("broken");
-        if (bytes.size() > room) {
-            now_[name] = std::string(bytes.substr(0, room));
+        if (broken) return recordError("broken");
+        if (bytes.size() > capacity) {
+            current_[name] = std::string(bytes.substr(0, capacity));
             dirty_.insert(name);
-            return fails("no space left");
+            return recordError("no space left");
         }
-        now_[name] = std::string(bytes.substr(0, chance() % (bytes.size() + 1)));
+        current_[name] = std::string(bytes.substr(0, random() % (bytes.size() + 1)));
         dirty_.insert(name);
-        step();  // in the middle of it
-        now_[name] = std::string(bytes);
+        step();  // a crash here leaves a partial file
+        current_[name] = std::string(bytes);
         dirty_.insert(name);
         step();
         return true;
     }
     bool rename(const std::string& from, const std::string& to) override {
-        if (broken || !now_.contains(from)) return fails("broken");
-        now_[to] = now_.at(from);
-        now_.erase(from);
+        if (broken || !current_.contains(from)) return recordError("broken");
+        current_[to] = current_.at(from);
+        current_.erase(from);
         dirty_.insert(from);
         dirty_.insert(to);
         step();
         return true;
     }
     bool remove(const std::string& name) override {
-        if (broken) return fails("broken");
-        now_.erase(name);
+        if (broken) return recordError("broken");
+        current_.erase(name);
         dirty_.insert(name);
         step();
         return true;
     }
     bool sync() override {
-        if (broken) return fails("broken");
+        if (broken) return recordError("broken");
         step();
-        platter_ = now_;
+        durable_ = current_;
         dirty_.clear();
         step();
         return true;
     }
     std::optional<std::string> read(const std::string& name) const override {
-        const auto found = now_.find(name);
-        return found == now_.end() ? std::nullopt : std::optional(found->second);
+        const auto found = current_.find(name);
+        return found == current_.end() ? std::nullopt : std::optional(found->second);
     }
     std::vector<std::string> list() const override {
         std::vector<std::string> all;
-        for (const auto& [name, bytes] : now_) all.push_back(name);
+        for (const auto& [name, bytes] : current_) all.push_back(name);
         return all;
     }
     std::string lastError() const override { return lastError_; }
 
     void restart() {
         for (const auto& name : dirty_) {
-            if (chance() % 2) continue;  // this change has not reached the platter
-            if (const auto found = now_.find(name); found != now_.end()) platter_[name] = found->second;
-            else platter_.erase(name);
+            if (random() % 2) continue;  // this change is lost
+            if (const auto found = current_.find(name); found != current_.end())
+                durable_[name] = found->second;
+            else durable_.erase(name);
         }
-        now_ = platter_;
+        current_ = durable_;
         dirty_.clear();
-        stepsLeft = -1;
+        stepsUntilCrash = -1;
     }
-    // The same without loss, as after a kill of the process alone.
-    void killed() {
-        platter_ = now_;
+    // As after a kill of the process alone: nothing is lost.
+    void restartWithoutLoss() {
+        durable_ = current_;
         dirty_.clear();
-        stepsLeft = -1;
+        stepsUntilCrash = -1;
     }
 
   private:
     void step() {
         ++steps;
-        if (stepsLeft >= 0 && stepsLeft-- == 0) throw Crash();
+        if (stepsUntilCrash >= 0 && stepsUntilCrash-- == 0) throw Crash();
     }
-    bool fails(const char* why) {
-        lastError_ = why;
+    bool recordError(const char* error) {
+        lastError_ = error;
         return false;
     }
-    std::map<std::string, std::string> now_, platter_;
+    std::map<std::string, std::string> current_, durable_;
     std::set<std::string> dirty_;
     std::string lastError_;
 };
@@ -114,215 +116,214 @@
 const std::vector<std::string> kNames = {"root.json", "timestamp.json", "snapshot.json",
                                          "root_history/1.root.json"};
 
-// Step n brings some files to version n, and takes some away: which, is told by n alone.
-Transaction stepOf(int version, std::uint32_t seed) {
-    std::mt19937 chance(seed * 1000 + static_cast<std::uint32_t>(version));
-    Transaction step;
+// Transaction n sets some files to version n and removes others; the choice depends on n and the seed alone.
+Transaction transactionOf(int version, std::uint32_t seed) {
+    std::mt19937 random(seed * 1000 + static_cast<std::uint32_t>(version));
+    Transaction transaction;
     for (const auto& name : kNames)
-        if (chance() % 2 || (step.empty() && name == kNames.back())) {
-            const std::string bytes = std::to_string(version) + " " + std::string(chance() % 300, 'x');
-            step.emplace_back(name, chance() % 5 ? std::optional(bytes) : std::nullopt);
+        if (random() % 2 || (transaction.empty() && name == kNames.back())) {
+            const std::string bytes = std::to_string(version) + " " + std::string(random() % 300, 'x');
+            transaction.emplace_back(name, random() % 5 ? std::optional(bytes) : std::nullopt);
         }
-    return step;
+    return transaction;
 }
 
 using State = std::map<std::string, std::string>;
 
-void apply(State& state, const Transaction& step) {
-    for (const auto& [name, bytes] : step) {
+void apply(State& state, const Transaction& transaction) {
+    for (const auto& [name, bytes] : transaction) {
         if (bytes) state[name] = *bytes;
         else state.erase(name);
     }
 }
 
-State stateOf(const TransactionalDirectory& folder) {
+State stateOf(const TransactionalDirectory& directory) {
     State state;
     for (const auto& name : kNames)
-        if (const auto bytes = folder.read(name)) state[name] = *bytes;
+        if (const auto bytes = directory.read(name)) state[name] = *bytes;
     return state;
 }
 
 }  // namespace
 
-TEST_CASE("a crash at every step of a store leaves the state before or after, thousands of times") {
+TEST_CASE("a crash at any disk operation leaves the state before or after the transaction") {
     int crashes = 0;
     int before = 0;
     int after = 0;
-    int again = 0;
+    int crashesInRecovery = 0;
     for (std::uint32_t seed = 1; seed <= 60; ++seed) {
         CrashingDisk counting(seed);
-        int all = 0;
+        int totalSteps = 0;
         {
-            TransactionalDirectory folder(counting);
-            for (int version = 1; version <= 4; ++version) REQUIRE(!folder.commit(stepOf(version, seed)));
-            all = counting.steps;
+            TransactionalDirectory directory(counting);
+            for (int version = 1; version <= 4; ++version)
+                REQUIRE(!directory.commit(transactionOf(version, seed)));
+            totalSteps = counting.steps;
         }
-        for (int at = 0; at < all; ++at)
-            for (const bool loses : {true, false}) {
-                CrashingDisk disk(seed * 7919 + static_cast<std::uint32_t>(at));
-                State lasting;
+        for (int crashStep = 0; crashStep < totalSteps; ++crashStep)
+            for (const bool losesUnsynced : {true, false}) {
+                CrashingDisk disk(seed * 7919 + static_cast<std::uint32_t>(crashStep));
+                State committed;
                 State next;
-                disk.stepsLeft = at;
+                disk.stepsUntilCrash = crashStep;
                 try {
-                    TransactionalDirectory folder(disk);
+                    TransactionalDirectory directory(disk);
                     for (int version = 1; version <= 4; ++version) {
-                        const auto step = stepOf(version, seed);
-                        next = lasting;
-                        apply(next, step);
-                        const auto error = folder.commit(step);  // a crash leaves from within
+                        const auto transaction = transactionOf(version, seed);
+                        next = committed;
+                        apply(next, transaction);
+                        const auto error = directory.commit(transaction);  // throws Crash at a crash
                         REQUIRE(!error);
-                        lasting = next;
+                        committed = next;
                     }
                 } catch (const CrashingDisk::Crash&) {
                     ++crashes;
                 }
-                // Half of the time it crashes again, while it recovers.
-                loses ? disk.restart() : disk.killed();
-                if (disk.chance() % 2) {
-                    disk.stepsLeft = static_cast<int>(disk.chance() % 6);
+                // Half of the time it crashes again during recovery.
+                losesUnsynced ? disk.restart() : disk.restartWithoutLoss();
+                if (disk.random() % 2) {
+                    disk.stepsUntilCrash = static_cast<int>(disk.random() % 6);
                     try {
-                        TransactionalDirectory folder(disk);
+                        TransactionalDirectory directory(disk);
                     } catch (const CrashingDisk::Crash&) {
-                        ++again;
+                        ++crashesInRecovery;
                     }
-                    loses ? disk.restart() : disk.killed();
+                    losesUnsynced ? disk.restart() : disk.restartWithoutLoss();
                 }
-                TransactionalDirectory folder(disk);
-                REQUIRE(!folder.openError());
-                const auto found = stateOf(folder);
-                REQUIRE((found == lasting || found == next));
-                (found == lasting ? before : after) += 1;
-                // And it goes on from there.
-                const auto step = stepOf(9, seed);
-                auto wanted = found;
-                apply(wanted, step);
-                REQUIRE(!folder.commit(step));
-                REQUIRE(stateOf(folder) == wanted);
+                TransactionalDirectory directory(disk);
+                REQUIRE(!directory.openError());
+                const auto found = stateOf(directory);
+                REQUIRE((found == committed || found == next));
+                (found == committed ? before : after) += 1;
+                // The next transaction succeeds.
+                const auto transaction = transactionOf(9, seed);
+                auto expected = found;
+                apply(expected, transaction);
+                REQUIRE(!directory.commit(transaction));
+                REQUIRE(stateOf(directory) == expected);
                 for (const auto& name : disk.list()) REQUIRE(!TransactionalDirectory::isReserved(name));
             }
     }
-    MESSAGE("crashes " << crashes << ", again while recovering " << again << ": state before " << before
+    MESSAGE("crashes " << crashes << ", in recovery " << crashesInRecovery << ": state before " << before
                        << ", after " << after);
     CHECK(crashes > 5000);
-    CHECK(again > 500);
+    CHECK(crashesInRecovery > 500);
     CHECK(before > 500);
     CHECK(after > 500);
 }
 
-TEST_CASE("a full or a broken disk changes nothing, and says why") {
-    for (std::size_t room = 0; room < 400; room += 7) {
+TEST_CASE("a failed commit on a full or broken disk changes nothing and reports the error") {
+    for (std::size_t capacity = 0; capacity < 400; capacity += 7) {
         CrashingDisk disk(3);
-        TransactionalDirectory folder(disk);
-        REQUIRE(!folder.commit({{"root.json", "1"}, {"timestamp.json", "1"}}));
-        const auto before = stateOf(folder);
-        disk.room = room;
-        const Transaction step{{"root.json", std::string(200, 'r')},
-                               {"timestamp.json", std::string(150, 't')}};
-        if (const auto error = folder.commit(step)) {
+        TransactionalDirectory directory(disk);
+        REQUIRE(!directory.commit({{"root.json", "1"}, {"timestamp.json", "1"}}));
+        const auto before = stateOf(directory);
+        disk.capacity = capacity;
+        const Transaction transaction{{"root.json", std::string(200, 'r')},
+                                      {"timestamp.json", std::string(150, 't')}};
+        if (const auto error = directory.commit(transaction)) {
             CHECK(error->text == "nothing was changed: no space left");
-            CHECK(stateOf(folder) == before);
+            CHECK(stateOf(directory) == before);
         } else {
-            CHECK(stateOf(folder).at("timestamp.json") == std::string(150, 't'));
+            CHECK(stateOf(directory).at("timestamp.json") == std::string(150, 't'));
         }
-        disk.room = SIZE_MAX;
-        REQUIRE(!folder.commit({{"root.json", "3"}}));
-        CHECK(stateOf(folder).at("root.json") == "3");
+        disk.capacity = SIZE_MAX;
+        REQUIRE(!directory.commit({{"root.json", "3"}}));
+        CHECK(stateOf(directory).at("root.json") == "3");
         for (const auto& name : disk.list()) CHECK(!TransactionalDirectory::isReserved(name));
     }
     CrashingDisk disk(4);
-    TransactionalDirectory folder(disk);
-    REQUIRE(!folder.commit({{"root.json", "1"}}));
+    TransactionalDirectory directory(disk);
+    REQUIRE(!directory.commit({{"root.json", "1"}}));
     disk.broken = true;
-    const auto error = folder.commit({{"root.json", "2"}});
+    const auto error = directory.commit({{"root.json", "2"}});
     REQUIRE(error);
     CHECK(error->text == "nothing was changed: broken");
-    CHECK(folder.read("root.json") == "1");
-    // The journal stands, and carrying it out fails: reading is of the new state, and so is the next
-    // opening's.
+    CHECK(directory.read("root.json") == "1");
     disk.broken = false;
-    CHECK_THROWS_AS((void)folder.commit({{".journal", "x"}}), std::invalid_argument);
+    CHECK_THROWS_AS((void)directory.commit({{".journal", "x"}}), std::invalid_argument);
 }
 
-TEST_CASE("a step whose journal stands has happened, though its files cannot be written yet") {
+TEST_CASE("a transaction in the journal is committed although its files cannot be written yet") {
     CrashingDisk disk(5);
     std::string journal;
     {
-        TransactionalDirectory folder(disk);
-        REQUIRE(!folder.commit({{"root.json", "1"}, {"snapshot.json", "1"}}));
-        disk.stepsLeft = 5;  // behind the journal's rename and sync
-        CHECK_THROWS_AS((void)folder.commit({{"root.json", "2"}, {"snapshot.json", std::nullopt}}),
+        TransactionalDirectory directory(disk);
+        REQUIRE(!directory.commit({{"root.json", "1"}, {"snapshot.json", "1"}}));
+        disk.stepsUntilCrash = 5;  // after the rename and the sync of the journal
+        CHECK_THROWS_AS((void)directory.commit({{"root.json", "2"}, {"snapshot.json", std::nullopt}}),
                         CrashingDisk::Crash);
     }
-    disk.killed();
+    disk.restartWithoutLoss();
     disk.broken = true;
-    TransactionalDirectory held(disk);
-    REQUIRE(held.openError());
-    CHECK(held.read("root.json") == "2");
-    CHECK(!held.read("snapshot.json"));
-    CHECK(held.commit({{"root.json", "3"}}).has_value());
+    TransactionalDirectory reopened(disk);
+    REQUIRE(reopened.openError());
+    CHECK(reopened.read("root.json") == "2");
+    CHECK(!reopened.read("snapshot.json"));
+    CHECK(reopened.commit({{"root.json", "3"}}).has_value());
     disk.broken = false;
-    REQUIRE(!held.commit({{"root.json", "3"}}));
-    CHECK(held.read("root.json") == "3");
-    CHECK(!held.read("snapshot.json"));
+    REQUIRE(!reopened.commit({{"root.json", "3"}}));
+    CHECK(reopened.read("root.json") == "3");
+    CHECK(!reopened.read("snapshot.json"));
 }
 
-TEST_CASE("a process killed while it stores leaves one state whole") {
+TEST_CASE("a process killed during commits leaves one consistent state") {
     const auto path =
         std::filesystem::temp_directory_path() / ("lichenlanding-kill-" + std::to_string(getpid()));
-    std::mt19937 chance(6);
-    int last = 0;
-    int moved = 0;
+    std::mt19937 random(6);
+    int lastVersion = 0;
+    int advances = 0;
     for (int round = 0; round < 60; ++round) {
         const pid_t child = fork();
         REQUIRE(child >= 0);
         if (child == 0) {
             PosixDisk disk(path.string());
             if (disk.open() != PosixDisk::OpenStatus::opened) _exit(3);
-            TransactionalDirectory folder(disk);
-            const auto at = folder.read("root.json");
-            for (int version = at ? std::atoi(at->c_str()) + 1 : 1;; ++version) {
+            TransactionalDirectory directory(disk);
+            const auto stored = directory.read("root.json");
+            for (int version = stored ? std::atoi(stored->c_str()) + 1 : 1;; ++version) {
                 const auto text = std::to_string(version);
-                if (folder.commit({{"root.json", text},
-                                   {"root_history/" + std::to_string(version % 3), text},
-                                   {"timestamp.json", text}}))
+                if (directory.commit({{"root.json", text},
+                                      {"root_history/" + std::to_string(version % 3), text},
+                                      {"timestamp.json", text}}))
                     _exit(4);
             }
         }
-        usleep(static_cast<useconds_t>(1000 + chance() % 9000));
+        usleep(static_cast<useconds_t>(1000 + random() % 9000));
         kill(child, SIGKILL);
         int status = 0;
         REQUIRE(waitpid(child, &status, 0) == child);
         CHECK(WIFSIGNALED(status));
         PosixDisk disk(path.string());
         REQUIRE(disk.open() == PosixDisk::OpenStatus::opened);
-        TransactionalDirectory folder(disk);
-        REQUIRE(!folder.openError());
-        const auto root = folder.read("root.json");
+        TransactionalDirectory directory(disk);
+        REQUIRE(!directory.openError());
+        const auto root = directory.read("root.json");
         if (!root) continue;
         const int version = std::atoi(root->c_str());
-        CHECK(folder.read("timestamp.json") == root);
-        CHECK(folder.read("root_history/" + std::to_string(version % 3)) == root);
-        CHECK(version >= last);
-        moved += version > last;
-        last = version;
+        CHECK(directory.read("timestamp.json") == root);
+        CHECK(directory.read("root_history/" + std::to_string(version % 3)) == root);
+        CHECK(version >= lastVersion);
+        advances += version > lastVersion;
+        lastVersion = version;
     }
-    CHECK(moved > 0);
+    CHECK(advances > 0);
     std::filesystem::remove_all(path);
 }
 
-TEST_CASE("two on one folder: the second is refused, and the folder of a file is no folder") {
+TEST_CASE("a directory that is in use is refused, and so is a path below a file") {
     const auto path =
         std::filesystem::temp_directory_path() / ("lichenlanding-two-" + std::to_string(getpid()));
     {
-        PosixDisk one(path.string());
-        PosixDisk two(path.string());
-        REQUIRE(one.open() == PosixDisk::OpenStatus::opened);
-        CHECK(two.open() == PosixDisk::OpenStatus::busy);
-        REQUIRE(one.write("a", "x"));
+        PosixDisk first(path.string());
+        PosixDisk second(path.string());
+        REQUIRE(first.open() == PosixDisk::OpenStatus::opened);
+        CHECK(second.open() == PosixDisk::OpenStatus::busy);
+        REQUIRE(first.write("a", "x"));
         PosixDisk below((path / "a").string());
         CHECK(below.open() == PosixDisk::OpenStatus::failed);
     }
-    PosixDisk three(path.string());
-    CHECK(three.open() == PosixDisk::OpenStatus::opened);
+    PosixDisk afterRelease(path.string());
+    CHECK(afterRelease.open() == PosixDisk::OpenStatus::opened);
     std::filesystem::remove_all(path);
 }
