--- a/src/metadata/attested_builds.cpp
+++ b/src/metadata/attested_builds.cpp
@@ -13,12 +13,12 @@
 
 AttestedBuilds::AttestedBuilds(std::string pattern) {
     constexpr std::string_view placeholder = "{build}";
-    const auto at = pattern.find(placeholder);
-    if (at == std::string::npos || pattern.find(placeholder, at + 1) != std::string::npos ||
+    const auto position = pattern.find(placeholder);
+    if (position == std::string::npos || pattern.find(placeholder, position + 1) != std::string::npos ||
         !isTargetName(pattern))
-        throw std::invalid_argument("a path with {build} once, not " + escaped(pattern, 80));
-    prefix_ = pattern.substr(0, at);
-    suffix_ = pattern.substr(at + placeholder.size());
+        throw std::invalid_argument("the path pattern must contain {build} once: " + escaped(pattern, 80));
+    prefix_ = pattern.substr(0, position);
+    suffix_ = pattern.substr(position + placeholder.size());
 }
 
 std::string AttestedBuilds::pathOf(int build) const { return prefix_ + std::to_string(build) + suffix_; }
@@ -57,7 +57,7 @@
     for (auto& [build, tracked] : tracked_) {
         const auto path = pathOf(build);
         const auto result = found.find(path);
-        if (result == found.end()) continue;  // tracked only after the update began
+        if (result == found.end()) continue;  // tracked after the update began, so not searched for
         auto attestation = attestationBy(result->second, tracked.everListed);
         tracked.everListed = tracked.everListed || result->second;
         if (attestation == Attestation::valid && directives && !isDirected(path, result->second, *directives))
--- a/src/metadata/attested_builds.hpp
+++ b/src/metadata/attested_builds.hpp
@@ -1,4 +1,4 @@
-// What signed metadata say of builds: from the targets found to the attestations that the policy is told.
+// Attestations of builds by signed metadata, derived from the targets found and passed on to the policy.
 #pragma once
 
 #include "metadata/uptane.hpp"
@@ -6,8 +6,8 @@
 
 namespace lichenlanding::metadata {
 
-/// The builds that a sidecar tracks, what it last reported of each, and which were ever listed, so that one
-/// that is no longer listed is known as withdrawn, after a restart too.
+/// The builds that a sidecar tracks, with the attestation last reported and whether the build was ever
+/// listed: one that is no longer listed counts as withdrawn, also after a restart.
 class AttestedBuilds {
   public:
     /// An attestation that differs from the one last reported.
@@ -18,32 +18,32 @@
     using FoundTargets = std::map<std::string, std::optional<FoundTarget>>;
     using Directives = std::map<std::string, uptane::Directive>;
 
-    /// `pattern`: of the targets' paths, with "{build}" once. Throws std::invalid_argument.
+    /// `pattern`: target path that contains "{build}" once, else std::invalid_argument is thrown.
     explicit AttestedBuilds(std::string pattern);
 
-    /// A build is on trial or has pods. True if it was not tracked yet: it is to be looked up soon. The
-    /// newest kMaxTracked by number are tracked.
+    /// Tracks a build that is being rolled out or has pods. Returns true if it was not tracked yet, so that
+    /// its target should be searched soon. Only the kMaxTracked builds with the highest numbers are tracked.
     bool track(int build);
     std::string pathOf(int build) const;
     std::vector<std::string> paths() const;
 
-    /// After an accepted update, whose metadata expire at `expires`. Returns the changes, by number. A listed
-    /// build is valid, unless its "custom" says "withdrawn": true. One that was listed and no longer is, is
-    /// withdrawn. With a director only what it directs some unit to, and the image repository agrees with, is
-    /// valid.
+    /// Evaluates an accepted update whose metadata expire at `expires`. Returns the changes, by build number.
+    /// A listed build is valid unless its "custom" contains "withdrawn": true; a build that is no longer
+    /// listed is withdrawn. With directives, a build is valid only if one names it and agrees with the image
+    /// repository.
     std::vector<Change> update(const FoundTargets& found, UnixSeconds expires) {
         return update(found, expires, nullptr);
     }
     std::vector<Change> update(const FoundTargets& found, UnixSeconds expires, const Directives& directives) {
         return update(found, expires, &directives);
     }
-    /// Expired metadata attest nothing: valid becomes none. Withdrawn stays.
+    /// Once the metadata have expired, valid becomes none; withdrawn stays.
     std::vector<Change> expire(UnixSeconds now);
 
-    /// As last reported.
+    /// The attestation last reported.
     Attestation attestationOf(int build) const;
 
-    /// For the store: the builds that were ever listed. What cannot be parsed counts as nothing stored.
+    /// The builds that were ever listed, for the store. restore() ignores bytes that it cannot parse.
     std::string serialize() const;
     void restore(std::string_view bytes);
 
@@ -59,8 +59,8 @@
     static bool isDirected(const std::string& path, const std::optional<FoundTarget>& found,
                            const Directives& directives);
 
-    std::string prefix_, suffix_;     // of the pattern
-    std::map<int, Tracked> tracked_;  // by number
+    std::string prefix_, suffix_;     // the pattern before and after "{build}"
+    std::map<int, Tracked> tracked_;  // by build number
     UnixSeconds expires_ = 0;
 };
 
--- a/src/metadata/authoring.cpp
+++ b/src/metadata/authoring.cpp
@@ -5,7 +5,7 @@
 namespace lichenlanding::metadata {
 namespace {
 
-Json envelopeOf(const char* type, UnixSeconds expires) {
+Json newEnvelope(const char* type, UnixSeconds expires) {
     return {{"signatures", Json::array()},
             {"signed",
              {{"_type", type},
@@ -14,18 +14,18 @@
               {"expires", formatTime(expires)}}}};
 }
 
-Json idsOf(const std::vector<std::string>& ids) {
+Json toArray(const std::vector<std::string>& texts) {
     Json list = Json::array();
-    for (const auto& id : ids) list.push_back(id);
+    for (const auto& text : texts) list.push_back(text);
     return list;
 }
 
-Check noRole(const std::string& role) { return Refusal{Reason::wrongShape, role, 0, "no such role"}; }
+Check unknownRole(const std::string& role) { return Refusal{Reason::wrongShape, role, 0, "no such role"}; }
 
-// Keys that nobody names go.
-void prune(Json& keys, const std::vector<const Json*>& named) {
+// Removes the keys that are in none of the lists of key ids.
+void removeUnusedKeys(Json& keys, const std::vector<const Json*>& usedIds) {
     for (auto at = keys.begin(); at != keys.end();) {
-        const bool used = std::any_of(named.begin(), named.end(), [&](const Json* ids) {
+        const bool used = std::any_of(usedIds.begin(), usedIds.end(), [&](const Json* ids) {
             return std::find(ids->begin(), ids->end(), Json(at.key())) != ids->end();
         });
         if (used) ++at;
@@ -33,10 +33,10 @@
     }
 }
 
-void pruneRoot(Json& document) {
-    std::vector<const Json*> named;
-    for (const auto& role : document["roles"]) named.push_back(&role["keyids"]);
-    prune(document["keys"], named);
+void removeUnusedRootKeys(Json& document) {
+    std::vector<const Json*> usedIds;
+    for (const auto& role : document["roles"]) usedIds.push_back(&role["keyids"]);
+    removeUnusedKeys(document["keys"], usedIds);
 }
 
 Json& delegationsOf(Json& envelope) {
@@ -45,50 +45,50 @@
     return document["delegations"];
 }
 
-void pruneDelegations(Json& delegations) {
-    std::vector<const Json*> named;
+void removeUnusedDelegationKeys(Json& delegations) {
+    std::vector<const Json*> usedIds;
     if (delegations.contains("roles"))
-        for (const auto& role : delegations["roles"]) named.push_back(&role["keyids"]);
-    if (delegations.contains("succinct_roles")) named.push_back(&delegations["succinct_roles"]["keyids"]);
-    prune(delegations["keys"], named);
+        for (const auto& role : delegations["roles"]) usedIds.push_back(&role["keyids"]);
+    if (delegations.contains("succinct_roles")) usedIds.push_back(&delegations["succinct_roles"]["keyids"]);
+    removeUnusedKeys(delegations["keys"], usedIds);
 }
 
-Check signable(const Signers& signers, const std::string& role) {
+Check checkSignable(const Signers& signers, const std::string& role) {
     if (signers.threshold >= 1 && signers.threshold <= static_cast<std::int64_t>(signers.keyIds.size()))
         return {};
     return Refusal{Reason::wrongShape, role, 0,
-                   "a threshold of " + std::to_string(signers.threshold) + " with " +
+                   "threshold " + std::to_string(signers.threshold) + " with " +
                        std::to_string(signers.keyIds.size()) + " keys"};
 }
 
 }  // namespace
 
 Json newRoot(UnixSeconds expires, bool consistent) {
-    auto made = envelopeOf("root", expires);
-    auto& document = documentOf(made);
+    auto envelope = newEnvelope("root", expires);
+    auto& document = documentOf(envelope);
     document["consistent_snapshot"] = consistent;
     document["keys"] = Json::object();
     for (const auto* role : {"root", "timestamp", "snapshot", "targets"})
         document["roles"][role] = {{"keyids", Json::array()}, {"threshold", 1}};
-    return made;
+    return envelope;
 }
 
 Json newTargets(UnixSeconds expires) {
-    auto made = envelopeOf("targets", expires);
-    documentOf(made)["targets"] = Json::object();
-    return made;
+    auto envelope = newEnvelope("targets", expires);
+    documentOf(envelope)["targets"] = Json::object();
+    return envelope;
 }
 
 Json newSnapshot(UnixSeconds expires) {
-    auto made = envelopeOf("snapshot", expires);
-    documentOf(made)["meta"] = Json::object();
-    return made;
+    auto envelope = newEnvelope("snapshot", expires);
+    documentOf(envelope)["meta"] = Json::object();
+    return envelope;
 }
 
 Json newTimestamp(UnixSeconds expires) {
-    auto made = envelopeOf("timestamp", expires);
-    documentOf(made)["meta"] = Json::object();
-    return made;
+    auto envelope = newEnvelope("timestamp", expires);
+    documentOf(envelope)["meta"] = Json::object();
+    return envelope;
 }
 
 Json& documentOf(Json& envelope) { return envelope["signed"]; }
@@ -110,15 +110,15 @@
 void sign(Json& envelope, const SigningKey& key) {
     auto& signatures = envelope["signatures"];
     const auto& id = key.key().id();
-    const Json made = {{"keyid", id}, {"sig", hex(key.sign(canonical(documentOf(envelope))))}};
-    for (auto& one : signatures)
-        if (one.value("keyid", "") == id) return void(one = made);
-    signatures.push_back(made);
+    const Json signature = {{"keyid", id}, {"sig", hex(key.sign(canonical(documentOf(envelope))))}};
+    for (auto& existing : signatures)
+        if (existing.value("keyid", "") == id) return void(existing = signature);
+    signatures.push_back(signature);
 }
 
 Check addKey(Json& root, const std::string& role, const Key& key) {
     auto& document = documentOf(root);
-    if (!document["roles"].contains(role)) return noRole(role);
+    if (!document["roles"].contains(role)) return unknownRole(role);
     document["keys"][key.id()] = key.object();
     auto& ids = document["roles"][role]["keyids"];
     if (std::find(ids.begin(), ids.end(), Json(key.id())) == ids.end()) ids.push_back(key.id());
@@ -127,27 +127,28 @@
 
 Check removeKey(Json& root, const std::string& role, const std::string& keyId) {
     auto& document = documentOf(root);
-    if (!document["roles"].contains(role)) return noRole(role);
+    if (!document["roles"].contains(role)) return unknownRole(role);
     auto& ids = document["roles"][role]["keyids"];
     const auto found = std::find(ids.begin(), ids.end(), Json(keyId));
-    if (found == ids.end()) return Refusal{Reason::badKeyId, role, 0, "it has no key " + escaped(keyId, 64)};
+    if (found == ids.end())
+        return Refusal{Reason::badKeyId, role, 0, "the role has no key " + escaped(keyId, 64)};
     ids.erase(found);
-    pruneRoot(document);
+    removeUnusedRootKeys(document);
     return {};
 }
 
 Check setThreshold(Json& root, const std::string& role, std::int64_t threshold) {
     auto& document = documentOf(root);
-    if (!document["roles"].contains(role)) return noRole(role);
+    if (!document["roles"].contains(role)) return unknownRole(role);
     auto& entry = document["roles"][role];
     Signers signers{entry["keyids"].get<std::vector<std::string>>(), threshold};
-    if (auto refusal = signable(signers, role)) return refusal;
+    if (auto refusal = checkSignable(signers, role)) return refusal;
     entry["threshold"] = threshold;
     return {};
 }
 
 Check addTarget(Json& targets, const std::string& path, std::string_view bytes, const Json& custom) {
-    if (!isTargetName(path)) return Refusal{Reason::badName, escaped(path, 80), 0, "as a target's name"};
+    if (!isTargetName(path)) return Refusal{Reason::badName, escaped(path, 80), 0, "not a valid target name"};
     auto& entry = documentOf(targets)["targets"][path];
     entry = {{"length", static_cast<std::int64_t>(bytes.size())},
              {"hashes", {{"sha256", digest("sha256", bytes)}}}};
@@ -160,43 +161,46 @@
 }
 
 Check delegate(Json& targets, const Delegation& to, const std::vector<Key>& keys) {
-    if (!isRoleName(to.name)) return Refusal{Reason::badName, escaped(to.name, 80), 0, "as a role's name"};
+    if (!isRoleName(to.name))
+        return Refusal{Reason::badName, escaped(to.name, 80), 0, "not a valid role name"};
     if (to.paths.empty() == to.prefixes.empty())
-        return Refusal{Reason::wrongShape, to.name, 0, "either path patterns or hash prefixes"};
-    if (auto refusal = signable(to.signers, to.name)) return refusal;
+        return Refusal{Reason::wrongShape, to.name, 0, "needs either path patterns or hash prefixes"};
+    if (auto refusal = checkSignable(to.signers, to.name)) return refusal;
     auto& delegations = delegationsOf(targets);
     if (delegations.contains("succinct_roles"))
-        return Refusal{Reason::wrongShape, to.name, 0, "beside hash bins"};
+        return Refusal{Reason::wrongShape, to.name, 0, "cannot be combined with hash bins"};
     for (const auto& key : keys) delegations["keys"][key.id()] = key.object();
     Json entry = {{"name", to.name},
-                  {"keyids", idsOf(to.signers.keyIds)},
+                  {"keyids", toArray(to.signers.keyIds)},
                   {"threshold", to.signers.threshold},
                   {"terminating", to.terminating}};
     entry[to.paths.empty() ? "path_hash_prefixes" : "paths"] =
-        idsOf(to.paths.empty() ? to.prefixes : to.paths);
+        toArray(to.paths.empty() ? to.prefixes : to.paths);
     auto& roles = delegations["roles"];
     bool replaced = false;
-    for (auto& one : roles)
-        if (one["name"] == to.name) one = entry, replaced = true;
+    for (auto& existing : roles)
+        if (existing["name"] == to.name) existing = entry, replaced = true;
     if (!replaced) roles.push_back(entry);
-    pruneDelegations(delegations);
+    removeUnusedDelegationKeys(delegations);
     return {};
 }
 
 Check delegateBins(Json& targets, const HashBins& to, const std::vector<Key>& keys) {
     if (to.bits < 1 || to.bits > 32 || !isRoleName(to.prefix + "-00000000"))
-        return Refusal{Reason::badName, escaped(to.prefix, 80), 0, "1 to 32 bits and a name's beginning"};
-    if (auto refusal = signable(to.signers, to.prefix)) return refusal;
+        return Refusal{Reason::badName, escaped(to.prefix, 80), 0,
+                       "needs 1 to 32 bits and a valid name prefix"};
+    if (auto refusal = checkSignable(to.signers, to.prefix)) return refusal;
     auto& delegations = delegationsOf(targets);
     if (delegations.contains("roles") && !delegations["roles"].empty())
-        return Refusal{Reason::wrongShape, to.prefix, 0, "beside other delegations"};
+        return Refusal{Reason::wrongShape, to.prefix, 0,
+                       "hash bins cannot be combined with other delegations"};
     delegations.erase("roles");
     for (const auto& key : keys) delegations["keys"][key.id()] = key.object();
-    delegations["succinct_roles"] = {{"keyids", idsOf(to.signers.keyIds)},
+    delegations["succinct_roles"] = {{"keyids", toArray(to.signers.keyIds)},
                                      {"threshold", to.signers.threshold},
                                      {"bit_length", to.bits},
                                      {"name_prefix", to.prefix}};
-    pruneDelegations(delegations);
+    removeUnusedDelegationKeys(delegations);
     return {};
 }
 
@@ -207,19 +211,19 @@
     for (auto at = roles.begin(); at != roles.end(); ++at)
         if ((*at)["name"] == role) {
             roles.erase(at);
-            pruneDelegations(delegations);
+            removeUnusedDelegationKeys(delegations);
             return true;
         }
     return false;
 }
 
 Json listingOf(std::int64_t version, std::string_view bytes, bool hashed) {
-    Json made = {{"version", version}};
+    Json listing = {{"version", version}};
     if (hashed) {
-        made["length"] = static_cast<std::int64_t>(bytes.size());
-        made["hashes"] = {{"sha256", digest("sha256", bytes)}};
+        listing["length"] = static_cast<std::int64_t>(bytes.size());
+        listing["hashes"] = {{"sha256", digest("sha256", bytes)}};
     }
-    return made;
+    return listing;
 }
 
 void addListing(Json& snapshot, const std::string& fileName, const Json& listing) {
--- a/src/metadata/authoring.hpp
+++ b/src/metadata/authoring.hpp
@@ -1,6 +1,5 @@
-// Making and changing documents: what the tool for repositories does, without its files, and what tests put
-// their stand-in repositories together with. Each change works on an envelope; a changed document has one
-// version more and no signatures, and goes through sign() again.
+// Creates and changes documents in memory, for the repository tool and for the simulated repositories of
+// tests. The functions work on an envelope. After a change, bumpVersion() and sign() make a new version.
 // Source: TUF 1.0, 4.2 to 4.6, 6.1 (key rotation); TAP 15.
 #pragma once
 
@@ -19,33 +18,33 @@
 
 Json& documentOf(Json& envelope);              ///< "signed"
 std::int64_t versionOf(const Json& envelope);  ///< 0 if it has none
-std::string textOf(const Json& envelope);      ///< as it is published
+std::string textOf(const Json& envelope);      ///< the published form
 
-/// One version more, without signatures.
+/// Increments the version and removes the signatures.
 void bumpVersion(Json& envelope, UnixSeconds expires);
-void sign(Json& envelope, const SigningKey& key);  ///< in place of an earlier signature of that key
+void sign(Json& envelope, const SigningKey& key);  ///< replaces an earlier signature by the same key
 
-/// Keys of a role, in a root; a key that no role has any more goes with it. Adding one that is there changes
-/// nothing. The threshold stays, unless one is given; refuses with wrongShape a role that could never be
-/// signed.
+/// Keys of a role in a root document. Adding a key again changes nothing; a removed key that no other role
+/// uses is deleted. The threshold changes by setThreshold() alone, which refuses with wrongShape a threshold
+/// above the number of keys.
 Check addKey(Json& root, const std::string& role, const Key& key);
 Check removeKey(Json& root, const std::string& role, const std::string& keyId);
 Check setThreshold(Json& root, const std::string& role, std::int64_t threshold);
 
-/// Refuses with badName.
+/// Refuses an invalid path with badName.
 Check addTarget(Json& targets, const std::string& path, std::string_view bytes, const Json& custom = {});
 bool removeTarget(Json& targets, const std::string& path);
 
-/// Appended behind those there are, or in place of the one of the same name.
+/// Appends a delegation, or replaces the one of the same name.
 Check delegate(Json& targets, const Delegation& to, const std::vector<Key>& keys);
 Check delegateBins(Json& targets, const HashBins& to, const std::vector<Key>& keys);
 bool revoke(Json& targets, const std::string& role);
 
-/// What a snapshot or a timestamp says of a file.
+/// Entry of a file in a snapshot or timestamp; with length and hash if `hashed`.
 Json listingOf(std::int64_t version, std::string_view bytes, bool hashed);
 void addListing(Json& snapshot, const std::string& fileName, const Json& listing);
 
-/// Whether a document is signed by its role's threshold, for the tool to tell before it publishes.
+/// Verifies that a document has enough signatures for its role, before the tool publishes it.
 Check verifySignedBy(const Json& envelope, const std::string& role, const std::string& type, const Keys& keys,
                      const Signers& signers);
 
--- a/src/metadata/json.cpp
+++ b/src/metadata/json.cpp
@@ -6,97 +6,103 @@
 namespace lichenlanding::metadata {
 namespace {
 
-class Reader final : public nlohmann::json_sax<Json> {
+// Builds the value from the parser's events and stops at the first construct that is not allowed.
+class StrictParser final : public nlohmann::json_sax<Json> {
   public:
-    Json whole;
-    std::string wrong;
+    Json root;
+    std::string error;
 
-    bool null() override { return put(nullptr); }
-    bool boolean(bool value) override { return put(value); }
-    bool number_integer(number_integer_t value) override { return put(value); }
+    bool null() override { return addValue(nullptr); }
+    bool boolean(bool value) override { return addValue(value); }
+    bool number_integer(number_integer_t value) override { return addValue(value); }
     bool number_unsigned(number_unsigned_t value) override {
         if (value > static_cast<number_unsigned_t>(std::numeric_limits<std::int64_t>::max()))
-            return no("a number beyond 64 bits");
-        return put(static_cast<std::int64_t>(value));
+            return fail("integer out of the 64-bit range");
+        return addValue(static_cast<std::int64_t>(value));
     }
-    bool number_float(number_float_t /*val*/, const string_t& said) override {
-        return no(said.find_first_of(".eE") == string_t::npos ? "a number beyond 64 bits" : "a fraction");
+    bool number_float(number_float_t /*val*/, const string_t& text) override {
+        return fail(text.find_first_of(".eE") == string_t::npos ? "integer out of the 64-bit range"
+                                                                : "number with a fraction or exponent");
     }
-    bool string(string_t& value) override { return put(std::move(value)); }
-    bool binary(binary_t& /*val*/) override { return no("binary"); }
-    bool start_object(std::size_t /*elements*/) override { return open(Json::object()); }
-    bool start_array(std::size_t /*elements*/) override { return open(Json::array()); }
-    bool end_object() override { return close(); }
-    bool end_array() override { return close(); }
+    bool string(string_t& value) override { return addValue(std::move(value)); }
+    bool binary(binary_t& /*val*/) override { return fail("binary"); }
+    bool start_object(std::size_t /*elements*/) override { return openContainer(Json::object()); }
+    bool start_array(std::size_t /*elements*/) override { return openContainer(Json::array()); }
+    bool end_object() override { return closeContainer(); }
+    bool end_array() override { return closeContainer(); }
     bool key(string_t& name) override {
-        if (open_.back()->contains(name)) return no("the member \"" + escaped(name, 60) + "\" twice");
-        slot_ = &(*open_.back())[name];
+        if (openContainers_.back()->contains(name))
+            return fail("duplicate member \"" + escaped(name, 60) + "\"");
+        slot_ = &(*openContainers_.back())[name];
         return true;
     }
     bool parse_error(std::size_t at, const std::string& /*last_token*/,
                      const nlohmann::detail::exception& /*ex*/) override {
-        return no("no JSON at byte " + std::to_string(at));
+        return fail("JSON syntax error at byte " + std::to_string(at));
     }
 
   private:
     template <typename T>
-    bool put(T&& value) {
-        place(std::forward<T>(value));
+    bool addValue(T&& value) {
+        insert(std::forward<T>(value));
         return true;
     }
     template <typename T>
-    Json* place(T&& value) {
-        if (open_.empty()) return &(whole = std::forward<T>(value));
-        if (open_.back()->is_array()) return &open_.back()->emplace_back(std::forward<T>(value));
+    Json* insert(T&& value) {
+        if (openContainers_.empty()) return &(root = std::forward<T>(value));
+        if (openContainers_.back()->is_array())
+            return &openContainers_.back()->emplace_back(std::forward<T>(value));
         return &(*slot_ = std::forward<T>(value));
     }
-    bool open(Json empty) {
-        if (open_.size() >= kMaxDepth) return no("nested deeper than " + std::to_string(kMaxDepth));
-        open_.push_back(place(std::move(empty)));
+    bool openContainer(Json empty) {
+        if (openContainers_.size() >= kMaxDepth)
+            return fail("nested deeper than the limit of " + std::to_string(kMaxDepth));
+        openContainers_.push_back(insert(std::move(empty)));
         return true;
     }
-    bool close() {
-        open_.pop_back();
+    bool closeContainer() {
+        openContainers_.pop_back();
         return true;
     }
-    bool no(std::string why) {
-        if (wrong.empty()) wrong = std::move(why);
+    bool fail(std::string reason) {
+        if (error.empty()) error = std::move(reason);
         return false;
     }
 
-    std::vector<Json*> open_;  // an element's place holds while nothing is put behind it
-    Json* slot_ = nullptr;
+    // Enclosing arrays and objects. The pointers stay valid because only the innermost container grows.
+    std::vector<Json*> openContainers_;
+    Json* slot_ = nullptr;  // value of the member whose name was read last
 };
 
-void write(const Json& value, std::string& to) {
+void appendCanonical(const Json& value, std::string& to) {
     switch (value.type()) {
         case Json::value_t::object: {
-            char before = '{';
-            for (const auto& [name, held] : value.items()) {  // a std::map, sorted by bytes
-                to += before;
-                write(name, to);
+            char separator = '{';
+            for (const auto& [name, element] : value.items()) {  // items() of a std::map: sorted by bytes
+                to += separator;
+                appendCanonical(name, to);
                 to += ':';
-                write(held, to);
-                before = ',';
+                appendCanonical(element, to);
+                separator = ',';
             }
-            to += before == '{' ? "{}" : "}";
+            to += separator == '{' ? "{}" : "}";
             return;
         }
         case Json::value_t::array: {
-            char before = '[';
-            for (const auto& held : value) {
-                to += before;
-                write(held, to);
-                before = ',';
+            char separator = '[';
+            for (const auto& element : value) {
+                to += separator;
+                appendCanonical(element, to);
+                separator = ',';
             }
-            to += before == '[' ? "[]" : "]";
+            to += separator == '[' ? "[]" : "]";
             return;
         }
         case Json::value_t::string:
             to += '"';
-            for (const char letter : value.get_ref<const std::string&>()) {
-                if (letter == '"' || letter == '\\') to += '\\';
-                to += letter;
+            for (const char character : value.get_ref<const std::string&>()) {
+                if (character == '"' || character == '\\') to += '\\';
+                to += character;
             }
             to += '"';
             return;
@@ -113,7 +119,7 @@
             to += "null";
             return;
         default:
-            throw std::invalid_argument("canonical JSON has no fractions");
+            throw std::invalid_argument("canonical JSON does not support fractions");
     }
 }
 
@@ -121,18 +127,20 @@
 
 Result<Json> parseJson(std::string_view text, std::size_t maxBytes) {
     if (text.size() > maxBytes)
-        return Refusal{
-            Reason::tooLong, {}, 0, std::to_string(text.size()) + " bytes of " + std::to_string(maxBytes)};
-    Reader reader;
-    if (!Json::sax_parse(text.begin(), text.end(), &reader))
-        return Refusal{Reason::unreadable, {}, 0, reader.wrong};
-    return std::move(reader.whole);
+        return Refusal{Reason::tooLong,
+                       {},
+                       0,
+                       std::to_string(text.size()) + " bytes, limit " + std::to_string(maxBytes)};
+    StrictParser parser;
+    if (!Json::sax_parse(text.begin(), text.end(), &parser))
+        return Refusal{Reason::unreadable, {}, 0, parser.error};
+    return std::move(parser.root);
 }
 
 std::string canonical(const Json& value) {
-    std::string made;
-    write(value, made);
-    return made;
+    std::string text;
+    appendCanonical(value, text);
+    return text;
 }
 
 const Json* member(const Json& object, const char* name, Json::value_t type) {
@@ -146,12 +154,12 @@
     return found ? &found->get_ref<const std::string&>() : nullptr;
 }
 
-std::optional<std::int64_t> integerMember(const Json& object, const char* name, std::int64_t least) {
+std::optional<std::int64_t> integerMember(const Json& object, const char* name, std::int64_t minimum) {
     if (!object.is_object()) return {};
     const auto found = object.find(name);
     if (found == object.end() || !found->is_number_integer()) return {};
     const auto value = found->get<std::int64_t>();
-    if (value < least) return {};
+    if (value < minimum) return {};
     return value;
 }
 
--- a/src/metadata/mirror_selection.cpp
+++ b/src/metadata/mirror_selection.cpp
@@ -9,15 +9,15 @@
 constexpr Nanos kSecond = 1'000'000'000;
 constexpr Nanos kMinBackoff = kSecond, kMaxBackoff = 300 * kSecond;
 
-Nanos between(std::mt19937& random, Nanos from, Nanos to) {
+Nanos randomBetween(std::mt19937& random, Nanos from, Nanos to) {
     if (to <= from) return from;
     return from + static_cast<Nanos>(static_cast<double>(to - from) *
                                      (static_cast<double>(random()) / 4294967296.0));
 }
 
-Nanos exponential(Nanos first, int times, Nanos most) {
-    for (int time = 0; time < times && first < most; ++time) first *= 2;
-    return std::min(first, most);
+Nanos exponential(Nanos initial, int doublings, Nanos maximum) {
+    for (int time = 0; time < doublings && initial < maximum; ++time) initial *= 2;
+    return std::min(initial, maximum);
 }
 
 }  // namespace
@@ -36,8 +36,9 @@
     for (const auto mirror : order_)
         if (isUsable(mirror) && (!best || mirrors_[mirror].backoffUntil < mirrors_[*best].backoffUntil))
             best = mirror;
-    const bool first = std::none_of(tried.begin(), tried.end(), [](bool one) { return one; });
-    if (best && mirrors_[*best].backoffUntil > now && !first) return {};
+    const bool firstAttempt =
+        std::none_of(tried.begin(), tried.end(), [](bool wasTried) { return wasTried; });
+    if (best && mirrors_[*best].backoffUntil > now && !firstAttempt) return {};
     return best;
 }
 
@@ -51,7 +52,7 @@
     auto& state = mirrors_[mirror];
     const auto backoff = exponential(kMinBackoff, state.failures, kMaxBackoff);
     ++state.failures;
-    state.backoffUntil = std::max(state.backoffUntil, now + between(random_, backoff / 2, backoff));
+    state.backoffUntil = std::max(state.backoffUntil, now + randomBetween(random_, backoff / 2, backoff));
     if (current_ == mirror) current_.reset();
 }
 
@@ -66,21 +67,21 @@
     if (draining && current_ == mirror) current_.reset();
 }
 
-Nanos RefreshSchedule::spread(Nanos from, Nanos to) { return between(random_, from, to); }
+Nanos RefreshSchedule::spread(Nanos from, Nanos to) { return randomBetween(random_, from, to); }
 
 Nanos RefreshSchedule::afterSuccess(Nanos validFor) {
     failures_ = 0;
     const auto regular =
         spread(intervals_.regular - intervals_.regular / 10, intervals_.regular + intervals_.regular / 10);
-    const auto ahead = spread(validFor / 3, validFor / 2);
-    return std::max(std::min(regular, ahead), intervals_.minBackoff);
+    const auto beforeExpiry = spread(validFor / 3, validFor / 2);
+    return std::max(std::min(regular, beforeExpiry), intervals_.minBackoff);
 }
 
 Nanos RefreshSchedule::afterFailure(Nanos validFor) {
-    const auto wait = exponential(intervals_.minBackoff, failures_, intervals_.maxBackoff);
+    const auto backoff = exponential(intervals_.minBackoff, failures_, intervals_.maxBackoff);
     ++failures_;
-    const auto ahead = validFor > 0 ? std::max(validFor / 2, intervals_.minBackoff) : wait;
-    return std::min(spread(wait / 2, wait), ahead);
+    const auto beforeExpiry = validFor > 0 ? std::max(validFor / 2, intervals_.minBackoff) : backoff;
+    return std::min(spread(backoff / 2, backoff), beforeExpiry);
 }
 
 }  // namespace lichenlanding::metadata
--- a/src/metadata/mirror_selection.hpp
+++ b/src/metadata/mirror_selection.hpp
@@ -1,5 +1,5 @@
-// Which mirror is used next, when a refresh is due, and how often requests are retried. Pure: time and random
-// seeds come in.
+// Choice of the next mirror, refresh schedule and retry budget. Free of I/O: the caller passes the time and
+// the random seeds.
 #pragma once
 
 #include <optional>
@@ -11,24 +11,23 @@
 
 namespace lichenlanding::metadata {
 
-/// The state of all mirrors. A refresh keeps to one mirror as long as it works, since two may hold sets of
-/// different age. Every document is requested from one mirror at a time, and from each mirror once. Fetches
-/// are idempotent; still, retries are bounded by a budget for each refresh, so that an outage is not
-/// multiplied.
+/// The state of all mirrors. A refresh uses one mirror as long as it works, since two mirrors may serve
+/// metadata of different age. A document is requested from one mirror at a time, and once from each. Fetches
+/// are idempotent, but a budget limits the retries of a refresh so that they do not amplify an outage.
 class Mirrors {
   public:
     Mirrors(std::vector<std::string> names, std::uint32_t seed);
 
-    /// Of the mirrors not tried yet for this document: the one in use, else the one whose backoff ended
-    /// first. Never one that drains. If all others still back off, the one whose backoff ends first is used
-    /// for a document's first attempt: a backoff must not become an outage.
+    /// The mirror in use if it was not tried yet for this document, else the untried one whose backoff ended
+    /// first; never a draining one. If all are in backoff, the first attempt for a document uses the one
+    /// whose backoff ends first, so that a backoff does not become an outage. Empty if there is none.
     std::optional<std::size_t> choose(Nanos now, const std::vector<bool>& tried) const;
 
-    /// What it gave was accepted.
+    /// A document of this mirror was accepted.
     void recordSuccess(std::size_t mirror);
-    /// It backs off, each time in a row twice as long, spread at random.
+    /// Starts a backoff with jitter; it doubles with each consecutive failure.
     void recordFailure(std::size_t mirror, Nanos now);
-    /// By its own "Retry-After".
+    /// The mirror sent "Retry-After".
     void backOffUntil(std::size_t mirror, Nanos until);
     void setDraining(std::size_t mirror, bool draining);
 
@@ -40,38 +39,39 @@
     struct Mirror {
         std::string name;
         Nanos backoffUntil = 0;
-        int failures = 0;  // in a row
+        int failures = 0;  // consecutive
         bool draining = false;
     };
     std::vector<Mirror> mirrors_;
-    std::vector<std::size_t> order_;  // random, so that sidecars spread over the mirrors
+    std::vector<std::size_t> order_;  // shuffled, so that sidecars spread over the mirrors
     std::optional<std::size_t> current_;
     std::mt19937 random_;
 };
 
-/// Of one document at one mirror.
+/// Timeouts for one document from one mirror.
 struct FetchTimeouts {
     Nanos connect = 2'000'000'000;
-    Nanos response = 30'000'000'000;  ///< complete, whatever its size
+    Nanos response = 30'000'000'000;  ///< until the response is complete, whatever its size
 };
 
 /// When the next refresh is due.
 class RefreshSchedule {
   public:
     struct Intervals {
-        Nanos regular = 60'000'000'000;    ///< while refreshes succeed; spread by a tenth either way
-        Nanos minBackoff = 1'000'000'000;  ///< after a failure; twice as long each time in a row
+        Nanos regular = 60'000'000'000;    ///< while refreshes succeed; with a jitter of 10% either way
+        Nanos minBackoff = 1'000'000'000;  ///< after a failure; doubles with each consecutive one
         Nanos maxBackoff = 60'000'000'000;
     };
 
     RefreshSchedule(const Intervals& intervals, std::uint32_t seed) : intervals_(intervals), random_(seed) {}
 
-    /// The earlier of the regular interval and a third to a half of the time until the metadata expire.
+    /// Time until the next refresh: the regular interval, or a third to a half of the time until the metadata
+    /// expire (`validFor`) if that is shorter.
     Nanos afterSuccess(Nanos validFor);
-    /// At random between half of the backoff and all of it; at most half of the time until the metadata
-    /// expire.
+    /// Time until the next refresh: at random between half of the backoff and all of it, but at most half of
+    /// the time until the metadata expire.
     Nanos afterFailure(Nanos validFor);
-    int failures() const { return failures_; }  ///< in a row
+    int failures() const { return failures_; }  ///< consecutive
 
   private:
     Nanos spread(Nanos from, Nanos to);
@@ -81,7 +81,7 @@
     int failures_ = 0;
 };
 
-/// How often documents may be requested again in one refresh.
+/// Limits how often documents are requested again in one refresh.
 class RetryBudget {
   public:
     explicit RetryBudget(std::size_t mirrors) : remaining_(static_cast<int>(4 + 2 * mirrors)) {}
--- a/src/metadata/refusal.cpp
+++ b/src/metadata/refusal.cpp
@@ -24,14 +24,14 @@
 
 std::string escaped(std::string_view text, std::size_t maxBytes) {
     std::string safe;
-    for (const char letter : text) {
+    for (const char byte : text) {
         if (safe.size() >= maxBytes) return safe + "...";
-        if (letter >= ' ' && letter < 127) {
-            safe += letter;
+        if (byte >= ' ' && byte < 127) {
+            safe += byte;
             continue;
         }
         char code[8];
-        std::snprintf(code, sizeof code, "\\x%02x", static_cast<unsigned char>(letter));
+        std::snprintf(code, sizeof code, "\\x%02x", static_cast<unsigned char>(byte));
         safe += code;
     }
     return safe;
--- a/src/metadata/role.cpp
+++ b/src/metadata/role.cpp
@@ -11,11 +11,11 @@
 constexpr std::size_t kMaxKeys = 1024, kMaxSignatures = 1024;
 constexpr const char* kTopRoles[] = {"root", "timestamp", "snapshot", "targets"};
 
-Refusal shape(const Envelope& envelope, const std::string& role, std::string detail) {
+Refusal invalid(const Envelope& envelope, const std::string& role, std::string detail) {
     return {Reason::wrongShape, role, envelope.version, std::move(detail)};
 }
 
-std::optional<Signers> signersIn(const Json& object) {
+std::optional<Signers> parseSigners(const Json& object) {
     const auto* ids = member(object, "keyids", Json::value_t::array);
     const auto threshold = integerMember(object, "threshold");
     if (!ids || !threshold || ids->size() > kMaxKeys) return {};
@@ -28,9 +28,9 @@
     return read;
 }
 
-Result<Keys> keysIn(const Json* object) {
+Result<Keys> parseKeys(const Json* object) {
     Keys keys;
-    if (!object) return Refusal{Reason::wrongShape, {}, 0, "keys"};
+    if (!object) return Refusal{Reason::wrongShape, {}, 0, "keys is missing or not an object"};
     if (object->size() > kMaxKeys) return Refusal{Reason::tooMany, {}, 0, "keys"};
     for (const auto& [id, value] : object->items()) {
         auto key = Key::read(id, value);
@@ -40,10 +40,10 @@
     return keys;
 }
 
-std::optional<std::map<std::string, std::string>> hashesIn(const Json& object, bool needed) {
+std::optional<std::map<std::string, std::string>> parseHashes(const Json& object, bool required) {
     std::map<std::string, std::string> hashes;
     const auto found = object.find("hashes");
-    if (found == object.end()) return needed ? std::nullopt : std::optional(hashes);
+    if (found == object.end()) return required ? std::nullopt : std::optional(hashes);
     if (!found->is_object() || found->empty()) return {};
     for (const auto& [name, digits] : found->items()) {
         if (!digits.is_string()) return {};
@@ -52,7 +52,7 @@
     return hashes;
 }
 
-std::optional<FileInfo> fileIn(const Json& object) {
+std::optional<FileInfo> parseFileInfo(const Json& object) {
     const auto version = integerMember(object, "version");
     if (!version) return {};
     FileInfo read{*version, {}, {}};
@@ -60,82 +60,86 @@
         read.length = integerMember(object, "length", 0);
         if (!read.length) return {};
     }
-    auto hashes = hashesIn(object, false);
+    auto hashes = parseHashes(object, false);
     if (!hashes) return {};
     read.hashes = std::move(*hashes);
     return read;
 }
 
-bool hexDigits(std::string_view text) {
+bool isLowerHex(std::string_view text) {
     return text.find_first_not_of("0123456789abcdef") == std::string_view::npos;
 }
 
-Check delegationsIn(const Envelope& envelope, const std::string& role, const Json& object, Targets& into) {
-    auto keys = keysIn(member(object, "keys", Json::value_t::object));
+Check parseDelegations(const Envelope& envelope, const std::string& role, const Json& object,
+                       Targets& targets) {
+    auto keys = parseKeys(member(object, "keys", Json::value_t::object));
     if (!keys) {
         auto refusal = keys.refusal();
         refusal.role = role;
         refusal.version = envelope.version;
         return refusal;
     }
-    into.keys = std::move(*keys);
+    targets.keys = std::move(*keys);
     const auto* roles = member(object, "roles", Json::value_t::array);
     const auto* succinct = member(object, "succinct_roles", Json::value_t::object);
-    if (!roles == !succinct) return shape(envelope, role, "delegations need either roles or succinct_roles");
+    if (!roles == !succinct) return invalid(envelope, role, "delegations need roles or succinct_roles");
     if (succinct) {
-        const auto signers = signersIn(*succinct);
+        const auto signers = parseSigners(*succinct);
         const auto bits = integerMember(*succinct, "bit_length");
         const auto* prefix = textMember(*succinct, "name_prefix");
         if (!signers || !bits || *bits > 32 || !prefix || !isRoleName(*prefix + "-00000000"))
-            return shape(envelope, role, "succinct_roles");
-        into.bins = HashBins{*signers, static_cast<int>(*bits), *prefix};
+            return invalid(envelope, role, "invalid succinct_roles");
+        targets.bins = HashBins{*signers, static_cast<int>(*bits), *prefix};
         return {};
     }
     for (const auto& entry : *roles) {
         const auto* name = textMember(entry, "name");
-        const auto signers = signersIn(entry);
+        const auto signers = parseSigners(entry);
         const auto* terminating = member(entry, "terminating", Json::value_t::boolean);
-        if (!name || !signers || !terminating) return shape(envelope, role, "a delegated role lacks a field");
+        if (!name || !signers || !terminating)
+            return invalid(envelope, role, "a delegated role lacks name, keyids, threshold or terminating");
         if (!isRoleName(*name) ||
             std::find(std::begin(kTopRoles), std::end(kTopRoles), *name) != std::end(kTopRoles))
             return Refusal{Reason::badName, role, envelope.version, "role " + escaped(*name, 80)};
-        Delegation made{*name, *signers, terminating->get<bool>(), {}, {}};
+        Delegation delegation{*name, *signers, terminating->get<bool>(), {}, {}};
         const auto* paths = member(entry, "paths", Json::value_t::array);
         const auto* prefixes = member(entry, "path_hash_prefixes", Json::value_t::array);
         if (!paths == !prefixes)
-            return shape(envelope, role,
-                         "role " + escaped(*name, 80) + " needs either paths or path_hash_prefixes");
+            return invalid(envelope, role,
+                           "role " + escaped(*name, 80) + " needs either paths or path_hash_prefixes");
         for (const auto& one : paths ? *paths : *prefixes) {
-            if (!one.is_string()) return shape(envelope, role, "role " + escaped(*name, 80) + ": paths");
-            (paths ? made.paths : made.prefixes).push_back(one.get<std::string>());
-            if (prefixes && !hexDigits(made.prefixes.back()))
-                return shape(envelope, role, "role " + escaped(*name, 80) + ": path_hash_prefixes");
+            if (!one.is_string())
+                return invalid(envelope, role, "role " + escaped(*name, 80) + ": paths must be strings");
+            (paths ? delegation.paths : delegation.prefixes).push_back(one.get<std::string>());
+            if (prefixes && !isLowerHex(delegation.prefixes.back()))
+                return invalid(envelope, role,
+                               "role " + escaped(*name, 80) + ": path_hash_prefixes must be lower-case hex");
         }
-        const auto number = into.delegations.size();
-        if (!into.byName.emplace(*name, number).second)
-            return shape(envelope, role, "role " + escaped(*name, 80) + " twice");
-        into.index.add(static_cast<std::uint32_t>(number), made.paths, made.prefixes);
-        into.delegations.push_back(std::move(made));
+        const auto number = targets.delegations.size();
+        if (!targets.byName.emplace(*name, number).second)
+            return invalid(envelope, role, "role " + escaped(*name, 80) + " is delegated to twice");
+        targets.index.add(static_cast<std::uint32_t>(number), delegation.paths, delegation.prefixes);
+        targets.delegations.push_back(std::move(delegation));
     }
-    into.index.seal();
+    targets.index.seal();
     return {};
 }
 
 }  // namespace
 
 std::optional<UnixSeconds> parseTime(std::string_view text) {
-    static constexpr std::string_view kForm = "0000-00-00T00:00:00Z";
-    if (text.size() != kForm.size()) return {};
+    static constexpr std::string_view kTemplate = "0000-00-00T00:00:00Z";
+    if (text.size() != kTemplate.size()) return {};
     int part[6] = {};
-    int at = 0;
-    for (std::size_t letter = 0; letter < kForm.size(); ++letter) {
-        if (kForm[letter] != '0') {
-            if (text[letter] != kForm[letter]) return {};
-            ++at;
+    int field = 0;
+    for (std::size_t letter = 0; letter < kTemplate.size(); ++letter) {
+        if (kTemplate[letter] != '0') {
+            if (text[letter] != kTemplate[letter]) return {};
+            ++field;
         } else if (text[letter] < '0' || text[letter] > '9') {
             return {};
         } else {
-            part[at] = part[at] * 10 + (text[letter] - '0');
+            part[field] = part[field] * 10 + (text[letter] - '0');
         }
     }
     using namespace std::chrono;
@@ -148,34 +152,35 @@
 
 std::string formatTime(UnixSeconds time) {
     using namespace std::chrono;
-    const sys_seconds at{seconds(time)};
-    const auto midnight = floor<days>(at);
+    const sys_seconds instant{seconds(time)};
+    const auto midnight = floor<days>(instant);
     const year_month_day day{midnight};
-    const auto of = (at - midnight).count();
+    const auto secondOfDay = (instant - midnight).count();
     char text[64];
     std::snprintf(text, sizeof text, "%04d-%02u-%02uT%02d:%02d:%02dZ", static_cast<int>(day.year()),
                   static_cast<unsigned>(day.month()), static_cast<unsigned>(day.day()),
-                  static_cast<int>(of / 3600), static_cast<int>(of / 60 % 60), static_cast<int>(of % 60));
+                  static_cast<int>(secondOfDay / 3600), static_cast<int>(secondOfDay / 60 % 60),
+                  static_cast<int>(secondOfDay % 60));
     return text;
 }
 
 std::string percentEncoded(std::string_view name, bool keepSlash) {
     static constexpr char kDigits[] = "0123456789ABCDEF";
-    std::string made;
+    std::string encoded;
     for (const char letter : name) {
-        const bool plain = (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'z') ||
-                           (letter >= 'A' && letter <= 'Z') || letter == '.' || letter == '_' ||
-                           letter == '-' || letter == '~' || (keepSlash && letter == '/');
+        const bool unreserved = (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'z') ||
+                                (letter >= 'A' && letter <= 'Z') || letter == '.' || letter == '_' ||
+                                letter == '-' || letter == '~' || (keepSlash && letter == '/');
         const auto byte = static_cast<unsigned char>(letter);
-        if (plain) {
-            made += letter;
+        if (unreserved) {
+            encoded += letter;
             continue;
         }
-        made += '%';
-        made += kDigits[byte >> 4];
-        made += kDigits[byte & 15];
+        encoded += '%';
+        encoded += kDigits[byte >> 4];
+        encoded += kDigits[byte & 15];
     }
-    return made;
+    return encoded;
 }
 
 bool isRoleName(std::string_view name) {
@@ -191,10 +196,10 @@
 std::string locationOf(const std::string& path, const Target& target) {
     const auto slash = path.rfind('/');
     const auto name = slash == std::string::npos ? path : path.substr(slash + 1);
-    const auto folder = slash == std::string::npos ? std::string() : path.substr(0, slash + 1);
+    const auto directory = slash == std::string::npos ? std::string() : path.substr(0, slash + 1);
     const auto& hashes = target.hashes;
     const auto hash = hashes.contains("sha256") ? hashes.at("sha256") : hashes.begin()->second;
-    return folder + hash + "." + name;
+    return directory + hash + "." + name;
 }
 
 Result<Envelope> Envelope::read(std::string_view text, const std::string& role, const std::string& type,
@@ -208,28 +213,28 @@
     Envelope read;
     const auto* document = member(*whole, "signed", Json::value_t::object);
     const auto* signatures = member(*whole, "signatures", Json::value_t::array);
-    if (!document || !signatures) return shape(read, role, "no signed document");
+    if (!document || !signatures) return invalid(read, role, "signed or signatures is missing");
     read.version = metadata::integerMember(*document, "version").value_or(0);
     const auto* kind = metadata::textMember(*document, "_type");
-    if (!kind) return shape(read, role, "_type");
+    if (!kind) return invalid(read, role, "_type is missing");
     if (*kind != type) return Refusal{Reason::wrongType, role, read.version, escaped(*kind, 40)};
     const auto* spec = metadata::textMember(*document, "spec_version");
-    if (!spec) return shape(read, role, "spec_version");
-    const bool major = spec->size() >= 3 && spec->compare(0, 2, "1.") == 0 &&
-                       spec->find_first_not_of("0123456789.") ==
-                           std::basic_string<char, std::char_traits<char>, std::allocator<char>>::npos;
-    if (!major) return Refusal{Reason::wrongSpec, role, read.version, escaped(*spec, 40)};
-    if (read.version < 1) return shape(read, role, "version");
+    if (!spec) return invalid(read, role, "spec_version is missing");
+    const bool supported = spec->size() >= 3 && spec->compare(0, 2, "1.") == 0 &&
+                           spec->find_first_not_of("0123456789.") ==
+                               std::basic_string<char, std::char_traits<char>, std::allocator<char>>::npos;
+    if (!supported) return Refusal{Reason::wrongSpec, role, read.version, escaped(*spec, 40)};
+    if (read.version < 1) return invalid(read, role, "version is missing or below 1");
     const auto* expires = metadata::textMember(*document, "expires");
     const auto time = expires ? parseTime(*expires) : std::nullopt;
-    if (!time) return shape(read, role, "expires");
+    if (!time) return invalid(read, role, "expires is not a UTC time like 2026-12-01T09:30:00Z");
     if (signatures->size() > kMaxSignatures)
         return Refusal{Reason::tooMany, role, read.version, "signatures"};
     for (const auto& one : *signatures) {
         const auto* id = metadata::textMember(one, "keyid");
         const auto* sig = metadata::textMember(one, "sig");
-        if (!id || !sig) return shape(read, role, "signatures");
-        // An empty or spoilt one counts for nothing; offline signing leaves such places.
+        if (!id || !sig) return invalid(read, role, "a signature lacks keyid or sig");
+        // An empty or malformed signature is ignored; offline signing leaves such placeholders.
         if (!read.signatures.emplace(*id, parseHex(*sig).value_or("")).second)
             return Refusal{Reason::repeatedKey, role, read.version, "key id " + escaped(*id, 64)};
     }
@@ -240,24 +245,25 @@
     return read;
 }
 
-std::int64_t Envelope::countSigners(const Keys& keys, const Signers& by) const {
-    std::set<std::string> good;
-    for (const auto& id : by.keyIds) {
-        if (static_cast<std::int64_t>(good.size()) >= by.threshold) break;
+std::int64_t Envelope::countSigners(const Keys& keys, const Signers& signers) const {
+    std::set<std::string> validKeys;
+    for (const auto& id : signers.keyIds) {
+        if (static_cast<std::int64_t>(validKeys.size()) >= signers.threshold) break;
         const auto key = keys.find(id);
         const auto signature = signatures.find(id);
-        if (key == keys.end() || signature == signatures.end() || good.contains(key->second.identity()))
+        if (key == keys.end() || signature == signatures.end() || validKeys.contains(key->second.identity()))
             continue;
-        if (key->second.verifies(bytes, signature->second)) good.insert(key->second.identity());
+        if (key->second.verifies(bytes, signature->second)) validKeys.insert(key->second.identity());
     }
-    return static_cast<std::int64_t>(good.size());
+    return static_cast<std::int64_t>(validKeys.size());
 }
 
-Check Envelope::verify(const Keys& keys, const Signers& by, const std::string& role) const {
-    const auto count = countSigners(keys, by);
-    if (count >= by.threshold) return {};
+Check Envelope::verify(const Keys& keys, const Signers& signers, const std::string& role) const {
+    const auto count = countSigners(keys, signers);
+    if (count >= signers.threshold) return {};
     return Refusal{Reason::unsigned_, role, version,
-                   std::to_string(count) + " of " + std::to_string(by.threshold) + " signatures"};
+                   std::to_string(count) + " of " + std::to_string(signers.threshold) +
+                       " required signatures are valid"};
 }
 
 Check verifyBytes(std::string_view bytes, const std::optional<std::int64_t>& length,
@@ -265,14 +271,15 @@
     if (length && static_cast<std::int64_t>(bytes.size()) != *length)
         return Refusal{Reason::wrongLength, role, 0,
                        std::to_string(bytes.size()) + " bytes, listed " + std::to_string(*length)};
-    bool any = false;
+    bool anySupported = false;
     for (const auto& [name, digits] : hashes) {
-        const auto made = digest(name, bytes);
-        if (made.empty()) continue;
-        any = true;
-        if (made != digits) return Refusal{Reason::wrongHash, role, 0, name};
+        const auto actual = digest(name, bytes);
+        if (actual.empty()) continue;
+        anySupported = true;
+        if (actual != digits) return Refusal{Reason::wrongHash, role, 0, name};
     }
-    if (!any && !hashes.empty()) return Refusal{Reason::wrongHash, role, 0, "no known kind of hash"};
+    if (!anySupported && !hashes.empty())
+        return Refusal{Reason::wrongHash, role, 0, "no hash of a supported algorithm"};
     return {};
 }
 
@@ -283,12 +290,12 @@
     read.expires = envelope.expires;
     if (document.contains("consistent_snapshot")) {
         const auto* consistent = member(document, "consistent_snapshot", Json::value_t::boolean);
-        if (!consistent) return shape(envelope, "root", "consistent_snapshot");
+        if (!consistent) return invalid(envelope, "root", "consistent_snapshot is not a boolean");
         read.consistent = consistent->get<bool>();
     } else {
         read.consistent = false;
     }
-    auto keys = keysIn(member(document, "keys", Json::value_t::object));
+    auto keys = parseKeys(member(document, "keys", Json::value_t::object));
     if (!keys) {
         auto refusal = keys.refusal();
         refusal.role = "root";
@@ -297,11 +304,11 @@
     }
     read.keys = std::move(*keys);
     const auto* roles = member(document, "roles", Json::value_t::object);
-    if (!roles) return shape(envelope, "root", "roles");
+    if (!roles) return invalid(envelope, "root", "roles is missing or not an object");
     for (const auto* name : kTopRoles) {
         const auto* role = member(*roles, name, Json::value_t::object);
-        const auto signers = role ? signersIn(*role) : std::nullopt;
-        if (!signers) return shape(envelope, "root", std::string("role ") + name);
+        const auto signers = role ? parseSigners(*role) : std::nullopt;
+        if (!signers) return invalid(envelope, "root", std::string("invalid role ") + name);
         read.roles[name] = *signers;
     }
     return read;
@@ -310,27 +317,28 @@
 Result<Timestamp> Timestamp::read(const Envelope& envelope) {
     const auto* meta = member(envelope.document, "meta", Json::value_t::object);
     const auto* entry = meta ? member(*meta, "snapshot.json", Json::value_t::object) : nullptr;
-    const auto file = entry ? fileIn(*entry) : std::nullopt;
-    if (!file || meta->size() != 1) return shape(envelope, "timestamp", "meta");
+    const auto file = entry ? parseFileInfo(*entry) : std::nullopt;
+    if (!file || meta->size() != 1)
+        return invalid(envelope, "timestamp", "meta needs a valid entry of snapshot.json only");
     return Timestamp{envelope.version, envelope.expires, *file};
 }
 
 Result<Snapshot> Snapshot::read(const Envelope& envelope) {
     const auto* meta = member(envelope.document, "meta", Json::value_t::object);
-    if (!meta) return shape(envelope, "snapshot", "meta");
+    if (!meta) return invalid(envelope, "snapshot", "meta is missing or not an object");
     Snapshot read{envelope.version, envelope.expires, {}};
     for (const auto& [name, entry] : meta->items()) {
-        const auto file = fileIn(entry);
-        if (!file) return shape(envelope, "snapshot", "meta of " + escaped(name, 80));
+        const auto file = parseFileInfo(entry);
+        if (!file) return invalid(envelope, "snapshot", "invalid meta entry of " + escaped(name, 80));
         read.files.emplace(name, *file);
     }
-    if (!read.files.contains("targets.json")) return shape(envelope, "snapshot", "meta lacks targets.json");
+    if (!read.files.contains("targets.json")) return invalid(envelope, "snapshot", "meta lacks targets.json");
     return read;
 }
 
 Result<Targets> Targets::read(const Envelope& envelope, const std::string& role) {
     const auto* targets = member(envelope.document, "targets", Json::value_t::object);
-    if (!targets) return shape(envelope, role, "targets");
+    if (!targets) return invalid(envelope, role, "targets is missing or not an object");
     Targets read;
     read.version = envelope.version;
     read.expires = envelope.expires;
@@ -338,15 +346,15 @@
         if (!isTargetName(path))
             return Refusal{Reason::badName, role, envelope.version, "target " + escaped(path, 80)};
         const auto length = integerMember(entry, "length", 0);
-        auto hashes = entry.is_object() ? hashesIn(entry, true) : std::nullopt;
-        if (!length || !hashes) return shape(envelope, role, "target " + escaped(path, 80));
+        auto hashes = entry.is_object() ? parseHashes(entry, true) : std::nullopt;
+        if (!length || !hashes) return invalid(envelope, role, "invalid target " + escaped(path, 80));
         const auto* custom = member(entry, "custom", Json::value_t::object);
         read.targets.emplace(path, Target{*length, std::move(*hashes), custom ? *custom : Json()});
     }
     if (envelope.document.contains("delegations")) {
         const auto* delegations = member(envelope.document, "delegations", Json::value_t::object);
-        if (!delegations) return shape(envelope, role, "delegations");
-        if (auto refusal = delegationsIn(envelope, role, *delegations, read)) return *refusal;
+        if (!delegations) return invalid(envelope, role, "delegations is not an object");
+        if (auto refusal = parseDelegations(envelope, role, *delegations, read)) return *refusal;
     }
     return read;
 }
@@ -363,7 +371,7 @@
 bool HashBins::contains(const std::string& role) const {
     const auto digits = static_cast<std::size_t>((bits + 3) / 4);
     if (role.size() != prefix.size() + 1 + digits || role.compare(0, prefix.size(), prefix) != 0 ||
-        role[prefix.size()] != '-' || !hexDigits(std::string_view(role).substr(prefix.size() + 1)))
+        role[prefix.size()] != '-' || !isLowerHex(std::string_view(role).substr(prefix.size() + 1)))
         return false;
     std::uint64_t number = 0;
     std::from_chars(role.data() + prefix.size() + 1, role.data() + role.size(), number, 16);
--- a/src/metadata/signing_key.cpp
+++ b/src/metadata/signing_key.cpp
@@ -12,17 +12,18 @@
 namespace {
 
 struct FreeBio {
-    void operator()(BIO* held) const { BIO_free(held); }
+    void operator()(BIO* bio) const { BIO_free(bio); }
 };
 struct FreeContext {
-    void operator()(EVP_MD_CTX* held) const { EVP_MD_CTX_free(held); }
+    void operator()(EVP_MD_CTX* context) const { EVP_MD_CTX_free(context); }
 };
 
 constexpr unsigned kRsaBits = 3072;
 
-// Without a passphrase an encrypted key is refused; OpenSSL would ask at the terminal.
-int passphraseGiven(char* into, int size, int /*unused*/, void* given) {
-    const auto& text = *static_cast<const std::string*>(given);
+// Passphrase callback. Without it OpenSSL would prompt on the terminal; an empty passphrase refuses encrypted
+// keys.
+int copyPassphrase(char* into, int size, int /*unused*/, void* passphrase) {
+    const auto& text = *static_cast<const std::string*>(passphrase);
     if (text.empty() || static_cast<int>(text.size()) > size) return -1;
     std::copy(text.begin(), text.end(), into);
     return static_cast<int>(text.size());
@@ -31,23 +32,23 @@
 }  // namespace
 
 SigningKey SigningKey::generate(Scheme scheme) {
-    RawKey made(scheme == Scheme::ed25519     ? EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519")
-                : scheme == Scheme::ecdsaP256 ? EVP_PKEY_Q_keygen(nullptr, nullptr, "EC", "P-256")
-                : scheme == Scheme::rsaPss
-                    ? EVP_PKEY_Q_keygen(nullptr, nullptr, "RSA", static_cast<std::size_t>(kRsaBits))
-                    : nullptr);
-    if (!made) throw std::runtime_error("cannot generate a key");
-    return SigningKey(std::move(made));
+    OpenSslKey key(scheme == Scheme::ed25519     ? EVP_PKEY_Q_keygen(nullptr, nullptr, "ED25519")
+                   : scheme == Scheme::ecdsaP256 ? EVP_PKEY_Q_keygen(nullptr, nullptr, "EC", "P-256")
+                   : scheme == Scheme::rsaPss
+                       ? EVP_PKEY_Q_keygen(nullptr, nullptr, "RSA", static_cast<std::size_t>(kRsaBits))
+                       : nullptr);
+    if (!key) throw std::runtime_error("cannot generate a key");
+    return SigningKey(std::move(key));
 }
 
 Result<SigningKey> SigningKey::fromPem(std::string_view pem, const std::string& passphrase) {
     std::unique_ptr<BIO, FreeBio> bytes(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())));
-    auto given = passphrase;
-    RawKey read(bytes ? PEM_read_bio_PrivateKey(bytes.get(), nullptr, passphraseGiven, &given) : nullptr);
+    auto passphraseCopy = passphrase;
+    OpenSslKey read(bytes ? PEM_read_bio_PrivateKey(bytes.get(), nullptr, copyPassphrase, &passphraseCopy)
+                          : nullptr);
     ERR_clear_error();
     if (!read || schemeOf(read.get()) == Scheme::unknown)
-        return Refusal{
-            Reason::badKeyId, {}, 0, "no private key of a known kind, or not with this passphrase"};
+        return Refusal{Reason::badKeyId, {}, 0, "not a private key of a supported type, or wrong passphrase"};
     return SigningKey(std::move(read));
 }
 
@@ -65,29 +66,30 @@
 
 std::string SigningKey::sign(std::string_view message) const {
     std::unique_ptr<EVP_MD_CTX, FreeContext> context(EVP_MD_CTX_new());
-    EVP_PKEY_CTX* how = nullptr;
+    EVP_PKEY_CTX* parameters = nullptr;
     const auto* hash = key_.scheme() == Scheme::ed25519 ? nullptr : EVP_sha256();
     const auto* bytes = reinterpret_cast<const unsigned char*>(message.data());
     std::size_t length = 0;
-    bool good = context && EVP_DigestSignInit(context.get(), &how, hash, nullptr, raw_.get()) == 1;
-    if (good && key_.scheme() == Scheme::rsaPss)
-        good = EVP_PKEY_CTX_set_rsa_padding(how, RSA_PKCS1_PSS_PADDING) == 1 &&
-               EVP_PKEY_CTX_set_rsa_pss_saltlen(how, RSA_PSS_SALTLEN_DIGEST) == 1;
-    good = good && EVP_DigestSign(context.get(), nullptr, &length, bytes, message.size()) == 1;
-    std::string made(length, '\0');
-    good = good && EVP_DigestSign(context.get(), reinterpret_cast<unsigned char*>(made.data()), &length,
-                                  bytes, message.size()) == 1;
-    if (!good) throw std::runtime_error("cannot sign");
-    made.resize(length);
-    return made;
+    bool succeeded =
+        context && EVP_DigestSignInit(context.get(), &parameters, hash, nullptr, raw_.get()) == 1;
+    if (succeeded && key_.scheme() == Scheme::rsaPss)
+        succeeded = EVP_PKEY_CTX_set_rsa_padding(parameters, RSA_PKCS1_PSS_PADDING) == 1 &&
+                    EVP_PKEY_CTX_set_rsa_pss_saltlen(parameters, RSA_PSS_SALTLEN_DIGEST) == 1;
+    succeeded = succeeded && EVP_DigestSign(context.get(), nullptr, &length, bytes, message.size()) == 1;
+    std::string signature(length, '\0');
+    succeeded = succeeded && EVP_DigestSign(context.get(), reinterpret_cast<unsigned char*>(signature.data()),
+                                            &length, bytes, message.size()) == 1;
+    if (!succeeded) throw std::runtime_error("cannot sign");
+    signature.resize(length);
+    return signature;
 }
 
 Result<Key> publicKeyFromPem(std::string_view pem) {
     std::unique_ptr<BIO, FreeBio> bytes(BIO_new_mem_buf(pem.data(), static_cast<int>(pem.size())));
-    RawKey read(bytes ? PEM_read_bio_PUBKEY(bytes.get(), nullptr, nullptr, nullptr) : nullptr);
+    OpenSslKey read(bytes ? PEM_read_bio_PUBKEY(bytes.get(), nullptr, nullptr, nullptr) : nullptr);
     ERR_clear_error();
     if (!read || schemeOf(read.get()) == Scheme::unknown)
-        return Refusal{Reason::badKeyId, {}, 0, "no public key of a known kind"};
+        return Refusal{Reason::badKeyId, {}, 0, "not a public key of a supported type"};
     return Key::of(read.get());
 }
 
--- a/src/metadata/trusted_set.cpp
+++ b/src/metadata/trusted_set.cpp
@@ -3,11 +3,11 @@
 namespace lichenlanding::metadata {
 namespace {
 
-std::string versions(std::int64_t came, const char* relation, std::int64_t other) {
-    return "version " + std::to_string(came) + ", " + relation + " " + std::to_string(other);
+std::string versionText(std::int64_t offered, const char* relation, std::int64_t other) {
+    return "version " + std::to_string(offered) + ", " + relation + " " + std::to_string(other);
 }
 
-Check with(Refusal refusal, const std::string& role, std::int64_t version) {
+Check withRole(Refusal refusal, const std::string& role, std::int64_t version) {
     refusal.role = role;
     refusal.version = version;
     return refusal;
@@ -24,8 +24,8 @@
     return TrustedSet(std::move(*root), now, sizes);
 }
 
-// 5.3.4 and 5.3.5: signed by the old and by the new threshold, and one version on. Whether it has expired is
-// looked at only of the last one (5.3.10), so that a chain may lead through old ones.
+// 5.3.4 and 5.3.5: must be signed with the thresholds of the old and the new root, and be the next version.
+// Expiry is checked for the last root alone (5.3.10), so a chain may contain expired ones.
 Check TrustedSet::root(std::string_view bytes) {
     if (timestamp_) return Refusal{Reason::wrongOrder, "root", 0, "a timestamp is trusted already"};
     auto envelope = Envelope::read(bytes, "root", "root", sizes_.root);
@@ -35,10 +35,10 @@
     if (auto refusal = envelope->verify(root_.keys, root_.roles.at("root"), "root")) return refusal;
     if (next->version < root_.version)
         return Refusal{Reason::rollback, "root", next->version,
-                       versions(next->version, "trusted", root_.version)};
+                       versionText(next->version, "trusted", root_.version)};
     if (next->version != root_.version + 1)
         return Refusal{Reason::wrongVersion, "root", next->version,
-                       versions(next->version, "wanted", root_.version + 1)};
+                       versionText(next->version, "expected", root_.version + 1)};
     if (auto refusal = envelope->verify(next->keys, next->roles.at("root"), "root")) return refusal;
     root_ = std::move(*next);
     return {};
@@ -61,11 +61,11 @@
     if (timestamp_) {
         if (next->version < timestamp_->version)
             return Refusal{Reason::rollback, "timestamp", next->version,
-                           versions(next->version, "trusted", timestamp_->version)};
+                           versionText(next->version, "trusted", timestamp_->version)};
         if (next->version == timestamp_->version) return checkTimestamp();
         if (next->snapshot.version < timestamp_->snapshot.version)
             return Refusal{Reason::rollback, "snapshot", next->snapshot.version,
-                           versions(next->snapshot.version, "trusted", timestamp_->snapshot.version)};
+                           versionText(next->snapshot.version, "trusted", timestamp_->snapshot.version)};
     }
     if (auto refusal = checkExpiry(next->expires, "timestamp", next->version)) return refusal;
     timestamp_ = std::move(*next);
@@ -73,9 +73,9 @@
 }
 
 Check TrustedSet::loadTimestamp(std::string_view bytes) {
-    auto kept = readTimestamp(bytes);
-    if (!kept) return kept.refusal();
-    timestamp_ = std::move(*kept);
+    auto stored = readTimestamp(bytes);
+    if (!stored) return stored.refusal();
+    timestamp_ = std::move(*stored);
     return checkTimestamp();
 }
 
@@ -88,61 +88,62 @@
     return Snapshot::read(*envelope);
 }
 
-// 5.5.2 to 5.5.6; the hash first, so that nothing unlisted is even read.
+// 5.5.2 to 5.5.6. The hash is checked first, so that a document that is not listed is never parsed.
 Check TrustedSet::snapshot(std::string_view bytes) {
     if (auto refusal = checkTimestamp()) return refusal;
     const auto& listing = timestamp_->snapshot;
     if (auto refusal = verifyBytes(bytes, listing.length, listing.hashes, "snapshot"))
-        return with(*refusal, "snapshot", listing.version);
+        return withRole(*refusal, "snapshot", listing.version);
     auto next = readSnapshot(bytes);
     if (!next) return next.refusal();
     if (next->version != listing.version)
         return Refusal{Reason::wrongVersion, "snapshot", next->version,
-                       versions(next->version, "listed", listing.version)};
+                       versionText(next->version, "listed", listing.version)};
     if (snapshot_)
-        for (const auto& [name, before] : snapshot_->files) {
+        for (const auto& [name, trustedFile] : snapshot_->files) {
             const auto found = next->files.find(name);
             if (found == next->files.end())
                 return Refusal{Reason::vanished, "snapshot", next->version, escaped(name, 80)};
-            if (found->second.version < before.version)
-                return Refusal{
-                    Reason::rollback, "snapshot", next->version,
-                    escaped(name, 80) + ": " + versions(found->second.version, "trusted", before.version)};
+            if (found->second.version < trustedFile.version)
+                return Refusal{Reason::rollback, "snapshot", next->version,
+                               escaped(name, 80) + ": " +
+                                   versionText(found->second.version, "trusted", trustedFile.version)};
         }
     if (auto refusal = checkExpiry(next->expires, "snapshot", next->version)) return refusal;
     snapshot_ = std::move(*next);
     return {};
 }
 
-// Its hash is not compared: the timestamp that listed it may be gone already.
+// The hash is not checked: the timestamp that listed it may have been replaced.
 Check TrustedSet::loadSnapshot(std::string_view bytes) {
-    auto kept = readSnapshot(bytes);
-    if (!kept) return kept.refusal();
-    snapshot_ = std::move(*kept);
+    auto stored = readSnapshot(bytes);
+    if (!stored) return stored.refusal();
+    snapshot_ = std::move(*stored);
     return checkSnapshot();
 }
 
 Check TrustedSet::delegated(std::string_view bytes, const std::string& role, const std::string& parent) {
     if (auto refusal = checkSnapshot()) return refusal;
     const auto* listing = listedFile(role);
-    if (!listing) return Refusal{Reason::notListed, role, 0, "by the snapshot"};
-    const bool top = role == "targets";
-    const auto from = targets_.find(parent);
-    if (!top && from == targets_.end())
+    if (!listing) return Refusal{Reason::notListed, role, 0, "not in the snapshot"};
+    const bool topLevel = role == "targets";
+    const auto parentTargets = targets_.find(parent);
+    if (!topLevel && parentTargets == targets_.end())
         return Refusal{Reason::wrongOrder, role, 0,
                        "its parent " + escaped(parent, 80) + " is not trusted yet"};
-    const auto* signers = top ? &root_.roles.at("targets") : from->second.signersOf(role);
-    if (!signers) return Refusal{Reason::notListed, role, 0, "by " + escaped(parent, 80)};
+    const auto* signers = topLevel ? &root_.roles.at("targets") : parentTargets->second.signersOf(role);
+    if (!signers) return Refusal{Reason::notListed, role, 0, "not delegated to by " + escaped(parent, 80)};
     if (auto refusal = verifyBytes(bytes, listing->length, listing->hashes, role))
-        return with(*refusal, role, listing->version);
+        return withRole(*refusal, role, listing->version);
     auto envelope = Envelope::read(bytes, role, "targets", sizes_.targets);
     if (!envelope) return envelope.refusal();
-    if (auto refusal = envelope->verify(top ? root_.keys : from->second.keys, *signers, role)) return refusal;
+    if (auto refusal = envelope->verify(topLevel ? root_.keys : parentTargets->second.keys, *signers, role))
+        return refusal;
     auto next = Targets::read(*envelope, role);
     if (!next) return next.refusal();
     if (next->version != listing->version)
         return Refusal{Reason::wrongVersion, role, next->version,
-                       versions(next->version, "listed", listing->version)};
+                       versionText(next->version, "listed", listing->version)};
     if (auto refusal = checkExpiry(next->expires, role, next->version)) return refusal;
     targets_.insert_or_assign(role, std::move(*next));
     trustedBy_.emplace(role, parent);
@@ -167,7 +168,7 @@
     if (!snapshot_) return Refusal{Reason::wrongOrder, "snapshot", 0, "none is trusted yet"};
     if (snapshot_->version != timestamp_->snapshot.version)
         return Refusal{Reason::wrongVersion, "snapshot", snapshot_->version,
-                       versions(snapshot_->version, "listed", timestamp_->snapshot.version)};
+                       versionText(snapshot_->version, "listed", timestamp_->snapshot.version)};
     return checkExpiry(snapshot_->expires, "snapshot", snapshot_->version);
 }
 
@@ -190,7 +191,7 @@
     auto earliest = root_.expires;
     if (timestamp_) earliest = std::min(earliest, timestamp_->expires);
     if (snapshot_) earliest = std::min(earliest, snapshot_->expires);
-    for (const auto& [role, one] : targets_) earliest = std::min(earliest, one.expires);
+    for (const auto& [role, document] : targets_) earliest = std::min(earliest, document.expires);
     return earliest;
 }
 
