--- a/tests/fuzz/seeded.hpp
+++ b/tests/fuzz/seeded.hpp
@@ -1,5 +1,5 @@
-// Without libFuzzer: mutations of real inputs by a fixed seed, through the same function, in CI. The first
-// byte of an input chooses the reader and stays.
+// Runs a fuzz target without libFuzzer, e.g. in CI, on mutations of given inputs with a fixed seed. The first
+// byte of an input selects the parser and is not mutated.
 #pragma once
 
 #include <cstdint>
@@ -12,27 +12,27 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size);
 
-inline int runSeededMutations(const std::vector<std::string>& seeds, std::span<const std::string_view> words,
-                              int rounds) {
-    std::mt19937 chance(17);
+inline int runSeededMutations(const std::vector<std::string>& seeds,
+                              std::span<const std::string_view> dictionary, int rounds) {
+    std::mt19937 random(17);
     for (int round = 0; round < rounds; ++round) {
-        auto input = seeds[chance() % seeds.size()];
-        for (auto times = 1 + chance() % 6; times > 0; --times) {
-            const auto at = 1 + chance() % input.size();
-            switch (chance() % 4) {
+        auto input = seeds[random() % seeds.size()];
+        for (auto mutations = 1 + random() % 6; mutations > 0; --mutations) {
+            const auto position = 1 + random() % input.size();
+            switch (random() % 4) {
                 case 0:
-                    if (at < input.size()) input[at] = static_cast<char>(chance());
+                    if (position < input.size()) input[position] = static_cast<char>(random());
                     break;
                 case 1:
-                    input.insert(std::min(at, input.size()), words[chance() % words.size()]);
+                    input.insert(std::min(position, input.size()), dictionary[random() % dictionary.size()]);
                     break;
                 case 2:
-                    if (at < input.size()) input.erase(at, 1 + chance() % 12);
+                    if (position < input.size()) input.erase(position, 1 + random() % 12);
                     break;
                 default: {
-                    const auto from = 1 + chance() % input.size();
-                    const auto piece = input.substr(std::min(from, input.size()), chance() % 40);
-                    input.insert(std::min(at, input.size()), piece);
+                    const auto from = 1 + random() % input.size();
+                    const auto fragment = input.substr(std::min(from, input.size()), random() % 40);
+                    input.insert(std::min(position, input.size()), fragment);
                 }
             }
         }
--- a/tests/metadata/rhythm.cpp
+++ b/tests/metadata/rhythm.cpp
@@ -1,4 +1,4 @@
-// Whom to ask, when, and how often: the decisions of a client of mirrors, without one.
+// Refresh schedule, mirror selection and retry budget without network access, and the metadata settings file.
 #include <filesystem>
 
 #include "metadata/mirror_selection.hpp"
@@ -7,36 +7,37 @@
 
 using namespace metadata;
 
-TEST_CASE("a refresh is due ahead of expiry, spread, and backs off after failures without ever giving up") {
+TEST_CASE("refreshes are due before expiry, have jitter, and back off after failures without giving up") {
     constexpr Nanos second = 1000 * kMs;
-    std::map<Nanos, int> first;
+    std::map<Nanos, int> regularDelays;
     for (std::uint32_t seed = 1; seed <= 300; ++seed) {
-        RefreshSchedule rhythm({60 * second, second, 60 * second}, seed);
-        const auto usual = rhythm.afterSuccess(86'400 * second);
-        CHECK(usual >= 54 * second);
-        CHECK(usual <= 66 * second);
-        ++first[usual / second];
-        for (const Nanos lasts : {Nanos{3}, Nanos{20}, Nanos{90}}) {
-            const auto ahead = rhythm.afterSuccess(lasts * second);
-            CHECK(ahead >= second);
-            CHECK(ahead <= std::max(lasts * second / 2, second));
+        RefreshSchedule schedule({60 * second, second, 60 * second}, seed);
+        const auto regular = schedule.afterSuccess(86'400 * second);
+        CHECK(regular >= 54 * second);
+        CHECK(regular <= 66 * second);
+        ++regularDelays[regular / second];
+        for (const Nanos validFor : {Nanos{3}, Nanos{20}, Nanos{90}}) {
+            const auto delay = schedule.afterSuccess(validFor * second);
+            CHECK(delay >= second);
+            CHECK(delay <= std::max(validFor * second / 2, second));
         }
-        Nanos most = second;
-        for (int failure = 0; failure < 12; ++failure, most = std::min(2 * most, 60 * second)) {
-            const auto wait = rhythm.afterFailure(86'400 * second);
-            CHECK(wait >= most / 2);
-            CHECK(wait <= most);
+        Nanos backoff = second;
+        for (int failure = 0; failure < 12; ++failure, backoff = std::min(2 * backoff, 60 * second)) {
+            const auto delay = schedule.afterFailure(86'400 * second);
+            CHECK(delay >= backoff / 2);
+            CHECK(delay <= backoff);
         }
-        CHECK(rhythm.failures() == 12);
-        CHECK(rhythm.afterFailure(4 * second) <= 2 * second);  // before it has run out, sooner
-        CHECK(rhythm.afterFailure(0) >= 30 * second);          // once it has, in peace
-        rhythm.afterSuccess(86'400 * second);
-        CHECK(rhythm.afterFailure(86'400 * second) <= second);
+        CHECK(schedule.failures() == 12);
+        CHECK(schedule.afterFailure(4 * second) <= 2 * second);  // sooner before expiry
+        CHECK(schedule.afterFailure(0) >= 30 * second);          // the regular backoff after expiry
+        schedule.afterSuccess(86'400 * second);
+        CHECK(schedule.afterFailure(86'400 * second) <= second);
     }
-    CHECK(first.size() > 8);  // sidecars do not come all at once
+    CHECK(regularDelays.size() > 8);  // sidecars do not refresh all at the same time
 }
 
-TEST_CASE("mirrors: one as long as it answers, each once a document, none that drains, resting ones last") {
+TEST_CASE(
+    "the mirror in use is kept while it responds; each is tried once per document, none while draining") {
     std::stringstream trace;
     Mirrors mirrors({"a", "b", "c"}, 5);
     std::vector<bool> tried(3);
@@ -45,30 +46,30 @@
         trace << now / kMs << " " << what << ": " << (chosen ? mirrors.name(*chosen) : "none") << '\n';
         return chosen;
     };
-    const auto one = choose("first", 0);
-    mirrors.recordSuccess(*one);
+    const auto first = choose("first", 0);
+    mirrors.recordSuccess(*first);
     choose("it has answered", 10 * kMs);
-    tried[*one] = true;
-    const auto two = choose("it is tried", 20 * kMs);
-    mirrors.recordFailure(*two, 20 * kMs);
-    tried[*two] = true;
-    const auto three = choose("the second fails", 30 * kMs);
-    mirrors.setDraining(*three, true);
+    tried[*first] = true;
+    const auto second = choose("it is tried", 20 * kMs);
+    mirrors.recordFailure(*second, 20 * kMs);
+    tried[*second] = true;
+    const auto third = choose("the second fails", 30 * kMs);
+    mirrors.setDraining(*third, true);
     choose("the third drains", 40 * kMs);
     tried.assign(3, false);
-    mirrors.recordFailure(*one, 50 * kMs);
-    mirrors.recordFailure(*one, 60 * kMs);
+    mirrors.recordFailure(*first, 50 * kMs);
+    mirrors.recordFailure(*first, 60 * kMs);
     choose("all rest or drain, a first try", 70 * kMs);
-    tried[*two] = true;
+    tried[*second] = true;
     choose("all rest or drain, a second try", 80 * kMs);
     tried.assign(3, false);
-    mirrors.backOffUntil(*two, 600'000 * kMs);
+    mirrors.backOffUntil(*second, 600'000 * kMs);
     choose("one asks for ten minutes", 300'000 * kMs);
-    mirrors.setDraining(*one, true);
+    mirrors.setDraining(*first, true);
     choose("and the other drains", 300'010 * kMs);
-    mirrors.setDraining(*two, true);
+    mirrors.setDraining(*second, true);
     choose("all drain", 300'020 * kMs);
-    mirrors.setDraining(*three, false);
+    mirrors.setDraining(*third, false);
     choose("the third is back", 300'030 * kMs);
     RetryBudget budget(1);
     int taken = 0;
@@ -76,13 +77,13 @@
     trace << "asked again at most " << taken << " times with one mirror\n";
     matchesTrace("mirrors", trace.str());
     // Sidecars spread over the mirrors.
-    int firsts[3] = {};
+    int firstChoices[3] = {};
     for (std::uint32_t seed = 0; seed < 300; ++seed)
-        ++firsts[*Mirrors({"a", "b", "c"}, seed).choose(0, {false, false, false})];
-    for (const int count : firsts) CHECK(count > 60);
+        ++firstChoices[*Mirrors({"a", "b", "c"}, seed).choose(0, {false, false, false})];
+    for (const int count : firstChoices) CHECK(count > 60);
 }
 
-TEST_CASE("a file on metadata that is wrong is refused by the field") {
+TEST_CASE("an invalid metadata settings file is refused with the name of the field") {
     const auto path =
         (std::filesystem::temp_directory_path() / ("lichenlanding-file-" + std::to_string(getpid())))
             .string();
@@ -94,37 +95,38 @@
             trace << "accepted: " << read.metadata.size() << " mirrors, every " << read.rhythm.regular / kMs
                   << " ms, draining " << read.metadata.back().draining << ", documents to "
                   << read.sizes.targets << '\n';
-        } catch (const std::invalid_argument& wrong) {
-            std::string said = wrong.what();
-            trace << (said.compare(0, path.size(), path) == 0 ? "FILE" + said.substr(path.size()) : said)
+        } catch (const std::invalid_argument& error) {
+            std::string message = error.what();
+            trace << (message.compare(0, path.size(), path) == 0 ? "FILE" + message.substr(path.size())
+                                                                 : message)
                   << '\n';
         }
     };
-    const std::string some = R"("root": "r", "builds": "{build}", "metadata": ["http://127.0.0.1:1/m")";
-    const std::string most = some + "]";
-    play("{" + most + "}");
+    const std::string unclosed = R"("root": "r", "builds": "{build}", "metadata": ["http://127.0.0.1:1/m")";
+    const std::string complete = unclosed + "]";
+    play("{" + complete + "}");
     play(
-        "{" + some +
+        "{" + unclosed +
         R"(, {"url": "http://localhost:2", "draining": true}], /* often */ "refreshMs": 500, "documentMegabytes": 2})");
     play("");
     play("[]");
-    play("{" + most + ",}");
+    play("{" + complete + ",}");
     play("{\"root\": 5, \"builds\": \"{build}\"}");
     play("{\"root\": \"r\", \"builds\": \"{build}\", \"metadata\": []}");
     play("{\"root\": \"r\", \"builds\": \"{build}\", \"metadata\": [\"https://127.0.0.1:1/\"]}");
-    play("{" + some + ", \"http://mirror.example:80/\"]}");
-    play("{" + some + ", {\"url\": \"http://127.0.0.1:1\", \"drains\": true}]}");
-    play("{" + some + ", {\"url\": \"http://127.0.0.1:1\", \"draining\": 1}]}");
+    play("{" + unclosed + ", \"http://mirror.example:80/\"]}");
+    play("{" + unclosed + ", {\"url\": \"http://127.0.0.1:1\", \"drains\": true}]}");
+    play("{" + unclosed + ", {\"url\": \"http://127.0.0.1:1\", \"draining\": 1}]}");
     play("{\"root\": \"r\", \"builds\": \"builds\", \"metadata\": [\"http://127.0.0.1:1\"]}");
-    play("{" + most + ", \"refreshMs\": 0}");
-    play("{" + most + ", \"refreshMs\": 1e9}");
-    play("{" + most + ", \"answerMs\": \"soon\"}");
-    play("{" + most + ", \"documentMegabytes\": 65}");
-    play("{" + most + ", \"thread\": 0}");
-    play("{" + most + ", \"refreshMS\": 500}");
-    play("{" + most + ", \"serve\": {\"listen\": \"127.0.0.1\"}}");
-    play("{" + most + ", \"serve\": {\"listen\": \"127.0.0.1:5\", \"connections\": 0}}");
-    play("{" + most + ", \"director\": {\"root\": \"d\"}}");
+    play("{" + complete + ", \"refreshMs\": 0}");
+    play("{" + complete + ", \"refreshMs\": 1e9}");
+    play("{" + complete + ", \"answerMs\": \"soon\"}");
+    play("{" + complete + ", \"documentMegabytes\": 65}");
+    play("{" + complete + ", \"thread\": 0}");
+    play("{" + complete + ", \"refreshMS\": 500}");
+    play("{" + complete + ", \"serve\": {\"listen\": \"127.0.0.1\"}}");
+    play("{" + complete + ", \"serve\": {\"listen\": \"127.0.0.1:5\", \"connections\": 0}}");
+    play("{" + complete + ", \"director\": {\"root\": \"d\"}}");
     std::filesystem::remove(path);
     play("never read");
     std::filesystem::remove(path);
--- a/tests/metadata/uptane.cpp
+++ b/tests/metadata/uptane.cpp
@@ -12,7 +12,7 @@
     return {{"ecuIdentifier", unit}, {"hardwareId", hardware}, {"releaseCounter", counter}};
 }
 
-// A director and an image repository, and a primary that asks both.
+// A director and an image repository, and the primary's clients of both.
 struct Fleet {
     Repository director, images;
     Client directorClient{director.firstRoot()}, imageClient{images.firstRoot()};
@@ -38,66 +38,71 @@
     }
 };
 
-std::string word(const Check& refusal) { return refusal ? refusal->text() : "accepted"; }
+std::string resultText(const Check& refusal) { return refusal ? refusal->text() : "accepted"; }
 
 }  // namespace
 
-TEST_CASE("director and image repository must agree, and a unit takes only what is for it") {
+TEST_CASE("director and image repository must agree, and a unit accepts only its own directives") {
     std::stringstream trace;
     Fleet fleet;
     fleet.offer("releases/42", "image 42", "pods-a", 42);
-    auto named = fleet.directives();
-    REQUIRE(named);
-    const auto directive = named->at("pods-a");
+    auto directives = fleet.directives();
+    REQUIRE(directives);
+    const auto directive = directives->at("pods-a");
     trace << "agreed: "
-          << word(uptane::verifyAgreement(directive, fleet.found({"releases/42"}).at("releases/42"))) << '\n';
-    const auto differs = [&](const char* what, const std::function<void(Repository&)>& change) {
-        Fleet other = fleet;
-        change(other.images);
-        other.images.publish();
+          << resultText(uptane::verifyAgreement(directive, fleet.found({"releases/42"}).at("releases/42")))
+          << '\n';
+    const auto changeImages = [&](const char* what, const std::function<void(Repository&)>& change) {
+        Fleet changedFleet = fleet;
+        change(changedFleet.images);
+        changedFleet.images.publish();
         trace << what << ": "
-              << word(uptane::verifyAgreement(directive, other.found({"releases/42"}).at("releases/42")))
+              << resultText(uptane::verifyAgreement(directive,
+                                                    changedFleet.found({"releases/42"}).at("releases/42")))
               << '\n';
     };
-    differs("another image", [](auto& images) {
+    changeImages("another image", [](auto& images) {
         images.target("targets", "releases/42", "image 4x", {{"hardwareId", "m2"}});
     });
-    differs("a longer one",
-            [](auto& images) { images.target("targets", "releases/42", "image 42 and more"); });
-    differs("other hardware", [](auto& images) {
+    changeImages("a longer one",
+                 [](auto& images) { images.target("targets", "releases/42", "image 42 and more"); });
+    changeImages("other hardware", [](auto& images) {
         images.target("targets", "releases/42", "image 42", {{"hardwareId", "m3"}});
     });
-    differs("another counter", [](auto& images) {
+    changeImages("another counter", [](auto& images) {
         images.target("targets", "releases/42", "image 42", {{"releaseCounter", 7}});
     });
-    differs("no such image", [](auto& images) {
+    changeImages("no such image", [](auto& images) {
         removeTarget(images.role("targets"), "releases/42");
         images.markChanged("targets");
     });
-    trace << "for another unit: " << word(uptane::checkInstallable(directive, {"pods-b", "m2", 1})) << '\n';
-    trace << "for other hardware: " << word(uptane::checkInstallable(directive, {"pods-a", "m9", 1})) << '\n';
-    trace << "older than installed: " << word(uptane::checkInstallable(directive, {"pods-a", "m2", 43}))
+    trace << "for another unit: " << resultText(uptane::checkInstallable(directive, {"pods-b", "m2", 1}))
+          << '\n';
+    trace << "for other hardware: " << resultText(uptane::checkInstallable(directive, {"pods-a", "m9", 1}))
+          << '\n';
+    trace << "older than installed: " << resultText(uptane::checkInstallable(directive, {"pods-a", "m2", 43}))
           << '\n';
-    trace << "the same again: " << word(uptane::checkInstallable(directive, {"pods-a", "m2", 42})) << '\n';
-    const auto spoilt = [&](const char* what, const std::function<void(Repository&)>& change) {
-        Fleet other = fleet;
-        change(other.director);
-        const auto all = other.directives();
+    trace << "the same again: " << resultText(uptane::checkInstallable(directive, {"pods-a", "m2", 42}))
+          << '\n';
+    const auto changeDirector = [&](const char* what, const std::function<void(Repository&)>& change) {
+        Fleet changedFleet = fleet;
+        change(changedFleet.director);
+        const auto all = changedFleet.directives();
         trace << what << ": " << (all ? "accepted" : all.refusal().text()) << '\n';
     };
-    spoilt("two directives for a unit", [](auto& director) {
+    changeDirector("two directives for a unit", [](auto& director) {
         director.target("targets", "releases/43", "x", customOf("pods-a", "m2", 43));
     });
-    spoilt("no unit", [](auto& director) { director.target("targets", "releases/43", "x"); });
-    spoilt("a counter below zero", [](auto& director) {
+    changeDirector("no unit", [](auto& director) { director.target("targets", "releases/43", "x"); });
+    changeDirector("a counter below zero", [](auto& director) {
         director.target("targets", "releases/43", "x", customOf("pods-b", "m2", -1));
     });
-    spoilt("a director that delegates",
-           [](auto& director) { director.delegateTo("targets", "other", {"*"}); });
+    changeDirector("a director that delegates",
+                   [](auto& director) { director.delegateTo("targets", "other", {"*"}); });
     matchesTrace("uptane", trace.str());
 }
 
-TEST_CASE("a secondary verifies the director's targets alone, and never takes an older image") {
+TEST_CASE("a secondary verifies the director's targets and never accepts an older image") {
     std::stringstream trace;
     Fleet fleet;
     fleet.offer("releases/42", "image 42", "pods-a", 42);
@@ -106,33 +111,34 @@
     Keys keys;
     keys.emplace(key.id(), key);
     uptane::Secondary unit({"pods-a", "m2", 41}, keys, {{key.id()}, 1});
-    const auto take = [&](const char* what, const std::string& bytes, UnixSeconds now = kStart) {
-        const auto taken = unit.targets(bytes, now);
-        trace << what << ": " << (taken ? "takes " + taken->path : taken.refusal().text()) << '\n';
+    const auto accept = [&](const char* what, const std::string& bytes, UnixSeconds now = kStart) {
+        const auto directive = unit.targets(bytes, now);
+        trace << what << ": " << (directive ? "takes " + directive->path : directive.refusal().text())
+              << '\n';
     };
-    trace << "before any: " << word(unit.install("image 42")) << '\n';
+    trace << "before any: " << resultText(unit.install("image 42")) << '\n';
     const auto second = fleet.director.files.at("2.targets.json");
-    take("its directive", second);
-    trace << "another image: " << word(unit.install("image 4x")) << '\n';
-    trace << "a longer one: " << word(unit.install("image 42 ")) << '\n';
-    trace << "the image: " << word(unit.install("image 42")) << ", runs counter "
+    accept("its directive", second);
+    trace << "another image: " << resultText(unit.install("image 4x")) << '\n';
+    trace << "a longer one: " << resultText(unit.install("image 42 ")) << '\n';
+    trace << "the image: " << resultText(unit.install("image 42")) << ", runs counter "
           << unit.installed().releaseCounter << '\n';
-    take("older targets", fleet.director.files.at("1.targets.json"));
-    take("expired targets", second, kStart + 90 * kDay);
+    accept("older targets", fleet.director.files.at("1.targets.json"));
+    accept("expired targets", second, kStart + 90 * kDay);
     auto forged = fleet.director.role("targets");
     bumpVersion(forged, kStart + 900 * kDay);
     sign(forged, SigningKey::generate(Scheme::ed25519));
-    take("targets signed by a stranger", textOf(forged));
+    accept("targets signed by a stranger", textOf(forged));
     fleet.director.target("targets", "releases/42", "image 40", customOf("pods-a", "m2", 40));
     fleet.director.publish();
-    take("a directive to go back", fleet.director.files.at("3.targets.json"));
+    accept("a directive to go back", fleet.director.files.at("3.targets.json"));
     fleet.director.target("targets", "releases/42", "image 44", customOf("pods-b", "m2", 44));
     fleet.director.publish();
-    take("a directive for another", fleet.director.files.at("4.targets.json"));
+    accept("a directive for another", fleet.director.files.at("4.targets.json"));
     matchesTrace("uptane-secondary", trace.str());
 }
 
-TEST_CASE("a manifest tells what runs, each unit under its own key") {
+TEST_CASE("a manifest holds the reports of all units, each signed with the unit's key") {
     std::stringstream trace;
     const auto primary = SigningKey::generate(Scheme::ed25519);
     const auto a = SigningKey::generate(Scheme::ecdsaP256);
@@ -160,57 +166,57 @@
     play(
         "an unknown unit",
         uptane::manifest("register", "n0", {uptane::report({"pods-c", "x", 1, {}, kStart, ""}, a)}, primary));
-    auto spoilt = whole;
-    spoilt["signed"]["ecuVersionReports"][0]["signed"]["installedImage"]["releaseCounter"] = 99;
-    play("changed on the way", spoilt);
+    auto tampered = whole;
+    tampered["signed"]["ecuVersionReports"][0]["signed"]["installedImage"]["releaseCounter"] = 99;
+    play("changed on the way", tampered);
     matchesTrace("uptane-manifest", trace.str());
 }
 
-TEST_CASE("what is told of builds: listed, listed no more, withdrawn, run out") {
+TEST_CASE("attestations of builds: listed, no longer listed, withdrawn, expired") {
     std::stringstream trace;
-    static const char* words[] = {"none", "valid", "withdrawn"};
+    static const char* names[] = {"none", "valid", "withdrawn"};
     Repository repository;
     Client client(repository.firstRoot());
     AttestedBuilds builds("releases/{build}");
     for (int build : {41, 42, 43}) builds.track(build);
     CHECK(!builds.track(42));
-    const auto look = [&](const char* what) {
+    const auto updateBuilds = [&](const char* what) {
         repository.publish();
         client.update(repository.files, kStart + 60, builds.paths());
         trace << what << ":";
-        for (const auto& [build, word] : builds.update(client.found, kStart + kDay))
-            trace << ' ' << build << ' ' << words[static_cast<int>(word)];
+        for (const auto& [build, attestation] : builds.update(client.found, kStart + kDay))
+            trace << ' ' << build << ' ' << names[static_cast<int>(attestation)];
         trace << '\n';
     };
     repository.target("targets", "releases/41", "41");
     repository.target("targets", "releases/42", "42");
-    look("two listed");
-    look("no change");
+    updateBuilds("two listed");
+    updateBuilds("no change");
     repository.target("targets", "releases/42", "42", {{"withdrawn", true}});
-    look("one marked");
+    updateBuilds("one marked");
     removeTarget(repository.role("targets"), "releases/41");
     repository.markChanged("targets");
-    look("one gone");
+    updateBuilds("one gone");
     repository.target("targets", "releases/42", "42");
     repository.target("targets", "releases/43", "43");
-    look("back, and another");
-    const auto kept = builds.serialize();
-    trace << "kept: " << kept << '\n';
+    updateBuilds("back, and another");
+    const auto serialized = builds.serialize();
+    trace << "kept: " << serialized << '\n';
     AttestedBuilds restarted("releases/{build}");
-    restarted.restore(kept);
+    restarted.restore(serialized);
     restarted.restore("no JSON");
     trace << "after a restart:";
-    for (const auto& [build, word] : restarted.update(client.found, kStart + kDay))
-        trace << ' ' << build << ' ' << words[static_cast<int>(word)];
+    for (const auto& [build, attestation] : restarted.update(client.found, kStart + kDay))
+        trace << ' ' << build << ' ' << names[static_cast<int>(attestation)];
     trace << "\nrun out a second early:";
-    for (const auto& [build, word] : builds.expire(kStart + kDay - 1))
-        trace << ' ' << build << ' ' << words[static_cast<int>(word)];
+    for (const auto& [build, attestation] : builds.expire(kStart + kDay - 1))
+        trace << ' ' << build << ' ' << names[static_cast<int>(attestation)];
     trace << "\nrun out:";
-    for (const auto& [build, word] : builds.expire(kStart + kDay))
-        trace << ' ' << build << ' ' << words[static_cast<int>(word)];
+    for (const auto& [build, attestation] : builds.expire(kStart + kDay))
+        trace << ' ' << build << ' ' << names[static_cast<int>(attestation)];
     trace << "\nrun out, again:";
-    for (const auto& [build, word] : builds.expire(kStart + kDay))
-        trace << ' ' << build << ' ' << words[static_cast<int>(word)];
+    for (const auto& [build, attestation] : builds.expire(kStart + kDay))
+        trace << ' ' << build << ' ' << names[static_cast<int>(attestation)];
     trace << '\n';
     for (int build = 100; build < 140; ++build) builds.track(build);
     trace << "looks after " << builds.paths().front() << " to " << builds.paths().back() << ", "
--- a/tests/metadata/workflow.cpp
+++ b/tests/metadata/workflow.cpp
@@ -1,5 +1,5 @@
-// The client's workflow against repositories that are old, spoilt, mixed or hostile. Each case prints one
-// line, and what was trusted before must still be in force after a refusal.
+// The client workflow against outdated, corrupted, mixed or hostile repositories. Each case writes one line
+// to a trace; a refused update must leave the stored metadata unchanged.
 #include "support/metadata_repository.hpp"
 #include "support/trace.hpp"
 
@@ -7,31 +7,32 @@
 
 namespace {
 
-class Tape {
+class CaseTrace {
   public:
-    void note(const std::string& what, const std::string& said) {
-        tape_ << what << ": " << maskVolatile(said) << '\n';
+    void note(const std::string& what, const std::string& result) {
+        trace_ << what << ": " << maskVolatile(result) << '\n';
     }
-    // A refusal changes nothing of what is kept.
-    void refuses(const std::string& what, Client& client, const std::map<std::string, std::string>& files,
-                 UnixSeconds now = kStart + 60, const std::vector<std::string>& paths = {}) {
+    // Checks that the update is refused and leaves the stored metadata unchanged.
+    void checkRefused(const std::string& what, Client& client,
+                      const std::map<std::string, std::string>& files, UnixSeconds now = kStart + 60,
+                      const std::vector<std::string>& paths = {}) {
         const auto before = client.stored.files;
-        const auto said = client.update(files, now, paths);
-        note(what, said);
-        CHECK(said.find("done") == std::string::npos);
+        const auto result = client.update(files, now, paths);
+        note(what, result);
+        CHECK(result.find("done") == std::string::npos);
         CHECK(client.stored.files == before);
     }
-    void matches(const std::string& name) { matchesTrace(name, tape_.str()); }
+    void matches(const std::string& name) { matchesTrace(name, trace_.str()); }
 
   private:
-    std::stringstream tape_;
+    std::stringstream trace_;
 };
 
-Json parsed(const std::string& text) { return *parseJson(text, text.size()); }
+Json parse(const std::string& text) { return *parseJson(text, text.size()); }
 
-// A document with a change, signed again by the role's own key: what only a key's holder could make.
-std::string resigned(const Repository& repository, const std::string& role, Json envelope,
-                     const std::function<void(Json&)>& change) {
+// Changes a document and signs it with the role's key, as only the holder of the key can.
+std::string changeAndSign(const Repository& repository, const std::string& role, Json envelope,
+                          const std::function<void(Json&)>& change) {
     change(envelope["signed"]);
     envelope["signatures"] = Json::array();
     sign(envelope, repository.keys.at(role));
@@ -40,89 +41,89 @@
 
 }  // namespace
 
-TEST_CASE("older, expired, mixed and replayed sets are refused and change nothing") {
-    Tape tape;
+TEST_CASE("outdated, expired, mixed and replayed metadata is refused and changes nothing") {
+    CaseTrace cases;
     Repository repository;
     repository.target("targets", "releases/1", "one");
     repository.publish();
     const auto old = repository.files;
     Client client(repository.firstRoot());
-    tape.note("first", client.update(old));
+    cases.note("first", client.update(old));
     repository.target("targets", "releases/2", "two");
     repository.publish();
     const auto now = repository.files;
-    tape.note("second", client.update(now));
-    tape.note("again", client.update(now));
+    cases.note("second", client.update(now));
+    cases.note("again", client.update(now));
 
     auto files = now;
     files["timestamp.json"] = old.at("timestamp.json");
-    tape.refuses("an older timestamp", client, files);
+    cases.checkRefused("an older timestamp", client, files);
     {
-        Repository spoilt = repository;
-        bumpVersion(spoilt.timestamp, kStart + kDay);
-        addListing(spoilt.timestamp, "snapshot.json", listingOf(2, old.at("2.snapshot.json"), true));
-        sign(spoilt.timestamp, spoilt.keys.at("timestamp"));
-        files = spoilt.files;
-        files["timestamp.json"] = textOf(spoilt.timestamp);
-        tape.refuses("a new timestamp of an older snapshot", client, files);
+        Repository tampered = repository;
+        bumpVersion(tampered.timestamp, kStart + kDay);
+        addListing(tampered.timestamp, "snapshot.json", listingOf(2, old.at("2.snapshot.json"), true));
+        sign(tampered.timestamp, tampered.keys.at("timestamp"));
+        files = tampered.files;
+        files["timestamp.json"] = textOf(tampered.timestamp);
+        cases.checkRefused("a new timestamp of an older snapshot", client, files);
     }
     {
-        Repository spoilt = repository;
-        addListing(spoilt.snapshot, "targets.json", listingOf(2, "", false));
-        bumpVersion(spoilt.snapshot, kStart + 7 * kDay);
-        bumpVersion(spoilt.timestamp, kStart + kDay);
-        sign(spoilt.snapshot, spoilt.keys.at("snapshot"));
-        spoilt.writeFile("snapshot", versionOf(spoilt.snapshot), textOf(spoilt.snapshot));
-        spoilt.publishTimestamp();
-        auto kNewSuffix = client;  // the timestamp is taken before the snapshot is seen, as it should be
-        tape.note("a new snapshot of older targets", kNewSuffix.update(spoilt.files));
-        CHECK(kNewSuffix.stored.files.at("targets.json") == client.stored.files.at("targets.json"));
-        CHECK(kNewSuffix.stored.files.at("snapshot.json") == client.stored.files.at("snapshot.json"));
+        Repository tampered = repository;
+        addListing(tampered.snapshot, "targets.json", listingOf(2, "", false));
+        bumpVersion(tampered.snapshot, kStart + 7 * kDay);
+        bumpVersion(tampered.timestamp, kStart + kDay);
+        sign(tampered.snapshot, tampered.keys.at("snapshot"));
+        tampered.writeFile("snapshot", versionOf(tampered.snapshot), textOf(tampered.snapshot));
+        tampered.publishTimestamp();
+        auto fresh = client;  // the new timestamp is stored although the snapshot is refused, as specified
+        cases.note("a new snapshot of older targets", fresh.update(tampered.files));
+        CHECK(fresh.stored.files.at("targets.json") == client.stored.files.at("targets.json"));
+        CHECK(fresh.stored.files.at("snapshot.json") == client.stored.files.at("snapshot.json"));
     }
     {
-        Repository spoilt = repository;
-        spoilt.target("targets", "releases/3", "three");
-        spoilt.publish();
-        files = spoilt.files;
+        Repository tampered = repository;
+        tampered.target("targets", "releases/3", "three");
+        tampered.publish();
+        files = tampered.files;
         files["4.targets.json"] = now.at("3.targets.json");
-        auto kNewSuffix = client;
-        tape.note("old targets under a new name", kNewSuffix.update(files));
-        files = spoilt.files;
+        auto fresh = client;
+        cases.note("old targets under a new name", fresh.update(files));
+        files = tampered.files;
         files["4.snapshot.json"] = now.at("3.snapshot.json");
-        kNewSuffix = client;
-        tape.note("mixed: a new timestamp, the old snapshot", kNewSuffix.update(files));
+        fresh = client;
+        cases.note("mixed: a new timestamp, the old snapshot", fresh.update(files));
         files.erase("4.snapshot.json");
-        kNewSuffix = client;
-        tape.note("a snapshot that no one has", kNewSuffix.update(files));
+        fresh = client;
+        cases.note("a snapshot that no one has", fresh.update(files));
     }
     files = now;
     files["2.root.json"] = now.at("1.root.json");
-    tape.refuses("the old root replayed as the next", client, files);
-    tape.refuses("at the timestamp's end", client, now, kStart + kDay);
+    cases.checkRefused("the old root replayed as the next", client, files);
+    cases.checkRefused("at the timestamp's end", client, now, kStart + kDay);
     {
         Repository late = repository;
-        late.timestampUntil = kStart + 30 * kDay;
+        late.timestampExpires = kStart + 30 * kDay;
         late.publish();
-        auto kNewSuffix = client;
-        tape.note("at the snapshot's end", kNewSuffix.update(late.files, kStart + 7 * kDay));
-        late.snapshotUntil = kStart + 200 * kDay;
-        late.timestampUntil = kStart + 200 * kDay;
+        auto fresh = client;
+        cases.note("at the snapshot's end", fresh.update(late.files, kStart + 7 * kDay));
+        late.snapshotExpires = kStart + 200 * kDay;
+        late.timestampExpires = kStart + 200 * kDay;
         late.publish();
-        kNewSuffix = client;
-        tape.note("at the targets' end", kNewSuffix.update(late.files, kStart + 90 * kDay));
-        CHECK(kNewSuffix.stored.files.at("targets.json") == client.stored.files.at("targets.json"));
+        fresh = client;
+        cases.note("at the targets' end", fresh.update(late.files, kStart + 90 * kDay));
+        CHECK(fresh.stored.files.at("targets.json") == client.stored.files.at("targets.json"));
     }
-    tape.refuses("at the root's end", client, now, kStart + 365 * kDay);
+    cases.checkRefused("at the root's end", client, now, kStart + 365 * kDay);
     {
-        Repository spoilt = repository;
-        spoilt.addRole("rel");
-        spoilt.publish();
-        auto kNewSuffix = client;
-        tape.note("a role more", kNewSuffix.update(spoilt.files));
-        documentOf(spoilt.snapshot)["meta"].erase("rel.json");
-        spoilt.roles.erase("rel");
-        spoilt.publish();
-        tape.note("and it vanishes", kNewSuffix.update(spoilt.files));
+        Repository tampered = repository;
+        tampered.addRole("rel");
+        tampered.publish();
+        auto fresh = client;
+        cases.note("a role more", fresh.update(tampered.files));
+        documentOf(tampered.snapshot)["meta"].erase("rel.json");
+        tampered.roles.erase("rel");
+        tampered.publish();
+        cases.note("and it vanishes", fresh.update(tampered.files));
     }
     {
         Repository mixed = repository;
@@ -130,41 +131,41 @@
         mixed.target("targets", "releases/4", "four");
         mixed.publish();
         files = mixed.files;
-        auto document = parsed(files.at("4.targets.json"));
+        auto document = parse(files.at("4.targets.json"));
         documentOf(document)["targets"]["releases/4"]["length"] = 5;
         document["signatures"] = Json::array();
         sign(document, mixed.keys.at("targets"));
         files["4.targets.json"] = textOf(document);
-        auto kNewSuffix = client;
-        tape.note("other targets of the same version", kNewSuffix.update(files));
+        auto fresh = client;
+        cases.note("other targets of the same version", fresh.update(files));
         files["4.targets.json"] = textOf(document) + " ";
-        kNewSuffix = client;
-        tape.note("and of another length", kNewSuffix.update(files));
+        fresh = client;
+        cases.note("and of another length", fresh.update(files));
     }
-    tape.matches("metadata-sets");
+    cases.matches("metadata-sets");
 }
 
-TEST_CASE("roots are followed one by one, and rotated keys undo a fast-forward") {
-    Tape tape;
+TEST_CASE("roots are updated one version at a time, and a key rotation recovers from a fast-forward attack") {
+    CaseTrace cases;
     Repository repository;
     Client client(repository.firstRoot());
     const auto first = repository.files;
-    tape.note("first", client.update(first));
+    cases.note("first", client.update(first));
     for (int times = 0; times < 3; ++times) {
-        // The new root is signed by the old key and by the new one.
+        // The new root is signed by the old and the new key.
         const auto old = repository.keys.at("root").toPem();
-        const auto held = SigningKey::fromPem(old);
+        const auto oldKey = SigningKey::fromPem(old);
         repository.rotate("root");
-        repository.publishRoot({&*held});
+        repository.publishRoot({&*oldKey});
     }
     repository.publish();
-    tape.note("three roots on", client.update(repository.files));
+    cases.note("three roots on", client.update(repository.files));
     CHECK(client.stored.files.count("root_history/3.root.json") == 1);
     {
         Client late(first.at("1.root.json"));
         auto files = repository.files;
         files["3.root.json"] = files.at("4.root.json");
-        tape.note("a root left out", late.update(files));
+        cases.note("a root left out", late.update(files));
         CHECK(late.stored.files.count("timestamp.json") == 0);
         Client bounded(first.at("1.root.json"));
         bounded.update(repository.files, kStart + 60, {}, {2, 64});
@@ -172,31 +173,31 @@
         CHECK(bounded.stored.files.count("root_history/4.root.json") == 0);
     }
     {
-        Repository thief = repository;
-        thief.rotate("root");
-        thief.publishRoot();  // by the new key alone
-        tape.refuses("a root not signed by the old key", client, thief.files);
+        Repository attacked = repository;
+        attacked.rotate("root");
+        attacked.publishRoot();  // signed by the new key alone
+        cases.checkRefused("a root not signed by the old key", client, attacked.files);
         Repository other = repository;
-        const auto held = SigningKey::fromPem(other.keys.at("root").toPem());
+        const auto oldKey = SigningKey::fromPem(other.keys.at("root").toPem());
         other.rotate("root");
         other.root["signatures"] = Json::array();
-        sign(other.root, *held);
+        sign(other.root, *oldKey);
         other.files["5.root.json"] = textOf(other.root);
-        tape.refuses("a root not signed by the new key", client, other.files);
+        cases.checkRefused("a root not signed by the new key", client, other.files);
     }
     {
-        // The timestamp's key is stolen, and its version brought to the top.
+        // Fast-forward attack: the timestamp key is stolen and the version set close to the maximum.
         Repository stolen = repository;
         documentOf(stolen.timestamp)["version"] = std::int64_t{9'000'000'000'000'000'000};
         stolen.publishTimestamp();
         auto victim = client;
-        tape.note("fast-forward", victim.update(stolen.files));
-        tape.refuses("and back, with the key as it was", victim, repository.files);
-        Repository mended = repository;
-        mended.rotate("timestamp");
-        mended.publishRoot();
-        mended.publish();
-        tape.note("and back, with a new key", victim.update(mended.files));
+        cases.note("fast-forward", victim.update(stolen.files));
+        cases.checkRefused("and back, with the key as it was", victim, repository.files);
+        Repository repaired = repository;
+        repaired.rotate("timestamp");
+        repaired.publishRoot();
+        repaired.publish();
+        cases.note("and back, with a new key", victim.update(repaired.files));
     }
     {
         Repository stolen = repository;
@@ -208,49 +209,49 @@
         bumpVersion(stolen.timestamp, kStart + kDay);
         stolen.publishTimestamp();
         auto victim = client;
-        tape.note("the snapshot's fast-forward", victim.update(stolen.files));
-        Repository mended = repository;
-        mended.rotate("snapshot");
-        mended.publishRoot();
-        mended.publish();
-        documentOf(mended.timestamp)["version"] = versionOf(stolen.timestamp) + 1;
-        mended.publishTimestamp();
-        // The timestamp's key is as it was, and its kept version lists the snapshot that went ahead. It must
-        // be forgotten with the new root, in the same step: an update may end between the two.
+        cases.note("the snapshot's fast-forward", victim.update(stolen.files));
+        Repository repaired = repository;
+        repaired.rotate("snapshot");
+        repaired.publishRoot();
+        repaired.publish();
+        documentOf(repaired.timestamp)["version"] = versionOf(stolen.timestamp) + 1;
+        repaired.publishTimestamp();
+        // The timestamp key is unchanged, and the stored timestamp lists the fast-forwarded snapshot. It must
+        // be removed in the same transaction as the new root is stored: the update may stop after that.
         auto cut = victim;
-        auto files = mended.files;
+        auto files = repaired.files;
         files.erase("timestamp.json");
-        tape.note("cut off behind the new root", cut.update(files));
+        cases.note("cut off behind the new root", cut.update(files));
         CHECK(!cut.stored.read("timestamp.json"));
-        tape.note("and the next update", cut.update(mended.files));
+        cases.note("and the next update", cut.update(repaired.files));
         auto bounded = victim;
-        tape.note("the new root is the last that the bound allows",
-                  bounded.update(mended.files, kStart + 60, {}, {1, 64}));
-        tape.note("and back, with a new key", victim.update(mended.files));
+        cases.note("the new root is the last that the bound allows",
+                   bounded.update(repaired.files, kStart + 60, {}, {1, 64}));
+        cases.note("and back, with a new key", victim.update(repaired.files));
     }
-    tape.matches("metadata-roots");
+    cases.matches("metadata-roots");
 }
 
-TEST_CASE("thresholds count distinct keys that are what they say") {
-    Tape tape;
+TEST_CASE("only distinct keys with a valid id and scheme count towards a threshold") {
+    CaseTrace cases;
     Repository repository;
     const auto second = SigningKey::generate(Scheme::ecdsaP256);
     const auto third = SigningKey::generate(Scheme::rsaPss);
-    const auto with = [&](const std::function<void(Json&)>& change,
-                          std::vector<const SigningKey*> signers = {}) {
-        Repository changedOne = repository;
-        change(documentOf(changedOne.root));
-        changedOne.root["signatures"] = Json::array();
-        changedOne.publishRoot();
-        changedOne.timestamp["signatures"] = Json::array();
-        sign(changedOne.timestamp, changedOne.keys.at("timestamp"));
-        for (const auto* signer : signers) sign(changedOne.timestamp, *signer);
-        changedOne.files["timestamp.json"] = textOf(changedOne.timestamp);
-        return changedOne;
+    const auto rootWith = [&](const std::function<void(Json&)>& change,
+                              std::vector<const SigningKey*> signers = {}) {
+        Repository changed = repository;
+        change(documentOf(changed.root));
+        changed.root["signatures"] = Json::array();
+        changed.publishRoot();
+        changed.timestamp["signatures"] = Json::array();
+        sign(changed.timestamp, changed.keys.at("timestamp"));
+        for (const auto* signer : signers) sign(changed.timestamp, *signer);
+        changed.files["timestamp.json"] = textOf(changed.timestamp);
+        return changed;
     };
-    const auto play = [&](const std::string& what, const Repository& changedOne) {
-        Client client(changedOne.firstRoot());
-        tape.note(what, client.update(changedOne.files));
+    const auto play = [&](const std::string& what, const Repository& changed) {
+        Client client(changed.firstRoot());
+        cases.note(what, client.update(changed.files));
     };
     const auto two = [&](const SigningKey& other) {
         return [&](Json& root) {
@@ -259,51 +260,51 @@
             root["roles"]["timestamp"]["threshold"] = 2;
         };
     };
-    play("ed25519 and ecdsa, both", with(two(second), {&second}));
-    play("ed25519 and rsa, both", with(two(third), {&third}));
-    play("one of two", with(two(second)));
-    play("the other is a stranger", with(two(second), {&third}));
+    play("ed25519 and ecdsa, both", rootWith(two(second), {&second}));
+    play("ed25519 and rsa, both", rootWith(two(third), {&third}));
+    play("one of two", rootWith(two(second)));
+    play("the other is a stranger", rootWith(two(second), {&third}));
     {
-        // The same key under a second id: a field more makes another canonical form, and so another id.
+        // The same key under a second id: an additional field changes the canonical form and so the id.
         auto twice = repository.keys.at("timestamp").key().object();
         twice["note"] = "the same key";
         const auto id = keyId(twice);
-        auto changedOne = with([&](Json& root) {
+        auto changed = rootWith([&](Json& root) {
             root["keys"][id] = twice;
             root["roles"]["timestamp"]["keyids"].push_back(id);
             root["roles"]["timestamp"]["threshold"] = 2;
         });
-        const auto signature = changedOne.timestamp["signatures"][0]["sig"];
-        changedOne.timestamp["signatures"].push_back({{"keyid", id}, {"sig", signature}});
-        changedOne.files["timestamp.json"] = textOf(changedOne.timestamp);
-        play("one key under two ids", changedOne);
-        changedOne.timestamp["signatures"][1]["keyid"] = changedOne.timestamp["signatures"][0]["keyid"];
-        changedOne.files["timestamp.json"] = textOf(changedOne.timestamp);
-        play("one signature twice", changedOne);
+        const auto signature = changed.timestamp["signatures"][0]["sig"];
+        changed.timestamp["signatures"].push_back({{"keyid", id}, {"sig", signature}});
+        changed.files["timestamp.json"] = textOf(changed.timestamp);
+        play("one key under two ids", changed);
+        changed.timestamp["signatures"][1]["keyid"] = changed.timestamp["signatures"][0]["keyid"];
+        changed.files["timestamp.json"] = textOf(changed.timestamp);
+        play("one signature twice", changed);
     }
-    play("a key under another's id", with([&](Json& root) {
+    play("a key under another's id", rootWith([&](Json& root) {
              const auto id = root["roles"]["timestamp"]["keyids"][0].get<std::string>();
              root["keys"][id] = second.key().object();
          }));
-    play("a key id twice in a role", with([&](Json& root) {
+    play("a key id twice in a role", rootWith([&](Json& root) {
              auto& ids = root["roles"]["timestamp"]["keyids"];
              ids.push_back(ids[0]);
          }));
-    play("a threshold of none", with([](Json& root) { root["roles"]["timestamp"]["threshold"] = 0; }));
-    play("a role is missing", with([](Json& root) { root["roles"].erase("snapshot"); }));
+    play("a threshold of none", rootWith([](Json& root) { root["roles"]["timestamp"]["threshold"] = 0; }));
+    play("a role is missing", rootWith([](Json& root) { root["roles"].erase("snapshot"); }));
     {
         const Json unknown = {
             {"keytype", "lattice"}, {"scheme", "lattice-9"}, {"keyval", {{"public", "00"}}}};
-        play("an unknown kind of key beside", with([&](Json& root) {
+        play("an unknown kind of key beside", rootWith([&](Json& root) {
                  root["keys"][keyId(unknown)] = unknown;
                  root["roles"]["timestamp"]["keyids"].push_back(keyId(unknown));
              }));
-        play("an unknown kind of key is needed", with([&](Json& root) {
+        play("an unknown kind of key is needed", rootWith([&](Json& root) {
                  root["keys"][keyId(unknown)] = unknown;
                  root["roles"]["timestamp"]["keyids"] = {keyId(unknown)};
              }));
         play("a key's scheme is not its kind's",
-             with(
+             rootWith(
                  [&](Json& root) {
                      auto object = second.key().object();
                      object["scheme"] = "ed25519";
@@ -312,19 +313,19 @@
                  },
                  {&second}));
     }
-    play("an unknown field that is signed", with([](Json& root) { root["x-later"] = {{"a", 1}}; }));
+    play("an unknown field that is signed", rootWith([](Json& root) { root["x-later"] = {{"a", 1}}; }));
     {
-        Repository changedOne = repository;
-        auto document = parsed(changedOne.files.at("timestamp.json"));
-        documentOf(document)["x-later"] = 1;  // behind the signer's back
-        changedOne.files["timestamp.json"] = textOf(document);
-        play("an unknown field that is not", changedOne);
+        Repository changed = repository;
+        auto document = parse(changed.files.at("timestamp.json"));
+        documentOf(document)["x-later"] = 1;  // after signing
+        changed.files["timestamp.json"] = textOf(document);
+        play("an unknown field that is not", changed);
     }
-    tape.matches("metadata-keys");
+    cases.matches("metadata-keys");
 }
 
-TEST_CASE("what is no metadata is refused by its kind") {
-    Tape tape;
+TEST_CASE("malformed metadata is refused with the matching reason") {
+    CaseTrace cases;
     Repository repository;
     Client client(repository.firstRoot());
     client.update(repository.files);
@@ -334,12 +335,12 @@
     const auto bytes = [&](const std::string& what, const std::string& text) {
         auto files = repository.files;
         files["timestamp.json"] = text;
-        tape.refuses(what, client, files);
+        cases.checkRefused(what, client, files);
     };
     const auto document = [&](const std::string& what, const std::function<void(Json&)>& change) {
-        bytes(what, resigned(repository, "timestamp", repository.timestamp, change));
+        bytes(what, changeAndSign(repository, "timestamp", repository.timestamp, change));
     };
-    const auto inserted = [&](const std::string& text) {
+    const auto insertMember = [&](const std::string& text) {
         auto changedText = good;
         return changedText.insert(changedText.find("\"_type\""), text);
     };
@@ -348,35 +349,38 @@
     bytes("two of them", good + good);
     bytes("a list", "[]");
     bytes("not signed", "{\"signed\": {}, \"signatures\": []}");
-    bytes("a member twice", inserted("\"_type\": \"timestamp\", "));
-    bytes("a member twice, deep inside", inserted("\"x\": {\"a\": {\"b\": 1, \"b\": 2}}, "));
-    bytes("a fraction", inserted("\"x\": 1.0, "));
-    bytes("an exponent", inserted("\"x\": 1e3, "));
-    bytes("a number beyond 64 bits", inserted("\"x\": 9223372036854775808, "));
-    bytes("a negative one beyond 64 bits", inserted("\"x\": -9223372036854775809, "));
-    bytes("invalid UTF-8", inserted("\"x\": \"\xc3\x28\", "));
-    bytes("a surrogate alone", inserted("\"x\": \"\\ud800\", "));
-    bytes("nested 40 deep", inserted("\"x\": " + std::string(40, '[') + std::string(40, ']') + ", "));
+    bytes("a member twice", insertMember("\"_type\": \"timestamp\", "));
+    bytes("a member twice, deep inside", insertMember("\"x\": {\"a\": {\"b\": 1, \"b\": 2}}, "));
+    bytes("a fraction", insertMember("\"x\": 1.0, "));
+    bytes("an exponent", insertMember("\"x\": 1e3, "));
+    bytes("a number beyond 64 bits", insertMember("\"x\": 9223372036854775808, "));
+    bytes("a negative one beyond 64 bits", insertMember("\"x\": -9223372036854775809, "));
+    bytes("invalid UTF-8", insertMember("\"x\": \"\xc3\x28\", "));
+    bytes("a surrogate alone", insertMember("\"x\": \"\\ud800\", "));
+    bytes("nested 40 deep", insertMember("\"x\": " + std::string(40, '[') + std::string(40, ']') + ", "));
     bytes("20,000 bytes", good + std::string(20'000, ' '));
-    document("version 0", [](Json& of) { of["version"] = 0; });
-    document("version below 0", [](Json& of) { of["version"] = -3; });
-    document("version as a text", [](Json& of) { of["version"] = "3"; });
-    document("another type", [](Json& of) { of["_type"] = "snapshot"; });
-    document("another major version", [](Json& of) { of["spec_version"] = "2.0.0"; });
-    document("no version of the specification", [](Json& of) { of.erase("spec_version"); });
-    document("a time with an offset", [](Json& of) { of["expires"] = "2030-01-01T00:00:00+01:00"; });
-    document("the 30th of February", [](Json& of) { of["expires"] = "2030-02-30T00:00:00Z"; });
-    document("no snapshot in it", [](Json& of) { of["meta"] = Json::object(); });
-    document("another file beside the snapshot", [](Json& of) { of["meta"]["x.json"] = {{"version", 1}}; });
-    document("a length below 0", [](Json& of) { of["meta"]["snapshot.json"]["length"] = -1; });
+    document("version 0", [](Json& fields) { fields["version"] = 0; });
+    document("version below 0", [](Json& fields) { fields["version"] = -3; });
+    document("version as a text", [](Json& fields) { fields["version"] = "3"; });
+    document("another type", [](Json& fields) { fields["_type"] = "snapshot"; });
+    document("another major version", [](Json& fields) { fields["spec_version"] = "2.0.0"; });
+    document("no version of the specification", [](Json& fields) { fields.erase("spec_version"); });
+    document("a time with an offset", [](Json& fields) { fields["expires"] = "2030-01-01T00:00:00+01:00"; });
+    document("the 30th of February", [](Json& fields) { fields["expires"] = "2030-02-30T00:00:00Z"; });
+    document("no snapshot in it", [](Json& fields) { fields["meta"] = Json::object(); });
+    document("another file beside the snapshot", [](Json& fields) {
+        fields["meta"]["x.json"] = {{"version", 1}};
+    });
+    document("a length below 0", [](Json& fields) { fields["meta"]["snapshot.json"]["length"] = -1; });
     {
         auto files = repository.files;
-        files["timestamp.json"] = resigned(repository, "timestamp", repository.timestamp, [](Json& of) {
-            of["meta"]["snapshot.json"]["hashes"] = {{"md5", "00"}};
-        });
-        Client kNewSuffix(repository.firstRoot());
-        tape.note("a hash of no known kind", kNewSuffix.update(files));
-        CHECK(!kNewSuffix.stored.read("snapshot.json"));
+        files["timestamp.json"] =
+            changeAndSign(repository, "timestamp", repository.timestamp, [](Json& fields) {
+                fields["meta"]["snapshot.json"]["hashes"] = {{"md5", "00"}};
+            });
+        Client fresh(repository.firstRoot());
+        cases.note("a hash of no known kind", fresh.update(files));
+        CHECK(!fresh.stored.read("snapshot.json"));
     }
     bytes("signed by no one", [&] {
         auto envelope = repository.timestamp;
@@ -388,11 +392,11 @@
         envelope["signatures"][0]["sig"] = "xyz";
         return textOf(envelope);
     }());
-    tape.matches("metadata-bytes");
+    cases.matches("metadata-bytes");
 }
 
-TEST_CASE("names stay names: of roles and of targets") {
-    Tape tape;
+TEST_CASE("names of roles and targets cannot escape the store, and invalid names are refused") {
+    CaseTrace cases;
     const auto role = [&](const std::string& what, const std::string& name) {
         Repository repository;
         repository.keys.emplace(name, SigningKey::generate(Scheme::ed25519));
@@ -409,8 +413,8 @@
         addTarget(repository.roles.at(name), "file", "bytes");
         repository.publish();
         Client client(repository.firstRoot());
-        const auto said = client.update(repository.files, kStart + 60, {"file"});
-        tape.note("role " + what, said + ", listed by " + escaped(client.listingRole("file"), 60));
+        const auto result = client.update(repository.files, kStart + 60, {"file"});
+        cases.note("role " + what, result + ", listed by " + escaped(client.listingRole("file"), 60));
         for (const auto& [file, bytes] : client.stored.files) {
             CHECK((file.find('/') == std::string::npos || file.compare(0, 13, "root_history/") == 0));
             CHECK(file.find('\0') == std::string::npos);
@@ -433,8 +437,8 @@
         repository.markChanged("targets");
         repository.publish();
         Client client(repository.firstRoot());
-        const auto said = client.update(repository.files, kStart + 60, {name});
-        tape.note("target " + what, said + ", listed by " + client.listingRole(name));
+        const auto result = client.update(repository.files, kStart + 60, {name});
+        cases.note("target " + what, result + ", listed by " + client.listingRole(name));
     };
     target("with dots", "../../etc/passwd");
     target("with %", "%2e%2e/x");
@@ -442,127 +446,129 @@
     target("of 300 letters", std::string(300, 't'));
     target("of 2,000 letters", std::string(2000, 't'));
     target("of nothing", "");
-    tape.matches("metadata-names");
+    cases.matches("metadata-names");
 }
 
-TEST_CASE("delegations: by priority, preorder, terminating, no role twice, bounded") {
-    Tape tape;
+TEST_CASE(
+    "delegations are searched by priority in preorder, up to a terminating one, each role once, within the "
+    "limit") {
+    CaseTrace cases;
     Repository repository;
-    const auto play = [&](const std::string& what, Repository& of, const std::vector<std::string>& paths,
-                          UpdateLimits bounds = {}) {
-        of.publish();
-        Client client(of.firstRoot());
-        auto said = client.update(of.files, kStart + 60, paths, bounds);
-        for (const auto& path : paths) said += ", " + path + " by " + client.listingRole(path);
-        tape.note(what, said + ", visited " + std::to_string(client.visited));
+    const auto play = [&](const std::string& what, Repository& repo, const std::vector<std::string>& paths,
+                          UpdateLimits limits = {}) {
+        repo.publish();
+        Client client(repo.firstRoot());
+        auto result = client.update(repo.files, kStart + 60, paths, limits);
+        for (const auto& path : paths) result += ", " + path + " by " + client.listingRole(path);
+        cases.note(what, result + ", visited " + std::to_string(client.visited));
         return client;
     };
     {
-        Repository of = repository;
-        of.delegateTo("targets", "first", {"releases/*"});
-        of.delegateTo("targets", "second", {"releases/*"});
-        of.delegateTo("first", "inner", {"releases/*"});
-        of.target("inner", "releases/a", "inner's");
-        of.target("second", "releases/a", "second's");
-        of.target("second", "releases/b", "second's");
-        of.target("second", "other/c", "not its path");
-        auto client = play("preorder", of, {"releases/a", "releases/b", "other/c", "releases/x/y"});
+        Repository repo = repository;
+        repo.delegateTo("targets", "first", {"releases/*"});
+        repo.delegateTo("targets", "second", {"releases/*"});
+        repo.delegateTo("first", "inner", {"releases/*"});
+        repo.target("inner", "releases/a", "inner's");
+        repo.target("second", "releases/a", "second's");
+        repo.target("second", "releases/b", "second's");
+        repo.target("second", "other/c", "not its path");
+        auto client = play("preorder", repo, {"releases/a", "releases/b", "other/c", "releases/x/y"});
         CHECK(client.requestedPaths.size() == 7);  // no role is fetched twice in one update
-        tape.note("and kept", client.update(of.files, kStart + 61, {"releases/a", "releases/b"}));
+        cases.note("and kept", client.update(repo.files, kStart + 61, {"releases/a", "releases/b"}));
         CHECK(client.requestedPaths.size() == 2);  // the next root, the timestamp
     }
     {
-        Repository of = repository;
-        of.delegateTo("targets", "first", {"releases/*"}, true);
-        of.delegateTo("targets", "second", {"releases/*"});
-        of.target("second", "releases/a", "second's");
-        play("terminating", of, {"releases/a"});
+        Repository repo = repository;
+        repo.delegateTo("targets", "first", {"releases/*"}, true);
+        repo.delegateTo("targets", "second", {"releases/*"});
+        repo.target("second", "releases/a", "second's");
+        play("terminating", repo, {"releases/a"});
     }
     {
-        Repository of = repository;
-        of.delegateTo("targets", "outer", {"*"});
-        of.delegateTo("targets", "behind", {"*"});
-        of.delegateTo("outer", "inner", {"*"}, true);
-        of.target("behind", "a", "behind's");
-        play("terminating within", of, {"a"});
+        Repository repo = repository;
+        repo.delegateTo("targets", "outer", {"*"});
+        repo.delegateTo("targets", "behind", {"*"});
+        repo.delegateTo("outer", "inner", {"*"}, true);
+        repo.target("behind", "a", "behind's");
+        play("terminating within", repo, {"a"});
     }
     {
-        Repository of = repository;
-        of.delegateTo("targets", "one", {"*"});
-        of.delegateTo("one", "two", {"*"});
-        of.delegateTo("two", "one", {"*"});
-        of.target("two", "b", "two's");
-        play("a cycle", of, {"a", "b"});
+        Repository repo = repository;
+        repo.delegateTo("targets", "one", {"*"});
+        repo.delegateTo("one", "two", {"*"});
+        repo.delegateTo("two", "one", {"*"});
+        repo.target("two", "b", "two's");
+        play("a cycle", repo, {"a", "b"});
     }
     {
-        Repository of = repository;
+        Repository repo = repository;
         for (int role = 0; role < 12; ++role)
-            of.delegateTo(role ? "r" + std::to_string(role - 1) : "targets", "r" + std::to_string(role),
-                          {"*"});
-        play("a chain within the bound", of, {"a"}, {256, 12});
-        play("a chain beyond it", of, {"a"}, {256, 11});
+            repo.delegateTo(role ? "r" + std::to_string(role - 1) : "targets", "r" + std::to_string(role),
+                            {"*"});
+        play("a chain within the bound", repo, {"a"}, {256, 12});
+        play("a chain beyond it", repo, {"a"}, {256, 11});
     }
     {
-        Repository of = repository;
+        Repository repo = repository;
         const auto hash = digest("sha256", "releases/a");
-        of.delegateTo("targets", "no", {}, false, {"f00000"});
-        of.delegateTo("targets", "yes", {}, false, {"ffffff", hash.substr(0, 2)});
-        of.target("yes", "releases/a", "bytes");
-        play("hash prefixes", of, {"releases/a"});
+        repo.delegateTo("targets", "no", {}, false, {"f00000"});
+        repo.delegateTo("targets", "yes", {}, false, {"ffffff", hash.substr(0, 2)});
+        repo.target("yes", "releases/a", "bytes");
+        play("hash prefixes", repo, {"releases/a"});
     }
     {
-        Repository of = repository;
-        of.addRole("bins-" + digest("sha256", "releases/a").substr(0, 1));
-        const auto& key = of.keys.at("bins-" + digest("sha256", "releases/a").substr(0, 1)).key();
-        CHECK(!delegateBins(of.role("targets"), {{{key.id()}, 1}, 4, "bins"}, {key}));
-        of.markChanged("targets");
-        of.target("bins-" + digest("sha256", "releases/a").substr(0, 1), "releases/a", "bytes");
-        play("succinct bins", of, {"releases/a"});
+        Repository repo = repository;
+        repo.addRole("bins-" + digest("sha256", "releases/a").substr(0, 1));
+        const auto& key = repo.keys.at("bins-" + digest("sha256", "releases/a").substr(0, 1)).key();
+        CHECK(!delegateBins(repo.role("targets"), {{{key.id()}, 1}, 4, "bins"}, {key}));
+        repo.markChanged("targets");
+        repo.target("bins-" + digest("sha256", "releases/a").substr(0, 1), "releases/a", "bytes");
+        play("succinct bins", repo, {"releases/a"});
     }
     {
-        // A role's name under two parents, and each parent's own keys for it.
-        Repository of = repository;
-        of.delegateTo("targets", "a", {"a/*"});
-        of.delegateTo("targets", "b", {"b/*"});
-        of.delegateTo("a", "shared", {"*/*"});
-        const auto honest = SigningKey::fromPem(of.keys.at("shared").toPem());
+        // Two parents delegate to the same role name with different keys.
+        Repository repo = repository;
+        repo.delegateTo("targets", "a", {"a/*"});
+        repo.delegateTo("targets", "b", {"b/*"});
+        repo.delegateTo("a", "shared", {"*/*"});
+        const auto honest = SigningKey::fromPem(repo.keys.at("shared").toPem());
         const auto other = SigningKey::generate(Scheme::ed25519);
-        delegate(of.role("b"), {"shared", {{other.key().id()}, 1}, false, {"*/*"}, {}}, {other.key()});
-        of.markChanged("b");
-        of.target("shared", "a/x", "a's");
-        of.target("shared", "b/x", "a's, not b's");
-        play("a role under two parents with other keys", of, {"a/x", "b/x"});
+        delegate(repo.role("b"), {"shared", {{other.key().id()}, 1}, false, {"*/*"}, {}}, {other.key()});
+        repo.markChanged("b");
+        repo.target("shared", "a/x", "a's");
+        repo.target("shared", "b/x", "a's, not b's");
+        play("a role under two parents with other keys", repo, {"a/x", "b/x"});
     }
     {
-        Repository of = repository;
-        of.delegateTo("targets", "first", {"*"});
-        of.publish();
-        documentOf(of.snapshot)["meta"].erase("first.json");
-        of.roles.erase("first");
-        Repository gone(of);
+        Repository repo = repository;
+        repo.delegateTo("targets", "first", {"*"});
+        repo.publish();
+        documentOf(repo.snapshot)["meta"].erase("first.json");
+        repo.roles.erase("first");
+        Repository gone(repo);
         play("a role that no snapshot lists", gone, {"a"});
     }
     {
-        Repository of(false);
-        of.delegateTo("targets", "first", {"*"});
-        of.target("first", "a", "bytes");
-        play("without consistent snapshots", of, {"a"});
+        Repository repo(false);
+        repo.delegateTo("targets", "first", {"*"});
+        repo.target("first", "a", "bytes");
+        play("without consistent snapshots", repo, {"a"});
     }
     {
-        Repository of = repository;
-        of.delegateTo("targets", "first", {"*"});
-        auto& envelope = of.role("targets");
+        Repository repo = repository;
+        repo.delegateTo("targets", "first", {"*"});
+        auto& envelope = repo.role("targets");
         documentOf(envelope)["delegations"]["roles"][0]["path_hash_prefixes"] = {"00"};
-        play("paths and prefixes at once", of, {"a"});
+        play("paths and prefixes at once", repo, {"a"});
         documentOf(envelope)["delegations"]["roles"][0].erase("paths");
         documentOf(envelope)["delegations"]["roles"][0]["path_hash_prefixes"] = {"XY"};
-        of.markChanged("targets");
-        play("a prefix that is no hex", of, {"a"});
+        repo.markChanged("targets");
+        play("a prefix that is no hex", repo, {"a"});
     }
-    tape.matches("metadata-delegations");
+    cases.matches("metadata-delegations");
 }
 
-TEST_CASE("nothing can be called in a wrong order") {
+TEST_CASE("documents are refused in a wrong order") {
     Repository repository;
     repository.addRole("rel");
     repository.publish();
--- a/tests/support/metadata_repository.hpp
+++ b/tests/support/metadata_repository.hpp
@@ -1,5 +1,5 @@
-// A stand-in repository in memory: keys, documents and files of a TUF repository that a test changes, spoils
-// and publishes as it likes, and a driver that plays a whole update against it without I/O.
+// A simulated TUF repository in memory, which a test can change, corrupt and publish, and a client that runs
+// a whole update against it without I/O.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,7 @@
 constexpr UnixSeconds kStart = 1'800'000'000;
 constexpr UnixSeconds kDay = 86'400;
 
-// Without what differs from run to run: key ids, and ports.
+// Replaces what differs between runs: key ids and ports.
 inline std::string maskVolatile(const std::string& text) {
     static const std::regex kIds("[0-9a-f]{12,}");
     static const std::regex kPorts("127\\.0\\.0\\.1:[0-9]+");
@@ -31,9 +31,9 @@
         const auto found = files.find(name);
         return found == files.end() ? std::nullopt : std::optional(found->second);
     }
-    void apply(const std::vector<StoreTransaction>& steps) {
-        for (const auto& step : steps)
-            for (const auto& [name, bytes] : step.files) {
+    void apply(const std::vector<StoreTransaction>& transactions) {
+        for (const auto& transaction : transactions)
+            for (const auto& [name, bytes] : transaction.files) {
                 if (bytes) files[name] = *bytes;
                 else files.erase(name);
             }
@@ -42,8 +42,8 @@
 
 class Repository {
   public:
-    explicit Repository(bool consistent_ = true, UnixSeconds from_ = metadata_fixture::kStart)
-        : consistent(consistent_), start(from_) {
+    explicit Repository(bool consistentSnapshot = true, UnixSeconds startTime = metadata_fixture::kStart)
+        : consistent(consistentSnapshot), start(startTime) {
         root = newRoot(start + 365 * kDay, consistent);
         for (const auto* role : {"root", "timestamp", "snapshot", "targets"}) {
             keys.emplace(role, SigningKey::generate(Scheme::ed25519));
@@ -56,14 +56,14 @@
         publish();
     }
 
-    // Signs and puts out what has been drafted. Each call makes a new snapshot and timestamp.
+    // Signs and publishes all targets roles, with a new snapshot and timestamp.
     void publish() {
         for (auto& [name, envelope] : roles) {
             sign(envelope, keys.at(name));
             writeFile(name, versionOf(envelope), textOf(envelope));
             addListing(snapshot, name + ".json", listingOf(versionOf(envelope), textOf(envelope), hashed));
         }
-        if (published_) bumpVersion(snapshot, snapshotUntil), bumpVersion(timestamp, timestampUntil);
+        if (published_) bumpVersion(snapshot, snapshotExpires), bumpVersion(timestamp, timestampExpires);
         published_ = true;
         sign(snapshot, keys.at("snapshot"));
         writeFile("snapshot", versionOf(snapshot), textOf(snapshot));
@@ -75,22 +75,22 @@
         sign(timestamp, keys.at("timestamp"));
         files["timestamp.json"] = textOf(timestamp);
     }
-    void publishRoot(const std::vector<const SigningKey*>& more = {}) {
+    void publishRoot(const std::vector<const SigningKey*>& additionalKeys = {}) {
         sign(root, keys.at("root"));
-        for (const auto* key : more) sign(root, *key);
+        for (const auto* key : additionalKeys) sign(root, *key);
         files[std::to_string(versionOf(root)) + ".root.json"] = textOf(root);
     }
-    // A new key for a role, in a new root; not published yet.
+    // Replaces the key of a role in a new version of root, which is not published yet.
     void rotate(const std::string& role) {
-        auto old = keys.at(role).key().id();
+        auto oldId = keys.at(role).key().id();
         keys.erase(role);
         keys.emplace(role, SigningKey::generate(Scheme::ed25519));
         addKey(root, role, keys.at(role).key());
-        removeKey(root, role, old);
+        removeKey(root, role, oldId);
         bumpVersion(root, start + 365 * kDay);
     }
     Json& role(const std::string& name) { return roles.at(name); }
-    // A delegated role with a key of its own.
+    // Adds a targets role with a key of its own; returns its envelope.
     Json& addRole(const std::string& name) {
         if (!keys.contains(name)) keys.emplace(name, SigningKey::generate(Scheme::ed25519));
         return roles.emplace(name, newTargets(start + 90 * kDay)).first->second;
@@ -109,6 +109,7 @@
         contents[path] = bytes;
         markChanged(in);
     }
+    // Prepares a changed role for publish(): a new version, or no signatures if nothing is published yet.
     void markChanged(const std::string& name) {
         if (published_) bumpVersion(role(name), start + 90 * kDay);
         else role(name)["signatures"] = Json::array();
@@ -118,29 +119,29 @@
     }
     const std::string& firstRoot() const { return files.at("1.root.json"); }
 
-    bool consistent, hashed = false;
-    UnixSeconds start;                       // what all limits are counted from
+    bool consistent, hashed = false;         // hashed: the snapshot lists lengths and hashes
+    UnixSeconds start;                       // all expiry times are relative to this
     std::map<std::string, SigningKey> keys;  // by role
     Json root, snapshot, timestamp;
-    std::map<std::string, Json> roles;  // targets and delegated ones
-    UnixSeconds snapshotUntil = start + 7 * kDay, timestampUntil = start + kDay;
-    std::map<std::string, std::string> files, contents;  // as served; targets' bytes by path
+    std::map<std::string, Json> roles;  // envelopes of targets and the delegated roles
+    UnixSeconds snapshotExpires = start + 7 * kDay, timestampExpires = start + kDay;
+    std::map<std::string, std::string> files, contents;  // files: as served; contents: of targets, by path
 
   private:
     bool published_ = false;
 };
 
-// A client: what it keeps, and whole updates against files.
+// A client with stored metadata that runs whole updates against a set of served files.
 class Client {
   public:
     explicit Client(const std::string& root) { stored.files["root.json"] = root; }
 
-    // "done" with the versions trusted, or the refusal's text.
+    // Returns "done" with the trusted versions, or the text of the refusal.
     std::string update(const std::map<std::string, std::string>& files, UnixSeconds now = kStart + 60,
-                       const std::vector<std::string>& paths = {}, UpdateLimits bounds = {}) {
+                       const std::vector<std::string>& paths = {}, UpdateLimits limits = {}) {
         auto set = TrustedSet::start(stored.files.at("root.json"), now);
         if (!set) return set.refusal().text();
-        Update update(std::move(*set), stored, bounds);
+        Update update(std::move(*set), stored, limits);
         for (const auto& path : paths) update.search(path);
         requestedPaths.clear();
         while (update.next().kind == Update::NextAction::fetch) {
@@ -153,16 +154,16 @@
         found = update.found();
         visited = update.visitedRoles();
         if (update.next().kind == Update::NextAction::refused) return update.refusal().text();
-        std::stringstream said;
-        said << "done: root " << update.set().root().version << ", timestamp "
+        std::stringstream text;
+        text << "done: root " << update.set().root().version << ", timestamp "
              << update.set().timestamp()->version << ", snapshot " << update.set().snapshot()->version
              << ", targets " << update.set().trusted()->version;
-        return said.str();
+        return text.str();
     }
-    // "role" that lists the path, or "-".
+    // Name of the role that lists the path, or "-".
     std::string listingRole(const std::string& path) const {
-        const auto at = found.find(path);
-        return at == found.end() ? "not looked for" : at->second ? at->second->role : "-";
+        const auto result = found.find(path);
+        return result == found.end() ? "not looked for" : result->second ? result->second->role : "-";
     }
 
     MemoryStore stored;
