--- a/src/control_plane/rollout_controller.cpp
+++ b/src/control_plane/rollout_controller.cpp
@@ -11,7 +11,7 @@
 
 constexpr Nanos kRunInterval = 200 * kMillisecond;
 constexpr Nanos kUpdateTimeout = 900 * kMillisecond;
-// A restart of all control plane processes loses no more of a rollout's age.
+// Upper bound of the age that a rollout loses when all control nodes restart.
 constexpr Nanos kWriteAgesInterval = kSecond;
 
 constexpr const char* kCompletedState = "completed";
@@ -19,7 +19,8 @@
 
 std::string voteKey(const std::string& service, const std::string& target) { return service + "\n" + target; }
 
-// A request for one service and version may come again, with another deadline, once the first has ended.
+// Includes the deadline, because a finished rollout of the same service and version may be requested again
+// with another one.
 std::string requestKey(const messages::Rollout& rollout) {
     return voteKey(rollout.service, rollout.target) + "\n" + std::to_string(rollout.timeLimitMs);
 }
@@ -28,41 +29,41 @@
     return one.service == other.service && one.target == other.target && one.timeLimitMs == other.timeLimitMs;
 }
 
-messages::Rollout afterMove(messages::Rollout rollout, const verdict::StageTransition& move,
-                            std::int64_t age) {
-    if (move.completed) rollout.state = kCompletedState;
-    else if (move.rolledBack) rollout.state = kRolledBackState;
+messages::Rollout afterTransition(messages::Rollout rollout, const verdict::StageTransition& transition,
+                                  std::int64_t age) {
+    if (transition.completed) rollout.state = kCompletedState;
+    else if (transition.rolledBack) rollout.state = kRolledBackState;
     else ++rollout.stage;
     rollout.ageMs = age;
     rollout.stageAgeMs = 0;
     return rollout;
 }
 
-/// Replaces `before` by `after`, unless the rollout has left that stage: what is decided stays decided,
-/// whichever process advances it.
-std::string applyMove(const std::string& value, const messages::Rollout& before,
-                      const messages::Rollout& after) {
+/// Replaces `before` by `after`, unless the rollout has left that stage. A decision is therefore final,
+/// whichever process made it.
+std::string applyTransition(const std::string& value, const messages::Rollout& before,
+                            const messages::Rollout& after) {
     auto rollouts = messages::decodeRollouts(value);
     std::int64_t highest = 0;
-    for (const auto& one : rollouts) highest = std::max(highest, one.number);
+    for (const auto& rollout : rollouts) highest = std::max(highest, rollout.number);
     bool changed = false;
-    for (auto& one : rollouts) {
-        if (!isSameRequest(one, after) || !one.running() || one.stage != before.stage) continue;
-        one = after;
-        one.number = highest + 1;
+    for (auto& rollout : rollouts) {
+        if (!isSameRequest(rollout, after) || !rollout.running() || rollout.stage != before.stage) continue;
+        rollout = after;
+        rollout.number = highest + 1;
         changed = true;
     }
     return changed ? messages::encode(rollouts) : value;
 }
 
-/// The ages known here, where they are above those that the register has.
+/// Raises the ages in the register's value to those known here.
 std::string applyAges(const std::string& value, const verdict::OrderAges& ages, Nanos now) {
     auto rollouts = messages::decodeRollouts(value);
-    for (auto& one : rollouts) {
-        if (!one.running()) continue;
-        const auto age = ages.ageOf(requestKey(one), now);
-        one.ageMs = std::max(one.ageMs, age.order);
-        if (age.stage == one.stage) one.stageAgeMs = std::max(one.stageAgeMs, age.inStage);
+    for (auto& rollout : rollouts) {
+        if (!rollout.running()) continue;
+        const auto age = ages.ageOf(requestKey(rollout), now);
+        rollout.ageMs = std::max(rollout.ageMs, age.order);
+        if (age.stage == rollout.stage) rollout.stageAgeMs = std::max(rollout.stageAgeMs, age.inStage);
     }
     return messages::encode(rollouts);
 }
@@ -115,17 +116,17 @@
     }
 }
 
-RolloutController::Tally RolloutController::tally(const messages::Rollout& rollout) const {
+RolloutController::VoteTally RolloutController::countVotes(const messages::Rollout& rollout) const {
     const auto key = voteKey(rollout.service, rollout.target);
     const auto voters = hashing::rendezvousSelect(proxyNames_(), key, verdict::kVoterCount);
-    Tally tally;
+    VoteTally tally;
     tally.counts.voters = voters.size();
     const auto votes = votes_.find(key);
     if (votes == votes_.end()) return tally;
     for (const auto& voter : voters) {
-        const auto at = votes->second.find(voter);
-        if (at == votes->second.end() || now() - at->second.receivedAt > verdict::kVoteTtl) continue;
-        const auto& vote = at->second.vote;
+        const auto it = votes->second.find(voter);
+        if (it == votes->second.end() || now() - it->second.receivedAt > verdict::kVoteTtl) continue;
+        const auto& vote = it->second.vote;
         tally.counts.advance += vote.verdict == Verdict::advance && vote.stage == rollout.stage;
         tally.counts.rollBack += vote.verdict == Verdict::rollBack;
         tally.messages.push_back(vote.message);
@@ -134,14 +135,14 @@
 }
 
 Task<> RolloutController::advance(messages::Rollout rollout) {
-    const auto votes = tally(rollout);
+    const auto votes = countVotes(rollout);
     const auto age = ages_.ageOf(requestKey(rollout), now());
     const auto inStage = age.stage == rollout.stage ? age.inStage : 0;
-    const auto move =
+    const auto transition =
         verdict::nextTransition(rollout.stage, votes.counts, age.order, inStage, rollout.timeLimitMs);
-    if (!move) co_return;
-    const auto after = afterMove(rollout, *move, age.order);
-    const char* why = move->reason;
+    if (!transition) co_return;
+    const auto after = afterTransition(rollout, *transition, age.order);
+    const char* why = transition->reason;
     log("rollout_advanced", {{"service", after.service},
                              {"target", after.target},
                              {"state", after.state},
@@ -149,13 +150,14 @@
                              {"why", why},
                              {"elapsed_ms", age.order},
                              {"votes", votes.messages}});
-    co_await writeMove(rollout, after);
+    co_await writeTransition(rollout, after);
 }
 
-// In both, the change is a local, not a temporary of the awaited call: GCC 12 destroys such a one twice.
-Task<> RolloutController::writeMove(messages::Rollout before, messages::Rollout after) {
+// In both functions `change` is a local variable, because GCC 12 destroys temporaries of an awaited call
+// twice.
+Task<> RolloutController::writeTransition(messages::Rollout before, messages::Rollout after) {
     const consensus::Change change = [before, after](const std::string& value) {
-        return applyMove(value, before, after);
+        return applyTransition(value, before, after);
     };
     co_await replica_.update(kRolloutsKey, change, kUpdateTimeout);
 }
--- a/src/proxy/peer_messages.cpp
+++ b/src/proxy/peer_messages.cpp
@@ -11,7 +11,7 @@
             {"kind", wire::kProxy},
             {"name", hello.name},
             {"at", hello.address},
-            {"life", hello.life}};
+            {"life", hello.incarnation}};
 }
 
 std::string peerKindOf(const Json& hello) { return hello.at("kind").get<std::string>(); }
@@ -25,9 +25,9 @@
 }
 
 Json encode(const OutcomeCounts& counts) {
-    return {{"t", wire::kCounts},        {"from", counts.from},
-            {"life", counts.life},       {"number", counts.number},
-            {"rollout", counts.rollout}, {"totals", messages::encode(counts.totals)}};
+    return {{"t", wire::kCounts},         {"from", counts.from},
+            {"life", counts.incarnation}, {"number", counts.sequence},
+            {"rollout", counts.rollout},  {"totals", messages::encode(counts.totals)}};
 }
 
 OutcomeCounts decodeOutcomeCounts(const Json& message) {
@@ -37,18 +37,18 @@
 }
 
 Json encode(const Vote& vote) {
-    const auto& judgement = vote.judgement;
+    const auto& evaluation = vote.evaluation;
     return {{"t", wire::kVote},
             {"from", vote.from},
             {"service", vote.service},
             {"target", vote.target},
             {"stage", vote.stage},
-            {"verdict", static_cast<int>(judgement.verdict)},
-            {"fresh", judgement.canaryOutcomes},
-            {"earlier", judgement.stableOutcomes},
-            {"bad", judgement.canaryFailures},
-            {"lower", judgement.bounds.lowerChance},
-            {"upper", judgement.bounds.upperChance}};
+            {"verdict", static_cast<int>(evaluation.verdict)},
+            {"fresh", evaluation.canaryOutcomes},
+            {"earlier", evaluation.stableOutcomes},
+            {"bad", evaluation.canaryFailures},
+            {"lower", evaluation.bounds.lowerChance},
+            {"upper", evaluation.bounds.upperChance}};
 }
 
 Json encode(const PeerLost& lost) { return {{"t", wire::kPeerLost}, {"name", lost.name}}; }
--- a/src/proxy/rollout_voting.cpp
+++ b/src/proxy/rollout_voting.cpp
@@ -15,11 +15,11 @@
 }  // namespace
 
 RolloutVoting::RolloutVoting(asio::io_context& io, const config::BootstrapSettings& settings,
-                             std::uint64_t life, routing::Router& router, const FleetMembership& fleet,
+                             std::uint64_t incarnation, routing::Router& router, const FleetMembership& fleet,
                              const PeerConnections& connections, std::function<void()> onEnded)
     : io_(io),
       settings_(settings),
-      life_(life),
+      incarnation_(incarnation),
       router_(router),
       fleet_(fleet),
       connections_(connections),
@@ -34,7 +34,7 @@
     spawn(io_, "outcome_counts", countWhileRunning());
 }
 
-// Totals go out every kCountsInterval, and sooner once failures of a canary have come.
+// Sends totals every kCountsInterval, and earlier when a canary has new failures.
 Task<> RolloutVoting::countWhileRunning() {
     Nanos lastSent = 0;
     std::uint64_t failuresSent = 0;
@@ -47,50 +47,51 @@
             if (!rollout.running()) continue;
             running = true;
             if (due) sendCounts(rollout);
-            judge(rollout);
+            evaluate(rollout);
         }
         if (!due) continue;
         lastSent = now();
         failuresSent = router_.canaryFailures();
     }
     counting_ = false;
-    pools_.clear();
+    aggregators_.clear();
     onEnded_();
 }
 
 void RolloutVoting::sendCounts(const messages::Rollout& rollout) {
     const auto& totals = router_.totals(rollout.service, rollout.target);
     const auto key = keyOf(rollout);
-    ++sentCounts_;
-    EncodedMessage packed;
+    ++lastSequence_;
+    EncodedMessage encoded;
     for (const auto& voter : fleet_.votersOf(rollout)) {
         if (voter == settings_.name) {
-            pools_[key].update(settings_.name, life_, sentCounts_, totals);
+            aggregators_[key].update(settings_.name, incarnation_, lastSequence_, totals);
             continue;
         }
         const auto connection = connections_.peer(fleet_.proxies().at(voter));
         if (!connection) continue;
-        if (!packed)
-            packed = PeerConnection::encode(
-                encode(OutcomeCounts{settings_.name, life_, sentCounts_, key, totals}));
-        connection->send(packed);
+        if (!encoded)
+            encoded = PeerConnection::encode(
+                encode(OutcomeCounts{settings_.name, incarnation_, lastSequence_, key, totals}));
+        connection->send(encoded);
     }
 }
 
 void RolloutVoting::onCounts(OutcomeCounts counts) {
-    pools_[counts.rollout].update(counts.from, counts.life, counts.number, std::move(counts.totals));
+    aggregators_[counts.rollout].update(counts.from, counts.incarnation, counts.sequence,
+                                        std::move(counts.totals));
 }
 
-void RolloutVoting::judge(const messages::Rollout& rollout) {
+void RolloutVoting::evaluate(const messages::Rollout& rollout) {
     const auto voters = fleet_.votersOf(rollout);
     if (std::find(voters.begin(), voters.end(), settings_.name) == voters.end()) return;
     const auto key = keyOf(rollout);
-    auto& next = nextJudgement_[key];
+    auto& next = nextEvaluation_[key];
     if (now() < next) return;
     next = now() + verdict::kEvaluationInterval;
-    const auto judgement = verdict::evaluateCanary(pools_[key].sum(), chance_);
+    const auto evaluation = verdict::evaluateCanary(aggregators_[key].sum(), random_);
     connections_.sendToControlNodes(
-        encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, judgement}));
+        encode(Vote{settings_.name, rollout.service, rollout.target, rollout.stage, evaluation}));
 }
 
 }  // namespace lichenlanding::proxy
--- a/tests/metadata/rhythm.cpp
+++ b/tests/metadata/rhythm.cpp
@@ -92,9 +92,9 @@
         std::ofstream(path) << text;
         try {
             const auto read = sidecar::readTrustConfig(path);
-            trace << "accepted: " << read.metadata.size() << " mirrors, every " << read.rhythm.regular / kMs
-                  << " ms, draining " << read.metadata.back().draining << ", documents to "
-                  << read.sizes.targets << '\n';
+            trace << "accepted: " << read.metadata.size() << " mirrors, every "
+                  << read.refreshIntervals.regular / kMs << " ms, draining " << read.metadata.back().draining
+                  << ", documents to " << read.sizes.targets << '\n';
         } catch (const std::invalid_argument& error) {
             std::string message = error.what();
             trace << (message.compare(0, path.size(), path) == 0 ? "FILE" + message.substr(path.size())
