--- a/src/metadata/role.cpp
+++ b/src/metadata/role.cpp
@@ -108,12 +108,10 @@
             return invalid(envelope, role,
                            "role " + escaped(*name, 80) + " needs either paths or path_hash_prefixes");
         for (const auto& one : paths ? *paths : *prefixes) {
-            if (!one.is_string())
-                return invalid(envelope, role, "role " + escaped(*name, 80) + ": paths must be strings");
+            if (!one.is_string()) return invalid(envelope, role, "role " + escaped(*name, 80) + ": bad path");
             (paths ? delegation.paths : delegation.prefixes).push_back(one.get<std::string>());
             if (prefixes && !isLowerHex(delegation.prefixes.back()))
-                return invalid(envelope, role,
-                               "role " + escaped(*name, 80) + ": path_hash_prefixes must be lower-case hex");
+                return invalid(envelope, role, "role " + escaped(*name, 80) + ": bad path_hash_prefixes");
         }
         const auto number = targets.delegations.size();
         if (!targets.byName.emplace(*name, number).second)
