--- a/src/sidecar/trust_config.cpp
+++ b/src/sidecar/trust_config.cpp
@@ -120,7 +120,7 @@
     auto& timeout = config.timeouts.response;
     timeout = fields.integer("answerMs", 50, 3'600'000, timeout / kMillisecond) * kMillisecond;
     const auto megabytes = fields.integer("documentMegabytes", 1, 64, 4);
-    config.sizes = metadata::Sizes::small(static_cast<std::size_t>(megabytes) * 1'000'000);
+    config.sizes = metadata::SizeLimits::small(static_cast<std::size_t>(megabytes) * 1'000'000);
 }
 
 void readServe(const Json& json, const std::string& path, TrustConfig& config) {
--- a/src/sidecar/trust_config.hpp
+++ b/src/sidecar/trust_config.hpp
@@ -28,8 +28,8 @@
     std::vector<MirrorUrl> metadata, targets;
     std::string buildPathPattern;  ///< of the targets, such as "releases/{build}"
     metadata::RefreshSchedule::Intervals refreshIntervals;
-    metadata::Sizes sizes = metadata::Sizes::small();  ///< size limits of documents
-    bool verifyOnWorker = true;                        ///< verify on a WorkerThread
+    metadata::SizeLimits sizes = metadata::SizeLimits::small();  ///< size limits of documents
+    bool verifyOnWorker = true;                                  ///< verify on a WorkerThread
     metadata::FetchTimeouts timeouts;
     std::optional<Address> serveAddress;  ///< serve as a mirror for others
     std::size_t maxServeConnections = 64, serveCacheBytes = 32U << 20;
--- a/src/sidecar/trust_store.hpp
+++ b/src/sidecar/trust_store.hpp
@@ -20,7 +20,8 @@
     /// Starts from the stored root, or from the shipped root if that is newer or the stored one is missing or
     /// refused. A shipped root that is used is stored at once. `rootChoice` explains the choice, for the log.
     metadata::Result<metadata::TrustedSet> start(const std::string& shippedRoot, metadata::UnixSeconds now,
-                                                 std::string& rootChoice, const metadata::Sizes& sizes = {});
+                                                 std::string& rootChoice,
+                                                 const metadata::SizeLimits& sizes = {});
 
   private:
     std::unique_ptr<store::PosixDisk> disk_;
--- a/tests/sidecar/trust_manager.cpp
+++ b/tests/sidecar/trust_manager.cpp
@@ -12,7 +12,8 @@
         fixture.sendRequests(20);
         const auto refusal = fixture.nextRefresh();
         trace << what << ": "
-              << (refusal.empty() ? "accepted" : masked(refusal.substr(0, refusal.find(": at ")))) << '\n';
+              << (refusal.empty() ? "accepted" : maskVolatile(refusal.substr(0, refusal.find(": at "))))
+              << '\n';
     };
     const auto firstFiles = fixture.repository.files;
     serveAndRefresh("first", firstFiles);
@@ -29,7 +30,7 @@
     mixedFiles["4.snapshot.json"] = secondFiles.at("3.snapshot.json");
     serveAndRefresh("mixed", mixedFiles);
     Repository expired = later;
-    expired.timestampUntil = wallClockSeconds() - 10;
+    expired.timestampExpires = wallClockSeconds() - 10;
     expired.publish();
     serveAndRefresh("expired", expired.files);
     Repository otherRepository(true, wallClockSeconds());
@@ -44,7 +45,7 @@
 
 TEST_CASE("when the timestamp expires under load, builds lose their attestation and requests continue") {
     TrustFixture fixture;
-    fixture.repository.timestampUntil = wallClockSeconds() + 3;
+    fixture.repository.timestampExpires = wallClockSeconds() + 3;
     fixture.repository.publish();
     fixture.files = fixture.repository.files;
     fixture.changeConfig = [](sidecar::Config& config) {
@@ -56,7 +57,7 @@
     fixture.scripts[0] = [](auto& server, auto* request, auto&) {
         return server.respond(request, 500, ""), true;
     };
-    while (wallClockSeconds() <= fixture.repository.timestampUntil + 1) {
+    while (wallClockSeconds() <= fixture.repository.timestampExpires + 1) {
         fixture.sendRequests(1);
         fixture.runUntil([&] { return fixture.responses.back()->has_value(); });
     }
@@ -65,7 +66,7 @@
     CHECK(fixture.sidecar->trust()->lastRefusal() ==
           "root: unavailable: " + fixture.mirrors[0]->address.text() + ": error response 500");
     fixture.scripts[0] = nullptr;
-    fixture.repository.timestampUntil = wallClockSeconds() + 3600;
+    fixture.repository.timestampExpires = wallClockSeconds() + 3600;
     fixture.repository.publish();
     fixture.files = fixture.repository.files;
     CHECK(fixture.nextRefresh().empty());
@@ -208,7 +209,7 @@
     CHECK(fixture.attestationOf(5) == Attestation::valid);
     // The image repository no longer lists it, although the director does.
     removeTarget(fixture.repository.role("targets"), "releases/5");
-    fixture.repository.redo("targets");
+    fixture.repository.markChanged("targets");
     fixture.repository.publish();
     fixture.files = fixture.repository.files;
     CHECK(fixture.nextRefresh().empty());
@@ -216,6 +217,6 @@
     director.delegateTo("targets", "other", {"*"});
     director.publish();
     directorFiles = director.files;
-    CHECK(fixture.nextRefresh() == "director director: wrong-shape: it delegates");
+    CHECK(fixture.nextRefresh() == "director director: wrong-shape: the director must not delegate");
     std::filesystem::remove(fixture.directory + ".director");
 }
