--- a/bench/days/generate.cpp
+++ b/bench/days/generate.cpp
@@ -1,10 +1,10 @@
-// Days that beat on the core, drawn from a seed, as a day file for the operators' bench.
+// Generates a day file for the operators' bench from a seed: days with faults of the core machines.
 //
 //   g++ -std=c++20 -O2 -o /tmp/generate bench/days/generate.cpp      (or -DLICHENLANDING_BENCH=ON)
 //   /tmp/generate --seed 7 --days 32 --core 5 --machines 1 > days.toml
 //
-// The same arguments give the same bytes. Each day draws from its own seed, so that one can be had alone
-// (--first 12 --days 1). See README.md beside this file.
+// The same arguments give the same bytes. Each day has its own seed, so that a single day can be generated
+// (--first 12 --days 1). See README.md in this directory.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <array>
@@ -18,162 +18,174 @@
 
 namespace {
 
-/// What the days are for. Times are seconds of the day, counts are machines.
+/// The deployment under test. Times are in seconds, counts in machines.
 struct Deployment {
     int core = 3;  ///< core machines
-    int machines =
-        1;  ///< of them, how many may be lost at once; 0: the deployment bears zones or regions instead
-    int zones = 0;  ///< zones that may be lost at once
-    double lengthLeast = 32, lengthMost = 90;
-    bool storms = false;  ///< the deployment's contracts list config_storm
+    /// Core machines that may be lost at once; 0 if the deployment tolerates losses of zones or regions
+    /// instead.
+    int machines = 1;
+    int zones = 0;                          ///< zones that may be lost at once
+    double minLength = 32, maxLength = 90;  ///< length of a day in seconds
+    bool configStorms = false;              ///< whether the deployment's contracts list config_storm
 };
 
-/// SplitMix64: the same numbers on every machine and with every library.
-class Chance {
+/// SplitMix64, which gives the same numbers on every machine and with every standard library.
+class Random {
   public:
-    explicit Chance(std::uint64_t seed) : state_(seed) {}
+    explicit Random(std::uint64_t seed) : state_(seed) {}
     std::uint64_t next() {
         std::uint64_t z = state_ += 0x9e3779b97f4a7c15;
         z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9;
         z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
         return z ^ (z >> 31);
     }
-    double unit() { return double(next() >> 11) * 0x1p-53; }
-    double between(double least, double most) { return least + (most - least) * unit(); }
-    int whole(int least, int most) { return least + int(next() % std::uint64_t(most - least + 1)); }
-    bool in(double share) { return unit() < share; }
-    std::string of(std::initializer_list<std::string_view> words) {
-        return std::string(*(words.begin() + next() % words.size()));
+    double uniform01() { return double(next() >> 11) * 0x1p-53; }
+    double uniform(double minimum, double maximum) { return minimum + (maximum - minimum) * uniform01(); }
+    int integer(int minimum, int maximum) {
+        return minimum + int(next() % std::uint64_t(maximum - minimum + 1));
+    }
+    bool withProbability(double share) { return uniform01() < share; }
+    std::string choose(std::initializer_list<std::string_view> choices) {
+        return std::string(*(choices.begin() + next() % choices.size()));
     }
 
   private:
     std::uint64_t state_;
 };
 
-/// One entry of a day. Fields below zero, and empty words, are left out.
+/// One entry of a day, with fields as in the day file. Negative numbers and empty strings are omitted.
 struct Entry {
     double at = 0;
     std::string kind;
     std::string how = {};
     bool core = false;
     int count = -1;
-    double share = -1, x = -1, forS = -1, gapS = -1;
-    bool front = false;  ///< on the proxies' machines alone
+    double share = -1, x = -1, forS = -1, gapS = -1;  ///< forS, gapS: seconds
+    bool front = false;                               ///< only on machines of proxies
 };
 
-std::string number(double value) {
-    char text[32];
-    std::snprintf(text, sizeof text, "%.3f", value);
-    std::string s = text;
-    while (s.back() == '0') s.pop_back();
-    if (s.back() == '.') s += '0';
-    return s;
+std::string formatNumber(double value) {
+    char buffer[32];
+    std::snprintf(buffer, sizeof buffer, "%.3f", value);
+    std::string output = buffer;
+    while (output.back() == '0') output.pop_back();
+    if (output.back() == '.') output += '0';
+    return output;
 }
 
-std::string text(const Entry& e) {
-    std::string s = "  { at = " + number(e.at) + ", kind = \"" + e.kind + "\"";
-    if (e.core) s += ", on = \"core\"";
-    if (e.front) s += ", on = \"front\"";
-    if (!e.how.empty()) s += ", how = \"" + e.how + "\"";
-    if (e.count >= 0) s += ", count = " + std::to_string(e.count);
-    if (e.share >= 0) s += ", share = " + number(e.share);
-    if (e.x >= 0) s += ", x = " + number(e.x);
-    if (e.forS >= 0) s += ", for_s = " + number(e.forS);
-    if (e.gapS >= 0) s += ", gap_s = " + number(e.gapS);
-    return s + " },\n";
+std::string formatEntry(const Entry& entry) {
+    std::string output = "  { at = " + formatNumber(entry.at) + ", kind = \"" + entry.kind + "\"";
+    if (entry.core) output += ", on = \"core\"";
+    if (entry.front) output += ", on = \"front\"";
+    if (!entry.how.empty()) output += ", how = \"" + entry.how + "\"";
+    if (entry.count >= 0) output += ", count = " + std::to_string(entry.count);
+    if (entry.share >= 0) output += ", share = " + formatNumber(entry.share);
+    if (entry.x >= 0) output += ", x = " + formatNumber(entry.x);
+    if (entry.forS >= 0) output += ", for_s = " + formatNumber(entry.forS);
+    if (entry.gapS >= 0) output += ", gap_s = " + formatNumber(entry.gapS);
+    return output + " },\n";
 }
 
 class Day {
   public:
     Day(const Deployment& deployment, std::uint64_t seed)
-        : site_(deployment), chance_(seed), daySeed_(int(chance_.next() >> 34)) {
-        length_ = chance_.in(0.5) ? site_.lengthLeast : chance_.between(site_.lengthLeast, site_.lengthMost);
+        : deployment_(deployment), random_(seed), daySeed_(int(random_.next() >> 34)) {
+        length_ = random_.withProbability(0.5)
+                      ? deployment_.minLength
+                      : random_.uniform(deployment_.minLength, deployment_.maxLength);
         length_ = std::floor(length_);
-        family_ = chance_.in(0.6) ? 0 : chance_.whole(1, 6);
-        orders();
-        beats();
-        if (chance_.in(0.4)) season();
-        if (chance_.in(0.5)) nuisances();
-        closing();
+        faultFamily_ = random_.withProbability(0.6) ? 0 : random_.integer(1, 6);
+        addOperatorActions();
+        addFaults();
+        if (random_.withProbability(0.4)) addBackgroundFaults();
+        if (random_.withProbability(0.5)) addHarmlessFaults();
+        addClosing();
     }
 
     std::string write(const std::string& name) const {
-        std::string s =
+        std::string output =
             "[[day]]\nname = \"" + name + "\"\nslot = \"trouble\"\nseed = " + std::to_string(daySeed_);
-        s += "\nlength_s = " + number(length_) + "\none = 1.0\nzero = 0.0\ngoal = { floor = 0.05 }\n" +
-             closing_;
-        s += list("plan", plan_) + list("faults", faults_);
-        return s + "\n";
+        output += "\nlength_s = " + formatNumber(length_) +
+                  "\none = 1.0\nzero = 0.0\ngoal = { floor = 0.05 }\n" + closing_;
+        output += formatList("plan", plan_) + formatList("faults", faults_);
+        return output + "\n";
     }
 
   private:
-    static std::string list(const char* name, std::vector<Entry> entries) {
+    static std::string formatList(const char* name, std::vector<Entry> entries) {
         std::stable_sort(entries.begin(), entries.end(), [](auto& a, auto& b) { return a.at < b.at; });
-        std::string s = std::string(name) + " = [\n";
-        for (auto& e : entries) s += text(e);
-        return s + "]\n";
+        std::string output = std::string(name) + " = [\n";
+        for (auto& entry : entries) output += formatEntry(entry);
+        return output + "]\n";
     }
 
-    double moment() { return chance_.between(1.0, length_ - 1.0); }
+    double chooseTime() { return random_.uniform(1.0, length_ - 1.0); }
 
-    /// What a change of the configuration may be.
-    std::string change() { return chance_.of({"route", "weights", "timeout", "idle", "tenant", "quota"}); }
+    /// Chooses the kind of a configuration change.
+    std::string chooseConfigChange() {
+        return random_.choose({"route", "weights", "timeout", "idle", "tenant", "quota"});
+    }
 
-    /// The operators' orders: a few, a steady flow, or hundreds right behind each other.
-    void orders() {
-        plan_.push_back({.at = chance_.between(0.5, 3.0), .kind = "config_change", .how = "route"});
-        int pace = chance_.whole(0, 9);
-        if (pace < 4) {
-            for (int n = chance_.whole(2, 10); n > 0; --n)
-                plan_.push_back({.at = moment(), .kind = "config_change", .how = change()});
-        } else if (pace < 7) {
-            double gap = chance_.between(0.8, 3.0);
+    /// Operator actions: a few, a steady flow, or hundreds in quick succession.
+    void addOperatorActions() {
+        plan_.push_back({.at = random_.uniform(0.5, 3.0), .kind = "config_change", .how = "route"});
+        int pattern = random_.integer(0, 9);
+        if (pattern < 4) {
+            for (int n = random_.integer(2, 10); n > 0; --n)
+                plan_.push_back({.at = chooseTime(), .kind = "config_change", .how = chooseConfigChange()});
+        } else if (pattern < 7) {
+            double gap = random_.uniform(0.8, 3.0);
             for (double at = 3; at < length_ - 1; at += gap)
-                plan_.push_back({.at = at, .kind = "config_change", .how = change()});
+                plan_.push_back({.at = at, .kind = "config_change", .how = chooseConfigChange()});
         } else {
-            // A long row: whoever is away meanwhile has hundreds to catch up on.
-            double from = chance_.between(2.0, length_ / 2), gap = chance_.between(0.04, 0.25);
-            int most = chance_.whole(100, 400);
-            if (site_.storms && chance_.in(0.5))
-                plan_.push_back({.at = from, .kind = "config_storm", .count = most, .gapS = gap});
+            // A long series, so that a node that is down meanwhile has to catch up on hundreds of changes.
+            double from = random_.uniform(2.0, length_ / 2), gap = random_.uniform(0.04, 0.25);
+            int changeCount = random_.integer(100, 400);
+            if (deployment_.configStorms && random_.withProbability(0.5))
+                plan_.push_back({.at = from, .kind = "config_storm", .count = changeCount, .gapS = gap});
             else
-                for (int n = 0; n < most && from + n * gap < length_ - 1; ++n)
-                    plan_.push_back({.at = from + n * gap, .kind = "config_change", .how = change()});
+                for (int n = 0; n < changeCount && from + n * gap < length_ - 1; ++n)
+                    plan_.push_back(
+                        {.at = from + n * gap, .kind = "config_change", .how = chooseConfigChange()});
         }
-        for (int n = chance_.whole(0, 3); n > 0; --n)
-            plan_.push_back({.at = moment(),
+        for (int n = random_.integer(0, 3); n > 0; --n)
+            plan_.push_back({.at = chooseTime(),
                              .kind = "config_race",
-                             .count = chance_.whole(1, 12),
-                             .gapS = chance_.between(0.1, 1.5)});
-        for (int n = chance_.whole(0, 2); n > 0; --n)
+                             .count = random_.integer(1, 12),
+                             .gapS = random_.uniform(0.1, 1.5)});
+        for (int n = random_.integer(0, 2); n > 0; --n)
             plan_.push_back(
-                {.at = moment(),
+                {.at = chooseTime(),
                  .kind = "bad_config",
-                 .how = chance_.of({"", "old_version", "same_version", "same_version", "cut_short",
-                                    "unknown_service", "same_place", "no_weight", "no_timeout"}),
-                 .count = chance_.whole(1, 8),
-                 .gapS = chance_.between(0.1, 1.0)});
-        if (chance_.in(0.35))
-            plan_.push_back({.at = chance_.between(1.0, std::max(2.0, length_ - 18)),
+                 .how = random_.choose({"", "old_version", "same_version", "same_version", "cut_short",
+                                        "unknown_service", "same_place", "no_weight", "no_timeout"}),
+                 .count = random_.integer(1, 8),
+                 .gapS = random_.uniform(0.1, 1.0)});
+        if (random_.withProbability(0.35))
+            plan_.push_back({.at = random_.uniform(1.0, std::max(2.0, length_ - 18)),
                              .kind = "rollout_good",
-                             .forS = chance_.between(13, 17)});
-        if (chance_.in(0.25))
-            plan_.push_back({.at = chance_.between(1.0, std::max(2.0, length_ - 18)),
+                             .forS = random_.uniform(13, 17)});
+        if (random_.withProbability(0.25))
+            plan_.push_back({.at = random_.uniform(1.0, std::max(2.0, length_ - 18)),
                              .kind = "rollout_bad",
-                             .how = chance_.of({"errors", "slow", "under_load", "one_class", "late"}),
-                             .share = chance_.between(0.4, 0.7),
-                             .forS = chance_.between(13, 17),
-                             .gapS = chance_.between(1, 4)});
+                             .how = random_.choose({"errors", "slow", "under_load", "one_class", "late"}),
+                             .share = random_.uniform(0.4, 0.7),
+                             .forS = random_.uniform(13, 17),
+                             .gapS = random_.uniform(1, 4)});
     }
 
-    /// How many machines an entry takes: mostly one, at times as many as may be lost.
-    int lost() { return site_.machines > 1 && chance_.in(0.5) ? chance_.whole(1, site_.machines) : 1; }
+    /// Number of machines that an entry affects: mostly one, sometimes up to as many as may be lost.
+    int chooseMachineCount() {
+        return deployment_.machines > 1 && random_.withProbability(0.5)
+                   ? random_.integer(1, deployment_.machines)
+                   : 1;
+    }
 
-    /// The words that may stand behind a kill or a cut.
-    std::string aimed(bool cut) {
-        std::string how = chance_.of({"", "leader", "leader", "reader", "seed"});
+    /// Modifiers of a kill, freeze or network partition: the target, the timing, and how it ends.
+    std::string chooseModifiers(bool isPartition) {
+        std::string how = random_.choose({"", "leader", "leader", "reader", "seed"});
         auto add = [&](const char* word) { how += (how.empty() ? "" : " ") + std::string(word); };
-        switch (chance_.whole(0, 4)) {
+        switch (random_.integer(0, 4)) {
             case 0:
                 add("meet");
                 break;
@@ -183,209 +195,223 @@
             default:
                 break;
         }
-        if (!cut && chance_.in(0.15)) add("hard");
-        if (chance_.in(0.2)) add("drain");
+        if (!isPartition && random_.withProbability(0.15)) add("hard");
+        if (random_.withProbability(0.2)) add("drain");
         return how;
     }
 
-    /// Which blow: of all kinds, or on some days of one family again and again.
-    int drawn() {
-        switch (family_) {
+    /// Chooses a fault kind for addFault(): any kind, or on some days mostly kinds of one family.
+    int chooseFaultKind() {
+        switch (faultFamily_) {
             case 1:
-                return chance_.whole(5, 7);  // losses with and without the disk
+                return random_.integer(5, 7);  // losses with and without the disk
             case 2:
-                return 11;  // cuts
+                return 11;  // network partitions
             case 3:
-                return chance_.in(0.5) ? chance_.whole(8, 10) : 2;  // disks, freezes, losses of power
+                return random_.withProbability(0.5) ? random_.integer(8, 10)
+                                                    : 2;  // disk faults, freezes, losses of power
             case 4:
-                return chance_.in(0.5) ? 4 : chance_.whole(0, 7);  // all at once, and what comes close
+                return random_.withProbability(0.5)
+                           ? 4
+                           : random_.integer(0, 7);  // loss of all machines, and similar faults
             case 5:
-                return chance_.in(0.7) ? chance_.whole(14, 15) : chance_.whole(3, 7);  // machines change
+                return random_.withProbability(0.7) ? random_.integer(14, 15)
+                                                    : random_.integer(3, 7);  // machines are replaced
             case 6:
-                return chance_.in(0.5) ? chance_.whole(16, 18) : chance_.whole(8, 11);  // slow, silent, reset
+                return random_.withProbability(0.5)
+                           ? random_.integer(16, 18)
+                           : random_.integer(8, 11);  // stalls, resets, slow or frozen machines, disk faults
             default:
-                return chance_.whole(0, 18);
+                return random_.integer(0, 18);
         }
     }
 
-    /// A core machine is gone for good, or goes as planned, and an empty one comes at another address.
-    double replaced(double at) {
-        const double after = chance_.between(0.3, 4.0);
-        if (chance_.in(0.5)) {
+    /// Replaces a core machine, as planned or after its permanent loss, by an empty one at another address.
+    double replaceCoreMachine(double at) {
+        const double after = random_.uniform(0.3, 4.0);
+        if (random_.withProbability(0.5)) {
             plan_.push_back({.at = at, .kind = "replace_core", .how = "planned", .core = true, .x = after});
         } else {
             faults_.push_back({.at = at, .kind = "replace_core", .core = true, .x = after});
         }
-        if (chance_.in(0.5)) plan_.push_back({.at = at + chance_.between(0, 8), .kind = "seed_turnover"});
+        if (random_.withProbability(0.5))
+            plan_.push_back({.at = at + random_.uniform(0, 8), .kind = "seed_turnover"});
         return after + 5;
     }
 
-    /// One blow to the core; for how long it lasts.
-    double beat(double at) {
-        double forS = chance_.between(0.3, 5.0);
-        if (site_.machines == 0) {
-            // Kinds that take single counted machines are not played where only zones may go.
-            switch (chance_.whole(0, 3)) {
+    /// Adds one fault of the core machines; returns its duration in seconds.
+    double addFault(double at) {
+        double forS = random_.uniform(0.3, 5.0);
+        if (deployment_.machines == 0) {
+            // Without tolerated machine losses, kinds that affect single machines are left out.
+            switch (random_.integer(0, 3)) {
                 case 0:
                     faults_.push_back({.at = at, .kind = "herd_kill", .core = true, .forS = forS});
                     return 15;
                 case 1:
                     faults_.push_back({.at = at,
                                        .kind = "herd_kill",
-                                       .how = chance_.of({"power", "taken"}),
+                                       .how = random_.choose({"power", "taken"}),
                                        .core = true,
                                        .forS = forS});
                     return 15;
                 case 2:
                     plan_.push_back({.at = at,
                                      .kind = "roll_term",
-                                     .how = chance_.of({"", "busy", "remove busy"}),
+                                     .how = random_.choose({"", "busy", "remove busy"}),
                                      .core = true,
                                      .x = 1,
-                                     .gapS = chance_.between(0.5, 3)});
+                                     .gapS = random_.uniform(0.5, 3)});
                     return 5;
                 default:
                     faults_.push_back(
-                        {.at = at, .kind = "node_cut", .share = chance_.between(0.1, 0.5), .forS = forS * 2});
+                        {.at = at, .kind = "node_cut", .share = random_.uniform(0.1, 0.5), .forS = forS * 2});
                     return forS * 2;
             }
         }
-        switch (drawn()) {
+        switch (chooseFaultKind()) {
             case 14:
-                return replaced(at);
+                return replaceCoreMachine(at);
             case 15:
-                if (chance_.in(0.7)) return replaced(at);
+                if (random_.withProbability(0.7)) return replaceCoreMachine(at);
                 plan_.push_back({.at = at, .kind = "seed_turnover"});
                 return 2;
             case 16:
-                faults_.push_back({.at = at, .kind = "disk_stall", .count = lost(), .forS = forS * 2});
+                faults_.push_back(
+                    {.at = at, .kind = "disk_stall", .count = chooseMachineCount(), .forS = forS * 2});
                 return forS * 2;
             case 17:
                 faults_.push_back({.at = at,
                                    .kind = "reset_conns",
                                    .core = true,
-                                   .share = chance_.between(0.3, 1.0),
-                                   .x = chance_.between(0.3, 1.0)});
+                                   .share = random_.uniform(0.3, 1.0),
+                                   .x = random_.uniform(0.3, 1.0)});
                 return 1;
             case 18:
                 faults_.push_back({.at = at,
                                    .kind = "node_slow",
                                    .core = true,
-                                   .count = lost(),
-                                   .x = chance_.between(3, 12),
+                                   .count = chooseMachineCount(),
+                                   .x = random_.uniform(3, 12),
                                    .forS = forS * 2});
                 return forS * 2;
             case 0:
             case 1:
                 faults_.push_back({.at = at,
                                    .kind = "node_kill",
-                                   .how = aimed(false),
+                                   .how = chooseModifiers(false),
                                    .core = true,
-                                   .count = lost(),
+                                   .count = chooseMachineCount(),
                                    .forS = forS});
                 return forS;
             case 2: {
-                std::string how = aimed(false);
+                std::string how = chooseModifiers(false);
                 faults_.push_back({.at = at,
                                    .kind = "node_kill",
                                    .how = "power" + (how.empty() ? "" : " " + how),
                                    .core = true,
-                                   .count = lost(),
+                                   .count = chooseMachineCount(),
                                    .forS = forS});
                 return forS;
             }
             case 3:
                 plan_.push_back({.at = at,
                                  .kind = "roll_term",
-                                 .how = chance_.of({"", "busy", "remove", "remove busy"}),
+                                 .how = random_.choose({"", "busy", "remove", "remove busy"}),
                                  .core = true,
-                                 .x = double(lost()),
-                                 .gapS = chance_.between(0.3, 3)});
+                                 .x = double(chooseMachineCount()),
+                                 .gapS = random_.uniform(0.3, 3)});
                 return 8;
             case 4:
                 faults_.push_back({.at = at,
                                    .kind = "herd_kill",
-                                   .how = chance_.of({"", "power", "off", "taken", "taken all"}),
+                                   .how = random_.choose({"", "power", "off", "taken", "taken all"}),
                                    .core = true,
                                    .forS = forS});
                 return 15;
             case 5:
                 faults_.push_back({.at = at,
                                    .kind = "after_ack_kill",
-                                   .how = chance_.of({"", "kill", "timed", "taken"}),
-                                   .count = lost(),
+                                   .how = random_.choose({"", "kill", "timed", "taken"}),
+                                   .count = chooseMachineCount(),
                                    .forS = forS});
                 return forS;
             case 6:
             case 7:
                 faults_.push_back({.at = at,
                                    .kind = "after_ack_wipe",
-                                   .how = chance_.of({"", "timed", "taken", "oldest"}),
-                                   .count = lost(),
+                                   .how = random_.choose({"", "timed", "taken", "oldest"}),
+                                   .count = chooseMachineCount(),
                                    .forS = forS});
                 return forS;
             case 8:
-                faults_.push_back({.at = at, .kind = "disk_full", .count = lost(), .forS = forS * 2});
+                faults_.push_back(
+                    {.at = at, .kind = "disk_full", .count = chooseMachineCount(), .forS = forS * 2});
                 return forS * 2;
             case 9:
                 faults_.push_back({.at = at,
                                    .kind = "disk_slow",
-                                   .how = chance_.of({"", "leader"}),
-                                   .count = lost(),
-                                   .x = chance_.between(10, 60),
+                                   .how = random_.choose({"", "leader"}),
+                                   .count = chooseMachineCount(),
+                                   .x = random_.uniform(10, 60),
                                    .forS = forS * 2});
                 return forS * 2;
             case 10:
                 faults_.push_back({.at = at,
                                    .kind = "node_freeze",
-                                   .how = aimed(true),
+                                   .how = chooseModifiers(true),
                                    .core = true,
-                                   .count = lost(),
+                                   .count = chooseMachineCount(),
                                    .forS = forS});
                 return forS;
             default: {  // 11 to 13
-                // Every other cut lasts long: whoever is behind it has time to hand out what it holds.
-                if (chance_.in(0.5)) forS = chance_.between(15, std::max(16.0, std::min(35.0, length_ / 2)));
-                std::string how = aimed(true), which = chance_.of({"", "", "one_way", "seeds", "both",
-                                                                   "split", "near", "oldest", "relieve"});
+                // Half of the partitions last long, so that an isolated node has time to distribute its
+                // state.
+                if (random_.withProbability(0.5))
+                    forS = random_.uniform(15, std::max(16.0, std::min(35.0, length_ / 2)));
+                std::string how = chooseModifiers(true),
+                            which = random_.choose(
+                                {"", "", "one_way", "seeds", "both", "split", "near", "oldest", "relieve"});
                 if (!which.empty()) how = which + (how.empty() ? "" : " " + how);
-                if (chance_.in(0.2))
-                    how += std::string(how.empty() ? "" : " ") + chance_.of({"reset", "refuse"});
-                faults_.push_back({.at = at, .kind = "core_cut", .how = how, .count = lost(), .forS = forS});
-                if (chance_.in(0.4))
-                    faults_.push_back({.at = at + chance_.between(0, forS),
+                if (random_.withProbability(0.2))
+                    how += std::string(how.empty() ? "" : " ") + random_.choose({"reset", "refuse"});
+                faults_.push_back(
+                    {.at = at, .kind = "core_cut", .how = how, .count = chooseMachineCount(), .forS = forS});
+                if (random_.withProbability(0.4))
+                    faults_.push_back({.at = at + random_.uniform(0, forS),
                                        .kind = "node_cut",
-                                       .share = chance_.between(0.1, 0.4),
-                                       .forS = chance_.between(1, forS)});
+                                       .share = random_.uniform(0.1, 0.4),
+                                       .forS = random_.uniform(1, forS)});
                 return forS;
             }
         }
     }
 
-    /// Blows one behind the other, each at any time of the one before or right after its end: the bench lets
-    /// one wait that would take more than may be lost, so that it comes right after a repair.
-    void beats() {
-        double at = chance_.between(2, std::max(3.0, length_ / 3));
+    /// Faults in sequence, each during the previous one or after its end. The bench delays a fault that would
+    /// exceed the tolerated losses, so that it follows right after a repair.
+    void addFaults() {
+        double at = random_.uniform(2, std::max(3.0, length_ / 3));
         while (at < length_ - 2) {
-            double lasts = beat(at);
-            at += chance_.in(0.3)
-                      ? chance_.between(0, lasts)
-                      : lasts + (chance_.in(0.6) ? chance_.between(0, 5) : chance_.between(3, 15));
+            double duration = addFault(at);
+            at += random_.withProbability(0.3)
+                      ? random_.uniform(0, duration)
+                      : duration +
+                            (random_.withProbability(0.6) ? random_.uniform(0, 5) : random_.uniform(3, 15));
         }
     }
 
-    /// Trouble on the pods' and clients' side, so that orders meet a system at work.
-    void season() {
-        for (int n = chance_.whole(1, 3); n > 0; --n) {
-            double at = moment(), forS = chance_.between(2, 6);
-            switch (chance_.whole(0, 15)) {
+    /// Faults of pods, clients and proxies, so that operator actions meet a system under load.
+    void addBackgroundFaults() {
+        for (int n = random_.integer(1, 3); n > 0; --n) {
+            double at = chooseTime(), forS = random_.uniform(2, 6);
+            switch (random_.integer(0, 15)) {
                 case 8:
                     faults_.push_back({.at = at, .kind = "srv_slow", .share = 0.2, .x = 4, .forS = forS});
                     break;
                 case 9:
                     faults_.push_back({.at = at,
                                        .kind = "replace_with_reuse",
-                                       .how = chance_.of({"", "drain", "dark"}),
+                                       .how = random_.choose({"", "drain", "dark"}),
                                        .share = 0.1});
                     break;
                 case 10:
@@ -393,30 +419,30 @@
                     break;
                 case 11:
                     faults_.push_back(
-                        {.at = at, .kind = "burst", .x = chance_.between(1.3, 2.0), .forS = forS});
+                        {.at = at, .kind = "burst", .x = random_.uniform(1.3, 2.0), .forS = forS});
                     break;
                 case 12:
                     faults_.push_back({.at = at, .kind = "retry_abuse", .share = 0.3, .x = 3, .forS = forS});
                     break;
                 case 13: {
-                    // Those that are removed don't come back: some of them, never nearly all.
-                    const std::string how = chance_.of({"", "busy", "remove"});
+                    // Removed machines do not return, so only a small share is removed.
+                    const std::string how = random_.choose({"", "busy", "remove"});
                     plan_.push_back({.at = at,
                                      .kind = "roll_term",
                                      .how = how,
-                                     .share = how == "remove" ? 0.15 : chance_.between(0.2, 1.0),
-                                     .x = double(chance_.whole(1, 3)),
-                                     .gapS = chance_.between(0.5, 2),
+                                     .share = how == "remove" ? 0.15 : random_.uniform(0.2, 1.0),
+                                     .x = double(random_.integer(1, 3)),
+                                     .gapS = random_.uniform(0.5, 2),
                                      .front = true});
                     break;
                 }
                 case 14:
                 case 15:
-                    // Slow pods beside them: else few requests last until their clients leave.
+                    // Pods are slow too: otherwise few requests last until their clients disconnect.
                     faults_.push_back({.at = at,
                                        .kind = "give_up",
-                                       .share = chance_.between(0.2, 1.0),
-                                       .x = chance_.between(20, 400),
+                                       .share = random_.uniform(0.2, 1.0),
+                                       .x = random_.uniform(20, 400),
                                        .forS = forS});
                     faults_.push_back({.at = at, .kind = "srv_slow", .share = 0.4, .x = 5, .forS = forS});
                     break;
@@ -436,7 +462,7 @@
                 case 4:
                     faults_.push_back({.at = at,
                                        .kind = "garble",
-                                       .how = chance_.of({"", "extra", "unframed", "early"}),
+                                       .how = random_.choose({"", "extra", "unframed", "early"}),
                                        .share = 0.6,
                                        .x = 0.03,
                                        .forS = forS});
@@ -454,57 +480,58 @@
         }
     }
 
-    /// What alone costs a machine nothing: clocks, signals, connections, acknowledgements that get lost.
-    void nuisances() {
-        for (int n = chance_.whole(1, 4); n > 0; --n) {
-            const double at = moment(), forS = chance_.between(2, 12);
-            switch (chance_.whole(0, 4)) {
+    /// Faults that stop no machine: clock steps, signals, connection resets, lost acknowledgements.
+    void addHarmlessFaults() {
+        for (int n = random_.integer(1, 4); n > 0; --n) {
+            const double at = chooseTime(), forS = random_.uniform(2, 12);
+            switch (random_.integer(0, 4)) {
                 case 0:
-                    faults_.push_back({.at = at,
-                                       .kind = "clock_step",
-                                       .how = chance_.of({"back", "ahead"}),
-                                       .share = chance_.between(0.2, 1.0),
-                                       .x = chance_.in(0.5) ? 3600000 : chance_.between(500, 60000),
-                                       .forS = forS});
+                    faults_.push_back(
+                        {.at = at,
+                         .kind = "clock_step",
+                         .how = random_.choose({"back", "ahead"}),
+                         .share = random_.uniform(0.2, 1.0),
+                         .x = random_.withProbability(0.5) ? 3600000 : random_.uniform(500, 60000),
+                         .forS = forS});
                     break;
                 case 1:
                     plan_.push_back({.at = at,
                                      .kind = "hup",
-                                     .share = chance_.between(0.2, 1.0),
-                                     .gapS = chance_.between(0.1, 3)});
+                                     .share = random_.uniform(0.2, 1.0),
+                                     .gapS = random_.uniform(0.1, 3)});
                     break;
                 case 2:
                     faults_.push_back({.at = at,
                                        .kind = "reset_conns",
-                                       .share = chance_.between(0.1, 0.5),
-                                       .x = chance_.between(0.3, 1.0)});
+                                       .share = random_.uniform(0.1, 0.5),
+                                       .x = random_.uniform(0.3, 1.0)});
                     break;
                 case 3:
                     plan_.push_back({.at = at, .kind = "seed_turnover"});
                     break;
                 default:
                     faults_.push_back(
-                        {.at = at, .kind = "ack_lost", .x = chance_.between(0.3, 0.9), .forS = forS});
+                        {.at = at, .kind = "ack_lost", .x = random_.uniform(0.3, 0.9), .forS = forS});
                     break;
             }
         }
     }
 
-    void closing() {
-        if (chance_.in(0.2)) return;
-        std::string kind = chance_.of({"power_off_all", "kill_all", "wipe_after_ack", "wipe_after_ack"});
-        std::string how = chance_.of({"", "", "timed", "taken"});
-        if (kind == "wipe_after_ack" && how.empty() && chance_.in(0.5)) how = "aimed";
-        closing_ = "closing = { kind = \"" + kind + "\", down_s = " + number(chance_.between(0.4, 3.0));
+    void addClosing() {
+        if (random_.withProbability(0.2)) return;
+        std::string kind = random_.choose({"power_off_all", "kill_all", "wipe_after_ack", "wipe_after_ack"});
+        std::string how = random_.choose({"", "", "timed", "taken"});
+        if (kind == "wipe_after_ack" && how.empty() && random_.withProbability(0.5)) how = "aimed";
+        closing_ = "closing = { kind = \"" + kind + "\", down_s = " + formatNumber(random_.uniform(0.4, 3.0));
         if (!how.empty()) closing_ += ", how = \"" + how + "\"";
         closing_ += " }\n";
     }
 
-    const Deployment& site_;
-    Chance chance_;
+    const Deployment& deployment_;
+    Random random_;
     int daySeed_;
     double length_ = 0;
-    int family_ = 0;  ///< of blows; 0: all kinds
+    int faultFamily_ = 0;  ///< of faults; 0: all kinds
     std::vector<Entry> plan_, faults_;
     std::string closing_;
 };
@@ -512,35 +539,35 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("Writes a day file that beats on the core, from a seed");
-    Deployment site;
+    CLI::App app("Generates a day file with faults of the core machines from a seed");
+    Deployment deployment;
     std::uint64_t seed = 0;
     int days = 1, first = 0;
     app.add_option("--seed", seed, "the seed of all days")->required();
-    app.add_option("--days", days, "how many days")->check(CLI::Range(1, 10000));
+    app.add_option("--days", days, "number of days")->check(CLI::Range(1, 10000));
     app.add_option("--first", first, "number of the first day")->check(CLI::NonNegativeNumber);
-    app.add_option("--core", site.core, "core machines")->check(CLI::Range(1, 99));
-    app.add_option("--machines", site.machines, "core machines that may be lost at once")
+    app.add_option("--core", deployment.core, "core machines")->check(CLI::Range(1, 99));
+    app.add_option("--machines", deployment.machines, "core machines that may be lost at once")
         ->check(CLI::Range(0, 49));
-    app.add_option("--zones", site.zones, "zones that may be lost at once")->check(CLI::Range(0, 9));
-    app.add_option("--shortest", site.lengthLeast, "seconds of the shortest day")
+    app.add_option("--zones", deployment.zones, "zones that may be lost at once")->check(CLI::Range(0, 9));
+    app.add_option("--shortest", deployment.minLength, "seconds of the shortest day")
         ->check(CLI::Range(20.0, 600.0));
-    app.add_option("--longest", site.lengthMost, "seconds of the longest day")
+    app.add_option("--longest", deployment.maxLength, "seconds of the longest day")
         ->check(CLI::Range(20.0, 600.0));
-    app.add_flag("--storms", site.storms, "config_storm is among the deployment's kinds");
+    app.add_flag("--storms", deployment.configStorms, "the deployment's contracts list config_storm");
     CLI11_PARSE(app, argc, argv);
-    if (site.machines + 1 > site.core) {
-        std::fprintf(stderr, "fewer core machines than may be lost and one: --core %d --machines %d\n",
-                     site.core, site.machines);
+    if (deployment.machines + 1 > deployment.core) {
+        std::fprintf(stderr, "--core %d must be greater than --machines %d\n", deployment.core,
+                     deployment.machines);
         return 2;
     }
-    site.lengthMost = std::max(site.lengthMost, site.lengthLeast);
+    deployment.maxLength = std::max(deployment.maxLength, deployment.minLength);
     std::printf("# seed %llu, days %d to %d, %d core machines, %d of them or %d zones to be lost\n",
-                static_cast<unsigned long long>(seed), first, first + days - 1, site.core, site.machines,
-                site.zones);
+                static_cast<unsigned long long>(seed), first, first + days - 1, deployment.core,
+                deployment.machines, deployment.zones);
     for (int n = first; n < first + days; ++n) {
         std::string name = "core-" + std::to_string(seed) + "-" + std::to_string(n);
-        Chance mixed(seed * 0x10001 + std::uint64_t(n));
-        std::fputs(Day(site, mixed.next()).write(name).c_str(), stdout);
+        Random random(seed * 0x10001 + std::uint64_t(n));
+        std::fputs(Day(deployment, random.next()).write(name).c_str(), stdout);
     }
 }
