--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -8,31 +8,31 @@
 
 int run(int argc, char** argv) {
     CLI::App app(
-        "lichenlanding: routes hits while a fleet's software is replaced in stages, and votes on it.");
+        "lichenlanding: sidecar that routes requests during staged rollouts and votes on the rollouts.");
     app.set_version_flag("--version", std::string("lichenlanding ") + kVersion);
     app.footer(
-        "Without a subcommand it serves, with the configuration named by RELAY_CONFIG.\n"
-        "Exit status: 0 done, 1 refused or failed (one line tells), 2 wrong words.");
-    Chosen chosen;
-    addServe(app, chosen);
+        "Without a subcommand it runs `serve` with the configuration file that RELAY_CONFIG names.\n"
+        "Exit status: 0 success, 1 refused or failed (one line on standard error), 2 invalid command line.");
+    SelectedCommand selected;
+    addServe(app, selected);
     auto* metadata =
         app.add_subcommand("metadata", "signed release metadata (TUF): client, repository, keys");
     metadata->require_subcommand(1);
-    addMetadataClient(*metadata, chosen);
-    addMetadataRepository(*metadata, chosen);
-    addMetadataManifest(*metadata, chosen);
-    addMetadataInspect(*metadata, chosen);
+    addMetadataClient(*metadata, selected);
+    addMetadataRepository(*metadata, selected);
+    addMetadataManifest(*metadata, selected);
+    addMetadataInspect(*metadata, selected);
     try {
         app.parse(argc, argv);
-    } catch (const CLI::ParseError& wrong) {
-        return app.exit(wrong) == 0 ? success : usage;
+    } catch (const CLI::ParseError& error) {
+        return app.exit(error) == 0 ? success : usageError;
     }
     try {
-        return chosen ? chosen() : serve({});
-    } catch (const CLI::ParseError& wrong) {  // an option that this call needs beside those it has
-        return app.exit(wrong), usage;
-    } catch (const std::exception& failure) {
-        std::fprintf(stderr, "lichenlanding: %s\n", failure.what());
+        return selected ? selected() : serve({});
+    } catch (const CLI::ParseError& error) {  // an option that the subcommand requires is missing
+        return app.exit(error), usageError;
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "lichenlanding: %s\n", error.what());
         return refused;
     }
 }
--- a/src/command/command.hpp
+++ b/src/command/command.hpp
@@ -1,5 +1,5 @@
-// The command line: one file a subcommand, each put on the app by one function. Exit status 0: done; 1:
-// refused or failed, with one line on standard error; 2: the words of the call are wrong.
+// The command line of `lichenlanding`: each source file registers its subcommands with an add function. Exit
+// status 0: success; 1: refused or failed, with one line on standard error; 2: invalid command line.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -11,14 +11,14 @@
 
 constexpr const char* kVersion = "0.3.0";
 
-/// What the call has asked for; run once the whole line has been read.
-using Chosen = std::function<int()>;
+/// The selected subcommand. Runs after the whole command line has been parsed; returns the exit status.
+using SelectedCommand = std::function<int()>;
 
-void addServe(CLI::App& app, Chosen& chosen);
-void addMetadataClient(CLI::App& metadata, Chosen& chosen);
-void addMetadataRepository(CLI::App& metadata, Chosen& chosen);
-void addMetadataManifest(CLI::App& metadata, Chosen& chosen);
-void addMetadataInspect(CLI::App& metadata, Chosen& chosen);
+void addServe(CLI::App& app, SelectedCommand& selected);
+void addMetadataClient(CLI::App& metadata, SelectedCommand& selected);
+void addMetadataRepository(CLI::App& metadata, SelectedCommand& selected);
+void addMetadataManifest(CLI::App& metadata, SelectedCommand& selected);
+void addMetadataInspect(CLI::App& metadata, SelectedCommand& selected);
 
 int run(int argc, char** argv);
 
--- a/src/command/files.cpp
+++ b/src/command/files.cpp
@@ -16,8 +16,8 @@
 namespace lichenlanding::command {
 namespace {
 
-[[noreturn]] void fails(const char* what, const std::string& path) {
-    throw std::runtime_error(std::string(what) + " " + path + ": " + std::strerror(errno));
+[[noreturn]] void throwSystemError(const char* operation, const std::string& path) {
+    throw std::runtime_error(std::string(operation) + " " + path + ": " + std::strerror(errno));
 }
 
 }  // namespace
@@ -25,29 +25,30 @@
 std::string readFile(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::stringstream text;
-    if (!file || (file.peek() != EOF && !(text << file.rdbuf()))) fails("cannot read", path);
+    if (!file || (file.peek() != EOF && !(text << file.rdbuf()))) throwSystemError("cannot read", path);
     return text.str();
 }
 
 bool fileExists(const std::string& path) { return std::filesystem::is_regular_file(path); }
 
 void writeFile(const std::string& path, std::string_view bytes, bool secret) {
-    const auto fresh = path + ".new";
-    const int file = ::open(fresh.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, secret ? 0600 : 0644);
-    if (file < 0) fails("cannot write", path);
-    bool good = !secret || fchmod(file, 0600) == 0;
-    while (good && !bytes.empty()) {
+    const auto temporary = path + ".new";
+    const int file =
+        ::open(temporary.c_str(), O_CREAT | O_TRUNC | O_WRONLY | O_CLOEXEC, secret ? 0600 : 0644);
+    if (file < 0) throwSystemError("cannot write", path);
+    bool ok = !secret || fchmod(file, 0600) == 0;
+    while (ok && !bytes.empty()) {
         const auto length = ::write(file, bytes.data(), bytes.size());
-        good = length > 0;
-        if (good) bytes.remove_prefix(static_cast<std::size_t>(length));
+        ok = length > 0;
+        if (ok) bytes.remove_prefix(static_cast<std::size_t>(length));
     }
-    good = good && fsync(file) == 0;
+    ok = ok && fsync(file) == 0;
     close(file);
-    if (good && ::rename(fresh.c_str(), path.c_str()) == 0) return;
-    const int why = errno;
-    unlink(fresh.c_str());
-    errno = why;
-    fails("cannot write", path);
+    if (ok && ::rename(temporary.c_str(), path.c_str()) == 0) return;
+    const int savedErrno = errno;
+    unlink(temporary.c_str());
+    errno = savedErrno;
+    throwSystemError("cannot write", path);
 }
 
 void makeDirectory(const std::string& path) { std::filesystem::create_directories(path); }
@@ -56,7 +57,7 @@
     if (path.empty()) return {};
     auto text = readFile(path);
     text = text.substr(0, text.find_first_of("\r\n"));
-    if (text.empty()) throw std::runtime_error("no passphrase in " + path);
+    if (text.empty()) throw std::runtime_error("the first line is empty in passphrase file " + path);
     return text;
 }
 
@@ -72,26 +73,26 @@
     return readSigningKey(path, passphrase).key();
 }
 
-metadata::UnixSeconds parseInstant(const std::string& text) {
-    const auto wrong = [&] { return std::invalid_argument("not an RFC 3339 time: " + text.substr(0, 60)); };
-    if (text.size() < 20) throw wrong();
+metadata::UnixSeconds parseRfc3339(const std::string& text) {
+    const auto invalid = [&] { return std::invalid_argument("not an RFC 3339 time: " + text.substr(0, 60)); };
+    if (text.size() < 20) throw invalid();
     const auto time = metadata::parseTime(text.substr(0, 19) + "Z");
-    if (!time) throw wrong();
+    if (!time) throw invalid();
     auto rest = std::string_view(text).substr(19);
     if (rest[0] == '.') {
         const auto end = rest.find_first_not_of("0123456789", 1);
-        if (end == std::basic_string_view<char, std::char_traits<char>>::npos || end == 1) throw wrong();
+        if (end == std::basic_string_view<char, std::char_traits<char>>::npos || end == 1) throw invalid();
         rest.remove_prefix(end);
     }
     if (rest == "Z" || rest == "z") return *time;
     int hours = 0;
     int minutes = 0;
-    const bool offset = rest.size() == 6 && (rest[0] == '+' || rest[0] == '-') && rest[3] == ':' &&
-                        std::from_chars(rest.data() + 1, rest.data() + 3, hours).ptr == rest.data() + 3 &&
-                        std::from_chars(rest.data() + 4, rest.data() + 6, minutes).ptr == rest.data() + 6;
-    if (!offset || hours > 23 || minutes > 59) throw wrong();
-    const auto span = hours * 3600 + minutes * 60;
-    return rest[0] == '+' ? *time - span : *time + span;
+    const bool hasOffset = rest.size() == 6 && (rest[0] == '+' || rest[0] == '-') && rest[3] == ':' &&
+                           std::from_chars(rest.data() + 1, rest.data() + 3, hours).ptr == rest.data() + 3 &&
+                           std::from_chars(rest.data() + 4, rest.data() + 6, minutes).ptr == rest.data() + 6;
+    if (!hasOffset || hours > 23 || minutes > 59) throw invalid();
+    const auto offsetSeconds = hours * 3600 + minutes * 60;
+    return rest[0] == '+' ? *time - offsetSeconds : *time + offsetSeconds;
 }
 
 metadata::UnixSeconds wallClock() {
@@ -99,7 +100,7 @@
     return duration_cast<seconds>(system_clock::now().time_since_epoch()).count();
 }
 
-void orThrow(const metadata::Check& refusal) {
+void throwIfRefused(const metadata::Check& refusal) {
     if (refusal) throw std::runtime_error(refusal->text());
 }
 
--- a/src/command/files.hpp
+++ b/src/command/files.hpp
@@ -1,4 +1,4 @@
-// Files that commands read and write.
+// File access, keys and times for the subcommands.
 #pragma once
 
 #include <string>
@@ -10,25 +10,28 @@
 
 namespace lichenlanding::command {
 
-/// Exit status: what a script may rely on.
-enum Status : int { success = 0, refused = 1, usage = 2 };
+/// Exit status of the process; scripts rely on these values.
+enum ExitStatus : int { success = 0, refused = 1, usageError = 2 };
 
-std::string readFile(const std::string& path);  ///< throws std::runtime_error with the system's word
+/// Throws std::runtime_error with the path and the system's error message.
+std::string readFile(const std::string& path);
 bool fileExists(const std::string& path);
-/// Over an earlier one in one step; a private one has mode 0600. Throws std::runtime_error.
+/// Replaces the file atomically. With `secret` its mode is 0600. Throws std::runtime_error.
 void writeFile(const std::string& path, std::string_view bytes, bool secret = false);
-void makeDirectory(const std::string& path);  ///< with its parents
-/// A passphrase is a file's first line, so that it is in no process list; none if the path is empty.
+void makeDirectory(const std::string& path);  ///< including its parents
+/// The first line of the file at `path`: a passphrase on the command line would be visible in the process
+/// list. Empty where `path` is empty.
 std::string readPassphrase(const std::string& path);
 metadata::SigningKey readSigningKey(const std::string& path, const std::string& passphrase);
-/// From a public or a private PEM.
+/// Accepts a public or a private key in PEM format.
 metadata::Key readPublicKey(const std::string& path, const std::string& passphrase);
 
-/// RFC 3339: "2026-12-01T09:30:00Z", also with a fraction or an offset. Throws std::invalid_argument.
-metadata::UnixSeconds parseInstant(const std::string& text);
+/// Parses an RFC 3339 time such as "2026-12-01T09:30:00Z"; a fraction (ignored) and an offset are accepted.
+/// Throws std::invalid_argument.
+metadata::UnixSeconds parseRfc3339(const std::string& text);
 metadata::UnixSeconds wallClock();
 
-/// Throws the refusal as one line.
-void orThrow(const metadata::Check& refusal);
+/// Throws std::runtime_error with the text of the refusal, if there is one.
+void throwIfRefused(const metadata::Check& refusal);
 
 }  // namespace lichenlanding::command
--- a/src/command/gateway.cpp
+++ b/src/command/gateway.cpp
@@ -1,5 +1,5 @@
-// lichenlanding-gateway: the data plane `proxy`, the control plane, and tools beside them. Exit status 0:
-// done; 1: rejected or failed, with a line on standard error for each mistake; 2: the command line is wrong.
+// lichenlanding-gateway: the data plane (`proxy`), the control plane and the operators' tools. Exit status 0:
+// success; 1: rejected or failed, with a line on standard error for each error; 2: invalid command line.
 #include "command/gateway.hpp"
 
 #include <CLI/CLI.hpp>
@@ -20,9 +20,9 @@
 using namespace lichenlanding;
 using command::Action;
 
-enum ExitStatus : int { kDone = 0, kFailed = 1, kWrongCommandLine = 2 };
+enum ExitStatus : int { kSuccess = 0, kFailed = 1, kUsageError = 2 };
 
-/// The bytes of a file, or of standard input where the path is "-".
+/// Reads a file, or standard input if the path is "-".
 std::string readInput(const std::string& path) {
     std::stringstream bytes;
     if (path == "-") {
@@ -54,17 +54,18 @@
 
 void addConfig(CLI::App& app, Action& action) {
     const auto file = std::make_shared<std::string>();
-    auto* configurations = app.add_subcommand("config", "configurations");
+    auto* configurations = app.add_subcommand("config", "tools for configuration files");
     configurations->require_subcommand(1);
     auto* check =
-        configurations->add_subcommand("check", "all mistakes of a configuration, each with its place");
-    check->add_option("file", *file, "the configuration, - for standard input")->required();
+        configurations->add_subcommand("check", "list all errors of a configuration with their JSON paths");
+    check->add_option("file", *file, "the configuration file, - for standard input")->required();
     check->footer("Example:\n  lichenlanding-gateway config check config.json");
     check->callback([=, &action] {
         action = [=] {
-            const auto read = config::Configuration::parse(readInput(*file));
-            std::printf("version %s: %zu routes, %zu services\n", config::formatVersion(read.version).c_str(),
-                        read.routes.size(), read.services.size());
+            const auto configuration = config::Configuration::parse(readInput(*file));
+            std::printf("version %s: %zu routes, %zu services\n",
+                        config::formatVersion(configuration.version).c_str(), configuration.routes.size(),
+                        configuration.services.size());
         };
     });
 }
@@ -75,9 +76,9 @@
     };
     const auto arguments = std::make_shared<Arguments>();
     auto* explain =
-        app.add_subcommand("explain", "why a request goes where it goes, with each setting's origin");
-    explain->add_option("file", arguments->file, "the configuration, - for standard input")->required();
-    explain->add_option("host", arguments->host, "the request's Host")->required();
+        app.add_subcommand("explain", "show how a request is routed and where each setting comes from");
+    explain->add_option("file", arguments->file, "the configuration file, - for standard input")->required();
+    explain->add_option("host", arguments->host, "the request's Host header")->required();
     explain->add_option("path", arguments->path, "the request's path")->required();
     explain->footer("Example:\n  lichenlanding-gateway explain config.json shop.example /orders/7");
     explain->callback([=, &action] {
@@ -94,10 +95,10 @@
         bool json = false;
     };
     const auto arguments = std::make_shared<Arguments>();
-    auto* status = app.add_subcommand("status", "what a running control plane process knows");
+    auto* status = app.add_subcommand("status", "show the state of a running control plane process");
     status->add_option("address", arguments->address, "its control address, such as 10.1.0.16:8166")
         ->required();
-    status->add_flag("--json", arguments->json, "the JSON as it was answered");
+    status->add_flag("--json", arguments->json, "print the JSON response unchanged");
     status->callback([=, &action] {
         action = [=] { std::fputs(command::status(arguments->address, arguments->json).c_str(), stdout); };
     });
@@ -109,7 +110,7 @@
     CLI::App app("lichenlanding-gateway: an API gateway with staged rollouts.");
     app.footer(
         "proxy and control-plane read the settings file that LICHENLANDING_SETTINGS names.\n"
-        "Exit status: 0 done, 1 rejected or failed (a line tells), 2 wrong command line.");
+        "Exit status: 0 success, 1 rejected or failed (lines on standard error), 2 invalid command line.");
     app.require_subcommand(1);
     app.name("lichenlanding-gateway");
     Action action;
@@ -121,16 +122,16 @@
     command::addScaleTest(app, action);
     addStatus(app, action);
     try {
-        auto arguments = command::withPresentNames({argv + 1, argv + argc});
-        std::reverse(arguments.begin(), arguments.end());  // CLI11 takes them last first
+        auto arguments = command::replaceLegacyNames({argv + 1, argv + argc});
+        std::reverse(arguments.begin(), arguments.end());  // CLI11 expects them in reverse order
         app.parse(std::move(arguments));
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? kDone : kWrongCommandLine;
+        return app.exit(error) == 0 ? kSuccess : kUsageError;
     }
     try {
         action();
     } catch (const config::ValidationError& rejection) {
-        for (const auto& mistake : rejection.errors) std::fprintf(stderr, "%s\n", mistake.c_str());
+        for (const auto& line : rejection.errors) std::fprintf(stderr, "%s\n", line.c_str());
         return kFailed;
     } catch (const std::exception& failure) {
         std::fprintf(stderr, "lichenlanding-gateway: %s\n", failure.what());
--- a/src/command/gateway.hpp
+++ b/src/command/gateway.hpp
@@ -1,4 +1,4 @@
-// Subcommands of the gateway that have a file of their own.
+// Subcommands of the gateway that have their own source files.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,15 @@
 
 namespace lichenlanding::command {
 
-/// What the command line has asked for; run once the whole line has been read.
+/// The selected subcommand. Runs after the whole command line has been parsed.
 using Action = std::function<void()>;
 
-/// `store show|check|export|found`: the disk of a stopped control plane process.
+/// `store show|check|export|found`: inspects or repairs the store of a stopped control plane process.
 void addStore(CLI::App& app, Action& action);
-/// `scale-test`, and its hidden part `scale-test hollow`, which the run starts as child processes.
+/// `scale-test`, and the hidden `scale-test hollow`: child processes with simulated proxies.
 void addScaleTest(CLI::App& app, Action& action);
 
-/// The arguments after the program's name, with subcommand names of version 0.3 replaced by the present ones.
-std::vector<std::string> withPresentNames(std::vector<std::string> arguments);
+/// Replaces subcommand names of version 0.3 by the current ones. `arguments` is without the program's name.
+std::vector<std::string> replaceLegacyNames(std::vector<std::string> arguments);
 
 }  // namespace lichenlanding::command
--- a/src/command/metadata_inspect.cpp
+++ b/src/command/metadata_inspect.cpp
@@ -1,4 +1,4 @@
-// lichenlanding metadata inspect: what a document says, for a person, and by whom it is signed.
+// lichenlanding metadata inspect: prints a metadata document and the state of its signatures.
 #include <cstdio>
 
 #include "command/command.hpp"
@@ -9,16 +9,16 @@
 
 using namespace metadata;
 
-std::string signersText(const Envelope& envelope, const Keys& keys, const Signers& signers) {
+std::string formatSigners(const Envelope& envelope, const Keys& keys, const Signers& signers) {
     std::string line = std::to_string(envelope.countSigners(keys, {signers.keyIds, 1'000'000})) +
                        " good of " + std::to_string(signers.threshold) + " needed:";
     for (const auto& id : signers.keyIds) {
         const auto key = keys.find(id);
         const auto signature = envelope.signatures.find(id);
-        const bool good = key != keys.end() && signature != envelope.signatures.end() &&
-                          key->second.verifies(envelope.bytes, signature->second);
+        const bool valid = key != keys.end() && signature != envelope.signatures.end() &&
+                           key->second.verifies(envelope.bytes, signature->second);
         line += " " + id.substr(0, 12) +
-                (good                                     ? " signed"
+                (valid                                    ? " signed"
                  : signature == envelope.signatures.end() ? " missing"
                                                           : " bad");
     }
@@ -27,11 +27,11 @@
 
 int inspect(const std::string& file, const std::string& rootFile, bool json) {
     const auto bytes = readFile(file);
-    const auto whole = parseJson(bytes, 64U << 20);
-    if (!whole) throw std::runtime_error(file + ": " + whole.refusal().text());
-    const auto* document = member(*whole, "signed", Json::value_t::object);
+    const auto parsed = parseJson(bytes, 64U << 20);
+    if (!parsed) throw std::runtime_error(file + ": " + parsed.refusal().text());
+    const auto* document = member(*parsed, "signed", Json::value_t::object);
     const auto* type = document ? textMember(*document, "_type") : nullptr;
-    if (!type) throw std::runtime_error(file + ": no signed document");
+    if (!type) throw std::runtime_error(file + ": no object \"signed\" with a string \"_type\"");
     auto envelope = Envelope::read(bytes, *type, *type, bytes.size());
     if (!envelope) throw std::runtime_error(file + ": " + envelope.refusal().text());
     if (json) {
@@ -48,7 +48,7 @@
         if (!root) throw std::runtime_error(rootFile + ": " + root.refusal().text());
         if (root->roles.contains(*type))
             std::printf("signatures: %s\n",
-                        signersText(*envelope, root->keys, root->roles.at(*type)).c_str());
+                        formatSigners(*envelope, root->keys, root->roles.at(*type)).c_str());
         if (*type == "root") {
             std::printf("consistent snapshots: %s\n", root->consistent ? "yes" : "no");
             for (const auto& [role, signers] : root->roles)
@@ -62,9 +62,9 @@
         std::printf("%zu targets\n", targets->targets.size());
         for (const auto& [path, target] : targets->targets)
             std::printf("  %s, %lld bytes\n", escaped(path).c_str(), static_cast<long long>(target.length));
-        for (const auto& to : targets->delegations)
-            std::printf("  delegates to %s%s\n", escaped(to.name).c_str(),
-                        to.terminating ? ", terminating" : "");
+        for (const auto& delegation : targets->delegations)
+            std::printf("  delegates to %s%s\n", escaped(delegation.name).c_str(),
+                        delegation.terminating ? ", terminating" : "");
         if (targets->bins)
             std::printf("  delegates to %lld hash bins %s-...\n", 1LL << targets->bins->bits,
                         targets->bins->prefix.c_str());
@@ -78,16 +78,16 @@
 
 }  // namespace
 
-void addMetadataInspect(CLI::App& metadata, Chosen& chosen) {
+void addMetadataInspect(CLI::App& metadata, SelectedCommand& selected) {
     auto* command = metadata.add_subcommand("inspect", "show a document and its signatures");
     auto file = std::make_shared<std::string>();
     auto root = std::make_shared<std::string>();
     auto json = std::make_shared<bool>(false);
     command->add_option("FILE", *file, "the document")->required();
-    command->add_option("--root", *root, "the root whose keys should have signed it");
-    command->add_flag("--json", *json, "the signed part alone, as JSON");
+    command->add_option("--root", *root, "the root whose keys must have signed it");
+    command->add_flag("--json", *json, "print only the signed part, as JSON");
     command->footer("Example:\n  lichenlanding metadata inspect --root root.json timestamp.json");
-    command->callback([=, &chosen] { chosen = [=] { return inspect(*file, *root, *json); }; });
+    command->callback([=, &selected] { selected = [=] { return inspect(*file, *root, *json); }; });
 }
 
 }  // namespace lichenlanding::command
--- a/src/command/old_names.cpp
+++ b/src/command/old_names.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 struct RenamedSubcommand {
-    std::vector<std::string> before, now;
+    std::vector<std::string> legacyName, currentName;
 };
 
-/// Subcommands as version 0.3 named them. They are accepted for one version and are in no help text; remove
-/// the table with the next one. The first row that matches counts, so longer names come first.
+/// Subcommand names of version 0.3. They are accepted for one version and appear in no help text; remove the
+/// table in the next version. The first matching row applies, so longer names come first.
 const std::vector<RenamedSubcommand> kRenamedSubcommands{
     {{"foyer"}, {"proxy"}},
     {{"prompter"}, {"control-plane"}},
@@ -25,12 +25,14 @@
 
 }  // namespace
 
-std::vector<std::string> withPresentNames(std::vector<std::string> arguments) {
-    for (const auto& [before, now] : kRenamedSubcommands) {
-        if (arguments.size() < before.size() || !std::equal(before.begin(), before.end(), arguments.begin()))
+std::vector<std::string> replaceLegacyNames(std::vector<std::string> arguments) {
+    for (const auto& [legacyName, currentName] : kRenamedSubcommands) {
+        if (arguments.size() < legacyName.size() ||
+            !std::equal(legacyName.begin(), legacyName.end(), arguments.begin()))
             continue;
-        arguments.erase(arguments.begin(), arguments.begin() + static_cast<std::ptrdiff_t>(before.size()));
-        arguments.insert(arguments.begin(), now.begin(), now.end());
+        arguments.erase(arguments.begin(),
+                        arguments.begin() + static_cast<std::ptrdiff_t>(legacyName.size()));
+        arguments.insert(arguments.begin(), currentName.begin(), currentName.end());
         break;
     }
     return arguments;
--- a/src/command/repository_editor.hpp
+++ b/src/command/repository_editor.hpp
@@ -1,6 +1,6 @@
-// Making and changing a repository of signed metadata. Drafts lie in REPO/draft; nothing of them is seen by
-// clients before publish() has checked them and put them into REPO/metadata and REPO/targets. Keys may be
-// elsewhere: a draft can be carried to them and signed there.
+// Creates and changes a repository of signed metadata. Drafts are in REPO/draft; clients see them only after
+// publish() has verified them and copied them to REPO/metadata and REPO/targets. Keys may be on another
+// machine: a draft can be copied there and signed offline.
 #pragma once
 
 #include <algorithm>
@@ -24,49 +24,50 @@
     bool inconsistent = false, terminating = false;
 };
 
-inline std::int64_t usualDays(const std::string& role) {
+inline std::int64_t defaultValidityDays(const std::string& role) {
     return role == "root" ? 365 : role == "timestamp" ? 1 : role == "snapshot" ? 7 : 90;
 }
 
-inline metadata::Scheme schemeNamed(const std::string& name) {
+inline metadata::Scheme parseScheme(const std::string& name) {
     if (name == "ed25519") return Scheme::ed25519;
     if (name == "ecdsa") return Scheme::ecdsaP256;
     if (name == "rsa") return Scheme::rsaPss;
-    throw std::runtime_error("scheme " + name + ": ed25519, ecdsa or rsa");
+    throw std::runtime_error("scheme " + name + ": expected ed25519, ecdsa or rsa");
 }
 
-/// One subcommand a method; each throws std::runtime_error with one line, or returns the exit status.
+/// One public method for each subcommand. Each returns the exit status or throws std::runtime_error with a
+/// message of one line.
 class RepositoryEditor {
   public:
     explicit RepositoryEditor(const RepositoryOptions& options)
         : options_(options),
-          now_(options.now.empty() ? wallClock() : parseInstant(options.now)),
+          now_(options.now.empty() ? wallClock() : parseRfc3339(options.now)),
           passphrase_(readPassphrase(options.passphraseFile)) {}
 
     int key() {
-        const auto made = SigningKey::generate(schemeNamed(options_.scheme));
-        if (fileExists(options_.out)) throw std::runtime_error(options_.out + " is there already");
-        writeFile(options_.out, made.toPem(passphrase_), true);
-        std::printf("%s\n", made.key().id().c_str());
+        const auto created = SigningKey::generate(parseScheme(options_.scheme));
+        if (fileExists(options_.out)) throw std::runtime_error(options_.out + " already exists");
+        writeFile(options_.out, created.toPem(passphrase_), true);
+        std::printf("%s\n", created.key().id().c_str());
         return success;
     }
 
     int create() {
-        if (fileExists(draft("root")))
-            throw std::runtime_error(options_.repository + " is a repository already");
+        if (fileExists(draftPath("root")))
+            throw std::runtime_error(options_.repository + " is already a repository");
         makeDirectory(options_.repository + "/draft");
         makeDirectory(options_.keyDirectory);
-        auto root = newRoot(until("root"), !options_.inconsistent);
+        auto root = newRoot(expiryOf("root"), !options_.inconsistent);
         std::vector<SigningKey> rootKeys;
         for (const auto* role : {"root", "timestamp", "snapshot", "targets"}) {
             const auto path = keyPath(role);
             if (!fileExists(path))
-                writeFile(path, SigningKey::generate(schemeNamed(options_.scheme)).toPem(passphrase_), true);
+                writeFile(path, SigningKey::generate(parseScheme(options_.scheme)).toPem(passphrase_), true);
             const auto key = readSigningKey(path, passphrase_);
-            orThrow(addKey(root, role, key.key()));
+            throwIfRefused(addKey(root, role, key.key()));
         }
         sign(root, readSigningKey(keyPath("root"), passphrase_));
-        auto targets = newTargets(until("targets"));
+        auto targets = newTargets(expiryOf("targets"));
         sign(targets, readSigningKey(keyPath("targets"), passphrase_));
         save("root", root);
         save("targets", targets);
@@ -76,18 +77,18 @@
     int addTarget() {
         if (options_.name.find("..") != std::string::npos || options_.name.front() == '/')
             throw std::runtime_error("targets: bad-name: " + escaped(options_.name) +
-                                     " is no path under the base");
+                                     " must be a relative path without '..'");
         auto targets = load(options_.role);
         const auto bytes = readFile(options_.file);
         Json custom;
         if (!options_.custom.empty()) {
-            auto read = parseJson(options_.custom, 65'536);
-            if (!read) throw std::runtime_error("--custom: " + read.refusal().text());
-            custom = std::move(*read);
+            auto parsed = parseJson(options_.custom, 65'536);
+            if (!parsed) throw std::runtime_error("--custom: " + parsed.refusal().text());
+            custom = std::move(*parsed);
         }
-        orThrow(metadata::addTarget(targets, options_.name, bytes, custom));
+        throwIfRefused(metadata::addTarget(targets, options_.name, bytes, custom));
         makeDirectory(options_.repository + "/files");
-        writeFile(kept(options_.name), bytes);
+        writeFile(storedFilePath(options_.name), bytes);
         return changeAndSave(options_.role, targets);
     }
 
@@ -106,26 +107,27 @@
             keys.push_back(readPublicKey(path, passphrase_));
             signers.keyIds.push_back(keys.back().id());
         }
-        std::vector<std::string> made;
+        std::vector<std::string> created;
         if (options_.bits > 0) {
             const HashBins bins{signers, options_.bits, options_.name};
-            orThrow(delegateBins(targets, bins, keys));
-            if (options_.bits > 16) throw std::runtime_error("at most 16 bits: each bin is a file");
-            for (std::uint64_t number = 0; number < std::uint64_t{1} << options_.bits; ++number) {
+            throwIfRefused(delegateBins(targets, bins, keys));
+            if (options_.bits > 16)
+                throw std::runtime_error("--bins must be at most 16, since each bin is a file");
+            for (std::uint64_t bin = 0; bin < std::uint64_t{1} << options_.bits; ++bin) {
                 char digits[16];
                 std::snprintf(digits, sizeof digits, "%08x",
-                              static_cast<unsigned>(number << (32 - options_.bits)));
-                made.push_back(bins.roleOf(digits));
+                              static_cast<unsigned>(bin << (32 - options_.bits)));
+                created.push_back(bins.roleOf(digits));
             }
         } else {
-            orThrow(metadata::delegate(
+            throwIfRefused(metadata::delegate(
                 targets, {options_.name, signers, options_.terminating, options_.paths, options_.prefixes},
                 keys));
-            made.push_back(options_.name);
+            created.push_back(options_.name);
         }
-        for (const auto& role : made)
-            if (!fileExists(draft(role))) {
-                auto empty = newTargets(until("targets"));
+        for (const auto& role : created)
+            if (!fileExists(draftPath(role))) {
+                auto empty = newTargets(expiryOf("targets"));
                 signWithAll(empty, signers.keyIds);
                 save(role, empty);
             }
@@ -140,80 +142,85 @@
         return changeAndSave(options_.role, targets);
     }
 
-    // Of one of the four roles. The new root must be signed by the old keys' threshold and by the new one's.
+    // Changes the keys of a top-level role. The new root must be signed by the thresholds of the old root's
+    // and of the new root's keys.
     int rotate() {
         auto root = load("root");
         for (const auto& path : options_.add)
-            orThrow(addKey(root, options_.role, readPublicKey(path, passphrase_)));
-        for (const auto& id : options_.remove) orThrow(removeKey(root, options_.role, id));
+            throwIfRefused(addKey(root, options_.role, readPublicKey(path, passphrase_)));
+        for (const auto& id : options_.remove) throwIfRefused(removeKey(root, options_.role, id));
         const auto& entry = documentOf(root)["roles"][options_.role];
-        orThrow(setThreshold(
+        throwIfRefused(setThreshold(
             root, options_.role,
             options_.threshold > 0 ? options_.threshold : entry["threshold"].get<std::int64_t>()));
         return changeAndSave("root", root);
     }
 
-    // New time limits, and a new version, of a document that says the same.
+    // Drafts a new version with a new expiry time and the same content.
     int renew() {
         auto envelope = load(options_.role);
         return changeAndSave(options_.role, envelope);
     }
 
     int signFile() {
-        auto read = parseJson(readFile(options_.file), 64U << 20);
-        if (!read || !member(*read, "signed", Json::value_t::object))
-            throw std::runtime_error(options_.file + ": no signed document");
-        signWithAll(*read, {});
-        writeFile(options_.file, textOf(*read));
+        auto parsed = parseJson(readFile(options_.file), 64U << 20);
+        if (!parsed || !member(*parsed, "signed", Json::value_t::object))
+            throw std::runtime_error(options_.file + ": no object \"signed\"");
+        signWithAll(*parsed, {});
+        writeFile(options_.file, textOf(*parsed));
         return success;
     }
 
     int publish() {
-        const auto rootNow = load("root");
-        const auto rootText = textOf(rootNow);
-        const auto envelope = readEnvelope(rootText, "root", "root");
+        const auto rootDocument = load("root");
+        const auto rootBytes = textOf(rootDocument);
+        const auto envelope = readEnvelope(rootBytes, "root", "root");
         auto root = Root::read(envelope);
         if (!root) throw std::runtime_error(root.refusal().text());
-        orThrow(envelope.verify(root->keys, root->roles["root"], "root"));
-        makeDirectory(published(""));
+        throwIfRefused(envelope.verify(root->keys, root->roles["root"], "root"));
+        makeDirectory(publishedPath(""));
         makeDirectory(options_.repository + "/targets");
         const auto version = std::to_string(root->version) + ".root.json";
         if (root->version > 1) {
             const auto before = readEnvelope(
-                readFile(published(std::to_string(root->version - 1) + ".root.json")), "root", "root");
+                readFile(publishedPath(std::to_string(root->version - 1) + ".root.json")), "root", "root");
             const auto beforeRoot = Root::read(before);
-            orThrow(envelope.verify(beforeRoot->keys, beforeRoot->roles.at("root"), "root"));
+            throwIfRefused(envelope.verify(beforeRoot->keys, beforeRoot->roles.at("root"), "root"));
         }
-        if (fileExists(published(version)) && readFile(published(version)) != rootText)
+        if (fileExists(publishedPath(version)) && readFile(publishedPath(version)) != rootBytes)
             throw std::runtime_error("root: version " + std::to_string(root->version) +
-                                     " is published already, and differs");
+                                     " is already published with different content");
 
-        // All that targets delegate to, and their files, before anything that names them is seen.
-        auto snapshot = fileExists(draft("snapshot")) ? load("snapshot") : newSnapshot(until("snapshot"));
+        // Targets, their delegations and their files are published before the snapshot that lists them.
+        auto snapshot =
+            fileExists(draftPath("snapshot")) ? load("snapshot") : newSnapshot(expiryOf("snapshot"));
         const auto before = documentOf(snapshot)["meta"];
         const bool consistent = root->consistent;
         publishRole("targets", root->keys, root->roles["targets"], consistent, snapshot);
         if (documentOf(snapshot)["meta"] != before || options_.days > 0 ||
-            !signedNow(snapshot, *root, "snapshot")) {
-            if (versionOf(snapshot) > 1 || !before.empty()) bumpVersion(snapshot, until("snapshot"));
+            !isSigned(snapshot, *root, "snapshot")) {
+            if (versionOf(snapshot) > 1 || !before.empty()) bumpVersion(snapshot, expiryOf("snapshot"));
             sign(snapshot, readSigningKey(keyPath("snapshot"), passphrase_));
         }
-        orThrow(verifySignedBy(snapshot, "snapshot", "snapshot", root->keys, root->roles["snapshot"]));
+        throwIfRefused(verifySignedBy(snapshot, "snapshot", "snapshot", root->keys, root->roles["snapshot"]));
         const auto snapshotText = textOf(snapshot);
         auto timestamp =
-            fileExists(draft("timestamp")) ? load("timestamp") : newTimestamp(until("timestamp"));
-        if (!documentOf(timestamp)["meta"].empty()) bumpVersion(timestamp, until("timestamp"));
+            fileExists(draftPath("timestamp")) ? load("timestamp") : newTimestamp(expiryOf("timestamp"));
+        if (!documentOf(timestamp)["meta"].empty()) bumpVersion(timestamp, expiryOf("timestamp"));
         addListing(timestamp, "snapshot.json", listingOf(versionOf(snapshot), snapshotText, true));
         timestamp["signatures"] = Json::array();
         sign(timestamp, readSigningKey(keyPath("timestamp"), passphrase_));
-        orThrow(verifySignedBy(timestamp, "timestamp", "timestamp", root->keys, root->roles["timestamp"]));
+        throwIfRefused(
+            verifySignedBy(timestamp, "timestamp", "timestamp", root->keys, root->roles["timestamp"]));
         save("snapshot", snapshot);
         save("timestamp", timestamp);
-        writeFile(published(version), rootText);
-        writeFile(published("root.json"), rootText);
-        writeFile(published((consistent ? std::to_string(versionOf(snapshot)) + "." : "") + "snapshot.json"),
-                  snapshotText);
-        writeFile(published("timestamp.json"), textOf(timestamp));  // last: with it the set is in force
+        writeFile(publishedPath(version), rootBytes);
+        writeFile(publishedPath("root.json"), rootBytes);
+        writeFile(
+            publishedPath((consistent ? std::to_string(versionOf(snapshot)) + "." : "") + "snapshot.json"),
+            snapshotText);
+        writeFile(publishedPath("timestamp.json"),
+                  textOf(timestamp));  // last: it makes clients see the new set
         std::printf("published root %lld, snapshot %lld, timestamp %lld\n",
                     static_cast<long long>(root->version), static_cast<long long>(versionOf(snapshot)),
                     static_cast<long long>(versionOf(timestamp)));
@@ -221,33 +228,35 @@
     }
 
   private:
-    std::string draft(const std::string& role) const {
+    std::string draftPath(const std::string& role) const {
         return options_.repository + "/draft/" + percentEncoded(role) + ".json";
     }
-    std::string published(const std::string& file) const { return options_.repository + "/metadata/" + file; }
-    std::string kept(const std::string& target) const {
+    std::string publishedPath(const std::string& file) const {
+        return options_.repository + "/metadata/" + file;
+    }
+    std::string storedFilePath(const std::string& target) const {
         auto name = percentEncoded(target);
         if (name.size() > 200) name = digest("sha256", target);
         return options_.repository + "/files/" + name;
     }
     std::string keyPath(const std::string& role) const { return options_.keyDirectory + "/" + role + ".pem"; }
-    UnixSeconds until(const std::string& role) const {
-        return now_ + (options_.days > 0 ? options_.days : usualDays(role)) * kSecondsPerDay;
+    UnixSeconds expiryOf(const std::string& role) const {
+        return now_ + (options_.days > 0 ? options_.days : defaultValidityDays(role)) * kSecondsPerDay;
     }
 
     Json load(const std::string& role) const {
-        auto read = parseJson(readFile(draft(role)), 256U << 20);
-        if (!read) throw std::runtime_error(draft(role) + ": " + read.refusal().text());
-        return std::move(*read);
+        auto parsed = parseJson(readFile(draftPath(role)), 256U << 20);
+        if (!parsed) throw std::runtime_error(draftPath(role) + ": " + parsed.refusal().text());
+        return std::move(*parsed);
     }
-    void save(const std::string& role, const Json& envelope) { writeFile(draft(role), textOf(envelope)); }
+    void save(const std::string& role, const Json& envelope) { writeFile(draftPath(role), textOf(envelope)); }
 
     static Envelope readEnvelope(const std::string& text, const std::string& role, const std::string& type) {
-        auto read = Envelope::read(text, role, type, text.size());
-        if (!read) throw std::runtime_error(read.refusal().text());
-        return std::move(*read);
+        auto parsed = Envelope::read(text, role, type, text.size());
+        if (!parsed) throw std::runtime_error(parsed.refusal().text());
+        return std::move(*parsed);
     }
-    static bool signedNow(const Json& envelope, const Root& root, const std::string& role) {
+    static bool isSigned(const Json& envelope, const Root& root, const std::string& role) {
         return !verifySignedBy(envelope, role, role, root.keys, root.roles.at(role));
     }
 
@@ -260,12 +269,12 @@
     }
 
     int changeAndSave(const std::string& role, Json& envelope) {
-        // A root that nobody has seen yet is changed in place: versions of it must not be left out.
-        const bool unseen =
-            role == "root" && !fileExists(published(std::to_string(versionOf(envelope)) + ".root.json"));
+        // An unpublished root keeps its version: clients need every version of the root in sequence.
+        const bool unpublished =
+            role == "root" && !fileExists(publishedPath(std::to_string(versionOf(envelope)) + ".root.json"));
         const auto version = versionOf(envelope);
-        bumpVersion(envelope, until(role == "root" ? "root" : "targets"));
-        if (unseen) documentOf(envelope)["version"] = version;
+        bumpVersion(envelope, expiryOf(role == "root" ? "root" : "targets"));
+        if (unpublished) documentOf(envelope)["version"] = version;
         signWithAll(envelope, {});
         save(role, envelope);
         std::printf("%s version %lld drafted, %zu signatures\n", role.c_str(),
@@ -277,29 +286,29 @@
                      Json& snapshot) {
         const auto text = textOf(load(role));
         const auto envelope = readEnvelope(text, role, "targets");
-        orThrow(envelope.verify(keys, signers, role));
+        throwIfRefused(envelope.verify(keys, signers, role));
         auto targets = Targets::read(envelope, role);
         if (!targets) throw std::runtime_error(targets.refusal().text());
         for (const auto& [path, target] : targets->targets) {
-            const auto bytes = readFile(kept(path));
-            orThrow(verifyBytes(bytes, target.length, target.hashes, path));
-            const auto place =
+            const auto bytes = readFile(storedFilePath(path));
+            throwIfRefused(verifyBytes(bytes, target.length, target.hashes, path));
+            const auto publishedTarget =
                 options_.repository + "/targets/" + (consistent ? locationOf(path, target) : path);
-            makeDirectory(place.substr(0, place.rfind('/')));
-            if (!fileExists(place)) writeFile(place, bytes);
+            makeDirectory(publishedTarget.substr(0, publishedTarget.rfind('/')));
+            if (!fileExists(publishedTarget)) writeFile(publishedTarget, bytes);
         }
-        for (const auto& to : targets->delegations)
-            publishRole(to.name, targets->keys, to.signers, consistent, snapshot);
+        for (const auto& delegation : targets->delegations)
+            publishRole(delegation.name, targets->keys, delegation.signers, consistent, snapshot);
         if (targets->bins)
-            for (std::uint64_t number = 0; number < std::uint64_t{1} << targets->bins->bits; ++number) {
+            for (std::uint64_t bin = 0; bin < std::uint64_t{1} << targets->bins->bits; ++bin) {
                 char digits[16];
                 std::snprintf(digits, sizeof digits, "%08x",
-                              static_cast<unsigned>(number << (32 - targets->bins->bits)));
+                              static_cast<unsigned>(bin << (32 - targets->bins->bits)));
                 publishRole(targets->bins->roleOf(digits), targets->keys, targets->bins->signers, consistent,
                             snapshot);
             }
-        writeFile(published((consistent ? std::to_string(envelope.version) + "." : "") +
-                            percentEncoded(role) + ".json"),
+        writeFile(publishedPath((consistent ? std::to_string(envelope.version) + "." : "") +
+                                percentEncoded(role) + ".json"),
                   text);
         addListing(snapshot, role + ".json", listingOf(envelope.version, text, false));
     }
--- a/src/command/status.cpp
+++ b/src/command/status.cpp
@@ -15,7 +15,7 @@
 namespace http = boost::beast::http;
 using Json = nlohmann::json;
 
-Task<> ask(const std::string& address, std::string& body) {
+Task<> queryStatus(const std::string& address, std::string& body) {
     beast::tcp_stream stream(co_await asio::this_coro::executor);
     stream.expires_after(std::chrono::seconds(2));
     co_await stream.async_connect(parseAddress(address), asio::use_awaitable);
@@ -27,17 +27,17 @@
     http::response<http::string_body> response;
     co_await http::async_read(stream, buffer, response, asio::use_awaitable);
     if (response.result_int() != 200)
-        throw std::runtime_error("status " + std::to_string(response.result_int()));
+        throw std::runtime_error("HTTP status " + std::to_string(response.result_int()));
     body = response.body();
 }
 
-std::string padded(std::string text, std::size_t width) {
+std::string padRight(std::string text, std::size_t width) {
     text.resize(std::max(width, text.size()), ' ');
     return text + "  ";
 }
 
-/// Whether it may acknowledge anything, the epoch, and losses that the settings allow but the present members
-/// would not survive.
+/// Contact with the quorum, without which nothing is acknowledged; the epoch; and machine losses that the
+/// settings require to be tolerated but the current members would not survive.
 std::string quorumLine(const Json& quorum) {
     std::string line = quorum.at("contact").get<bool>() ? ", in contact" : ", OUT OF CONTACT";
     if (quorum.contains("epoch")) line += ", epoch " + quorum.at("epoch").dump();
@@ -56,18 +56,18 @@
 }
 
 std::string proxyTable(const Json& proxies) {
-    auto table = padded("proxy", 28) + padded("configuration", 13) + "at\n";
+    auto table = padRight("proxy", 28) + padRight("configuration", 13) + "at\n";
     for (const auto& [name, proxy] : proxies.items())
-        table += padded(name, 28) + padded(proxy.at("configuration").get<std::string>(), 13) +
+        table += padRight(name, 28) + padRight(proxy.at("configuration").get<std::string>(), 13) +
                  proxy.at("at").get<std::string>() + "\n";
     return table;
 }
 
 std::string podTable(const Json& pods) {
-    auto table = padded("service", 16) + padded("version", 8) + padded("ready", 5) + "draining\n";
+    auto table = padRight("service", 16) + padRight("version", 8) + padRight("ready", 5) + "draining\n";
     for (const auto& [service, versions] : pods.items())
         for (const auto& [version, counts] : versions.items())
-            table += padded(service, 16) + padded(version, 8) + padded(counts.at(0).dump(), 5) +
+            table += padRight(service, 16) + padRight(version, 8) + padRight(counts.at(0).dump(), 5) +
                      counts.at(1).dump() + "\n";
     return table;
 }
@@ -98,7 +98,8 @@
     asio::io_context io{1};
     std::string body;
     std::exception_ptr failure;
-    asio::co_spawn(io, ask(address, body), [&](std::exception_ptr thrown) { failure = thrown; });
+    asio::co_spawn(io, queryStatus(address, body),
+                   [&](std::exception_ptr exception) { failure = exception; });
     io.run();
     try {
         if (failure) std::rethrow_exception(failure);
--- a/src/command/status.hpp
+++ b/src/command/status.hpp
@@ -1,12 +1,12 @@
-// lichenlanding-gateway status: asks a running control plane process what it knows.
+// lichenlanding-gateway status: queries the state of a running control plane process.
 #pragma once
 
 #include <string>
 
 namespace lichenlanding::command {
 
-/// Tables, or the JSON as it was answered. Throws std::runtime_error with the address where there is no
-/// answer within two seconds.
+/// The state as tables, or with `json` the unchanged JSON response. Throws std::runtime_error with the
+/// address if there is no response within two seconds.
 std::string status(const std::string& address, bool json);
 
 }  // namespace lichenlanding::command
--- a/tests/metadata/command.sh
+++ b/tests/metadata/command.sh
@@ -45,7 +45,7 @@
 for file in root timestamp snapshot targets; do cmp trust/$file.json "$(ls repo/metadata/*$file.json | tail -n 1)"; done
 fetch releases/42 > /dev/null
 fetch releases/43 > /dev/null
-fetch releases/43 | grep -q 'there already'
+fetch releases/43 | grep -q 'already exists and is verified'
 cmp 43 out/releases%2F43
 fails 1 'releases/44: not-found' "$program" metadata --metadata-dir trust --metadata-url "$url/metadata" --target-name releases/44 \
     --target-base-url "$url/targets" --target-dir out download
