--- a/src/scale_test/cost_report.cpp
+++ b/src/scale_test/cost_report.cpp
@@ -18,31 +18,31 @@
 
 void add(Flow& sum, const Flow& flow) {
     sum.open += flow.open;
-    sum.in += flow.in;
-    sum.out += flow.out;
+    sum.bytesIn += flow.bytesIn;
+    sum.bytesOut += flow.bytesOut;
     sum.segmentsIn += flow.segmentsIn;
     sum.segmentsOut += flow.segmentsOut;
 }
 
 Json describe(const Flow& flow, double seconds) {
     return {{"connections", flow.open},
-            {"in_kb_s", kilobytesPerSecond(flow.in, seconds)},
-            {"out_kb_s", kilobytesPerSecond(flow.out, seconds)},
+            {"in_kb_s", kilobytesPerSecond(flow.bytesIn, seconds)},
+            {"out_kb_s", kilobytesPerSecond(flow.bytesOut, seconds)},
             {"segments_in_s", perSecond(flow.segmentsIn, seconds)},
             {"segments_out_s", perSecond(flow.segmentsOut, seconds)}};
 }
 
 std::string roleOrOther(const std::string& role) { return role.empty() ? "other" : role; }
 
-using Tallies = std::map<std::string, MessageTally>;
+using CountsByProcess = std::map<std::string, MessageCounts>;
 
-double messagesBetween(const Tallies& from, const Tallies& to,
-                       std::map<std::string, std::uint64_t> MessageTally::*direction,
+double messagesBetween(const CountsByProcess& from, const CountsByProcess& to,
+                       std::map<std::string, std::uint64_t> MessageCounts::*direction,
                        const std::string& peer) {
-    const auto sum = [&](const Tallies& tallies) {
+    const auto sum = [&](const CountsByProcess& countsByProcess) {
         std::uint64_t messages = 0;
-        for (const auto& [_, tally] : tallies)
-            if (const auto at = (tally.*direction).find(peer); at != (tally.*direction).end())
+        for (const auto& [_, counts] : countsByProcess)
+            if (const auto at = (counts.*direction).find(peer); at != (counts.*direction).end())
                 messages += at->second;
         return messages;
     };
@@ -60,7 +60,7 @@
 std::map<std::string, std::string> peerRoles(const std::map<std::string, Role>& roles) {
     std::map<std::string, std::string> all{{kOutsideProcess, kOutsideRole}};
     for (const auto& [name, role] : roles)
-        all[name] = nameOf(role == Role::hollowProxies ? Role::proxy : role);
+        all[name] = nameOf(role == Role::simulatedProxies ? Role::proxy : role);
     return all;
 }
 
@@ -69,25 +69,25 @@
 }
 
 Nanos CostReport::Phase::cpuOf(const std::string& process) const {
-    const auto before = from.reading.costs.find(process);
-    return to.reading.costs.at(process).cpu - (before == from.reading.costs.end() ? 0 : before->second.cpu);
+    const auto before = from.reading.usage.find(process);
+    return to.reading.usage.at(process).cpu - (before == from.reading.usage.end() ? 0 : before->second.cpu);
 }
 
 void CostReport::addPhase(const std::string& phaseName, const Snapshot& from, const Snapshot& to,
                           const std::map<std::string, Role>& roles) {
     const Phase phase{phaseName, from, to, peerRoles(roles)};
-    HollowTotals hollow;
+    SimulatedTotals simulated;
     double busiest = 0;
     Row busiestControlNode;
     Row firstProxy;
     for (const auto& [process, role] : roles) {
-        const auto cost = to.reading.costs.find(process);
-        if (cost == to.reading.costs.end()) continue;
-        if (role == Role::hollowProxies) {
-            hollow.cpu += phase.cpuOf(process);
-            hollow.memory += cost->second.memory;
+        const auto cost = to.reading.usage.find(process);
+        if (cost == to.reading.usage.end()) continue;
+        if (role == Role::simulatedProxies) {
+            simulated.cpu += phase.cpuOf(process);
+            simulated.memory += cost->second.memory;
             for (const auto& [peer, flow] : to.reading.flows(from.reading, process, phase.peers))
-                add(hollow.flows[peer], flow);
+                add(simulated.flows[peer], flow);
             continue;
         }
         auto row = addProcess(phase, process, role);
@@ -100,13 +100,13 @@
     }
     if (!busiestControlNode.empty()) costs_.push_back(std::move(busiestControlNode));
     if (!firstProxy.empty()) costs_.push_back(std::move(firstProxy));
-    addHollow(phase, hollow);
+    addSimulatedProxies(phase, simulated);
 }
 
-// Prints the line of a real process and returns its row for the table.
+// Prints the line of a real process and returns its table row.
 CostReport::Row CostReport::addProcess(const Phase& phase, const std::string& process, Role role) {
     const double seconds = phase.seconds();
-    const auto& cost = phase.to.reading.costs.at(process);
+    const auto& cost = phase.to.reading.usage.at(process);
     const double cpu = static_cast<double>(phase.cpuOf(process)) / 1e9;
     Json line{{"phase", phase.name},
               {"role", nameOf(role)},
@@ -115,7 +115,7 @@
               {"cpu_s", cpu},
               {"cpu_of_core", cpu / seconds},
               {"memory_mb", roundedMegabytes(cost.memory)},
-              {"peak_mb", roundedMegabytes(cost.peak)},
+              {"peak_mb", roundedMegabytes(cost.peakMemory)},
               {"with", Json::object()}};
     Flow sum;
     for (const auto& [peer, flow] : phase.to.reading.flows(phase.from.reading, process, phase.peers)) {
@@ -125,46 +125,48 @@
     print(line);
     return {phase.name + ", " + process,
             cpu / seconds * 100,
-            kilobytesPerSecond(sum.in, seconds),
-            kilobytesPerSecond(sum.out, seconds),
+            kilobytesPerSecond(sum.bytesIn, seconds),
+            kilobytesPerSecond(sum.bytesOut, seconds),
             perSecond(sum.segmentsIn, seconds),
             perSecond(sum.segmentsOut, seconds),
             sum.open,
             roundedMegabytes(cost.memory),
-            roundedMegabytes(cost.peak)};
+            roundedMegabytes(cost.peakMemory)};
 }
 
-// Prints the line of all hollow proxies and adds the mean of one to the table.
-void CostReport::addHollow(const Phase& phase, const HollowTotals& hollow) {
-    const auto proxies = static_cast<double>(hollowProxies_);
+// Prints the line of all simulated proxies and adds the mean of one proxy to the table.
+void CostReport::addSimulatedProxies(const Phase& phase, const SimulatedTotals& simulated) {
+    const auto proxies = static_cast<double>(simulatedProxies_);
     const auto each = [&](double value) { return value / phase.seconds() / proxies; };
     const auto eachKilobytes = [&](std::uint64_t bytes) { return each(static_cast<double>(bytes)) / 1e3; };
     Json line{{"phase", phase.name},
-              {"role", nameOf(Role::hollowProxies)},
-              {"proxies", hollowProxies_},
+              {"role", nameOf(Role::simulatedProxies)},
+              {"proxies", simulatedProxies_},
               {"seconds", roundedSeconds(phase.to.reading.at - phase.from.reading.at)},
-              {"cpu_s", static_cast<double>(hollow.cpu) / 1e9},
-              {"memory_mb", roundedMegabytes(hollow.memory)},
+              {"cpu_s", static_cast<double>(simulated.cpu) / 1e9},
+              {"memory_mb", roundedMegabytes(simulated.memory)},
               {"each", Json::object()}};
     Flow sum;
-    double heard = 0;
+    double received = 0;
     double sent = 0;
-    for (const auto& [peer, flow] : hollow.flows) {
-        const auto in = messagesBetween(phase.from.tallies, phase.to.tallies, &MessageTally::heard, peer);
-        const auto out = messagesBetween(phase.from.tallies, phase.to.tallies, &MessageTally::sent, peer);
+    for (const auto& [peer, flow] : simulated.flows) {
+        const auto in =
+            messagesBetween(phase.from.messageCounts, phase.to.messageCounts, &MessageCounts::received, peer);
+        const auto out =
+            messagesBetween(phase.from.messageCounts, phase.to.messageCounts, &MessageCounts::sent, peer);
         line["each"][roleOrOther(peer)] = {{"connections", static_cast<double>(flow.open) / proxies},
-                                           {"in_kb_s", eachKilobytes(flow.in)},
-                                           {"out_kb_s", eachKilobytes(flow.out)},
+                                           {"in_kb_s", eachKilobytes(flow.bytesIn)},
+                                           {"out_kb_s", eachKilobytes(flow.bytesOut)},
                                            {"messages_in_s", each(in)},
                                            {"messages_out_s", each(out)}};
         add(sum, flow);
-        heard += in;
+        received += in;
         sent += out;
     }
     print(line);
-    costs_.push_back({phase.name + ", hollow proxy (mean)", nullptr, eachKilobytes(sum.in),
-                      eachKilobytes(sum.out), each(heard), each(sent),
-                      static_cast<double>(sum.open) / proxies, roundedMegabytes(hollow.memory) / proxies,
+    costs_.push_back({phase.name + ", simulated proxy (mean)", nullptr, eachKilobytes(sum.bytesIn),
+                      eachKilobytes(sum.bytesOut), each(received), each(sent),
+                      static_cast<double>(sum.open) / proxies, roundedMegabytes(simulated.memory) / proxies,
                       nullptr});
 }
 
@@ -183,13 +185,15 @@
 }
 
 void CostReport::printTables() const {
-    const std::vector<std::string> costs{"phase, who",  "core %",        "kB/s in",
-                                         "kB/s out",    "messages/s in", "messages/s out",
-                                         "connections", "memory",        "peak"};
+    const std::vector<std::string> costs{"phase, process", "core %",        "kB/s in",
+                                         "kB/s out",       "messages/s in", "messages/s out",
+                                         "connections",    "memory",        "peak"};
     const std::vector<std::string> times{"times, ms", "n", "median", "p99", "max", "missing"};
-    std::printf("\nOf one core in 100, kilobytes of payload and segments a second, megabytes:\n\n%s",
-                table(costs, costs_).c_str());
-    std::printf("\n%s", table(times, times_).c_str());
+    std::printf(
+        "\nCPU in percent of one core, payload in kB/s, messages or TCP segments per second, memory in "
+        "MB:\n\n%s",
+        markdownTable(costs, costs_).c_str());
+    std::printf("\n%s", markdownTable(times, times_).c_str());
     std::fflush(stdout);
 }
 
--- a/src/scale_test/cost_report.hpp
+++ b/src/scale_test/cost_report.hpp
@@ -1,5 +1,5 @@
-/// What each phase of a run cost, printed as JSON lines while it goes on and as tables at its end. Standard
-/// output; one thread.
+/// Prints the resource use of each phase of a run to standard output: JSON lines during the run, tables at
+/// its end. Single-threaded.
 #pragma once
 
 #include <map>
@@ -12,30 +12,29 @@
 
 namespace lichenlanding::scale_test {
 
-/// All that is counted, at one moment.
+/// All counters at one point in time.
 struct Snapshot {
-    Reading reading;
-    std::map<std::string, MessageTally> tallies;  ///< by process
+    UsageReading reading;
+    std::map<std::string, MessageCounts> messageCounts;  ///< by process
 };
 
-/// The run's own process, which is the operator and the platform: its name, and its role in printed lines.
+/// Name and role, in printed lines, of the run's own process, which acts as the operator and the platform.
 inline constexpr const char* kOutsideProcess = "operator and platform";
 inline constexpr const char* kOutsideRole = "outside";
 
-/// Roles by process as they are printed, with hollow processes as the proxies that they hold.
+/// Printed roles by process name. A process of simulated proxies has the role of a proxy.
 std::map<std::string, std::string> peerRoles(const std::map<std::string, Role>& roles);
 
 class CostReport {
   public:
-    /// So many hollow proxies are in the run.
-    explicit CostReport(std::int64_t hollowProxies) : hollowProxies_(hollowProxies) {}
+    explicit CostReport(std::int64_t simulatedProxies) : simulatedProxies_(simulatedProxies) {}
 
-    /// Prints what each process cost between two snapshots, and adds the dearest control node, one real proxy
-    /// and the mean hollow proxy to the table of costs.
+    /// Prints the resource use of each process between two snapshots. Adds the control node with the highest
+    /// CPU time, one real proxy and the mean simulated proxy to the table of costs.
     void addPhase(const std::string& phase, const Snapshot& from, const Snapshot& to,
                   const std::map<std::string, Role>& roles);
-    /// Prints a measured time and adds it to the table of times. `about` has "spread" (report.hpp) and may
-    /// have more.
+    /// Prints a measured time and adds it to the table of times. `about` must have "spread", the result of
+    /// summarizeTimes() in report.hpp; further fields are printed too.
     void addTime(const std::string& what, nlohmann::json about);
     void printTables() const;
 
@@ -43,26 +42,26 @@
 
   private:
     using Row = std::vector<nlohmann::json>;
-    // A phase between two snapshots.
+    // A phase, from its first to its last snapshot.
     struct Phase {
         std::string name;
         const Snapshot& from;
         const Snapshot& to;
-        std::map<std::string, std::string> peers;  // roles by process
+        std::map<std::string, std::string> peers;  // printed roles by process
         double seconds() const;
         Nanos cpuOf(const std::string& process) const;
     };
-    // Of all hollow processes together.
-    struct HollowTotals {
-        std::map<std::string, Flow> flows;  // by role of the peer
+    // Sums over all processes of simulated proxies.
+    struct SimulatedTotals {
+        std::map<std::string, Flow> flows;  // by the peer's role
         Nanos cpu = 0;
         std::uint64_t memory = 0;
     };
 
     static Row addProcess(const Phase& phase, const std::string& process, Role role);
-    void addHollow(const Phase& phase, const HollowTotals& hollow);
+    void addSimulatedProxies(const Phase& phase, const SimulatedTotals& simulated);
 
-    std::int64_t hollowProxies_;
+    std::int64_t simulatedProxies_;
     std::vector<Row> costs_, times_;
 };
 
--- a/src/scale_test/hollow.cpp
+++ b/src/scale_test/hollow.cpp
@@ -17,38 +17,39 @@
 
 using namespace transport;
 
-constexpr Nanos kTallyEvery = 200 * kMillisecond;
-constexpr Nanos kRestartTakes = 500 * kMillisecond;
-constexpr std::int64_t kProxiesOfNetwork = 200;
+constexpr Nanos kMessageCountsInterval = 200 * kMillisecond;
+constexpr Nanos kRestartDelay = 500 * kMillisecond;
+constexpr std::int64_t kProxiesPerSubnet = 200;
 
 struct NumberedProxy {
     std::int64_t number = 0;
-    std::shared_ptr<HollowProxy> proxy;
+    std::shared_ptr<SimulatedProxy> proxy;
 };
 using ProxiesByName = std::map<std::string, NumberedProxy>;
 
-std::shared_ptr<HollowProxy> openProxy(HollowProcess& process, std::int64_t number) {
-    auto proxy = std::make_shared<HollowProxy>(process, hollowName(number), hollowAddress(number));
+std::shared_ptr<SimulatedProxy> openProxy(SimulatorProcess& process, std::int64_t number) {
+    auto proxy =
+        std::make_shared<SimulatedProxy>(process, simulatedProxyName(number), simulatedProxyAddress(number));
     proxy->open();
     return proxy;
 }
 
-Task<> tellTallies(HollowProcess& process) {
+Task<> printMessageCounts(SimulatorProcess& process) {
     for (;;) {
-        co_await sleep(kTallyEvery);
-        tellFact(facts::kTally, {{"heard", process.heard}, {"sent", process.sent}});
+        co_await sleep(kMessageCountsInterval);
+        printFact(facts::kMessageCounts, {{"heard", process.received}, {"sent", process.sent}});
     }
 }
 
-Task<> restart(HollowProcess& process, ProxiesByName& proxies, std::string name) {
-    const auto at = proxies.find(name);
-    if (at == proxies.end()) co_return;
-    at->second.proxy->leave();
-    co_await sleep(kRestartTakes);
-    at->second.proxy = openProxy(process, at->second.number);
+Task<> restart(SimulatorProcess& process, ProxiesByName& proxies, std::string name) {
+    const auto entry = proxies.find(name);
+    if (entry == proxies.end()) co_return;
+    entry->second.proxy->stop();
+    co_await sleep(kRestartDelay);
+    entry->second.proxy = openProxy(process, entry->second.number);
 }
 
-Task<> takeOrders(HollowProcess& process, ProxiesByName& proxies) {
+Task<> readCommands(SimulatorProcess& process, ProxiesByName& proxies) {
     asio::posix::stream_descriptor in(process.io, dup(STDIN_FILENO));
     asio::streambuf buffer;
     for (;;) {
@@ -56,39 +57,39 @@
         co_await asio::async_read_until(in, buffer, '\n', withErrorCode(error));
         if (error) break;
         std::istream stream(&buffer);
-        std::string order;
+        std::string command;
         std::string name;
-        stream >> order >> name;
+        stream >> command >> name;
         stream.ignore(1);
-        if (order == facts::kRestartOrder) spawn(process.io, "restart", restart(process, proxies, name));
+        if (command == facts::kRestartCommand) spawn(process.io, "restart", restart(process, proxies, name));
     }
     process.io.stop();
 }
 
 }  // namespace
 
-std::string hollowName(std::int64_t n) { return "hollow-" + std::to_string(n); }
+std::string simulatedProxyName(std::int64_t n) { return "hollow-" + std::to_string(n); }
 
-std::string hollowAddress(std::int64_t n) {
-    return "127.72." + std::to_string(n / kProxiesOfNetwork + 1) + "." +
-           std::to_string(n % kProxiesOfNetwork + 1);
+std::string simulatedProxyAddress(std::int64_t n) {
+    return "127.72." + std::to_string(n / kProxiesPerSubnet + 1) + "." +
+           std::to_string(n % kProxiesPerSubnet + 1);
 }
 
-void runHollow(const Json& settings) {
+void runSimulatedProxies(const Json& settings) {
     const auto first = settings.at("first").get<std::int64_t>();
     const auto count = settings.at("count").get<std::int64_t>();
     openLog("hollow-from-" + std::to_string(first));
     asio::io_context io{1};
-    HollowProcess process{io, settings.at("port").get<int>(),
-                          settings.at("heartbeat_ms").get<Nanos>() * kMillisecond,
-                          settings.at("seeds").get<std::vector<std::string>>()};
+    SimulatorProcess process{io, settings.at("port").get<int>(),
+                             settings.at("heartbeat_ms").get<Nanos>() * kMillisecond,
+                             settings.at("seeds").get<std::vector<std::string>>()};
     ProxiesByName proxies;
-    for (auto n = first; n < first + count; ++n) proxies[hollowName(n)] = {n, openProxy(process, n)};
-    spawn(io, "tally", tellTallies(process));
-    spawn(io, "orders", takeOrders(process, proxies));
+    for (auto n = first; n < first + count; ++n) proxies[simulatedProxyName(n)] = {n, openProxy(process, n)};
+    spawn(io, "tally", printMessageCounts(process));
+    spawn(io, "orders", readCommands(process, proxies));
     io.run();
     std::fflush(stderr);
-    _exit(0);  // what is left open ends with the process
+    _exit(0);  // skips destructors: the kernel closes the sockets
 }
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/measure.hpp
+++ b/src/scale_test/measure.hpp
@@ -1,4 +1,4 @@
-/// What the processes of a run cost, as the kernel counts it: processor time, memory, connections, bytes.
+/// Resource use of the processes of a run, as counted by the kernel: CPU time, memory, connections, bytes.
 #pragma once
 
 #include <sys/types.h>
@@ -12,50 +12,50 @@
 
 namespace lichenlanding::scale_test {
 
-/// One TCP connection's end.
+/// One end of a TCP connection.
 struct Socket {
-    std::string from, to;                           ///< "127.0.0.1:4711"
-    std::uint64_t in = 0, out = 0;                  ///< bytes of payload received; sent and acknowledged
-    std::uint64_t segmentsIn = 0, segmentsOut = 0;  ///< that carried payload
+    std::string localAddress, remoteAddress;        ///< "127.0.0.1:4711"
+    std::uint64_t bytesIn = 0, bytesOut = 0;        ///< payload received; payload sent and acknowledged
+    std::uint64_t segmentsIn = 0, segmentsOut = 0;  ///< TCP segments with payload
 };
 
-/// Established connections of this machine over IPv4 by inode. Empty where the kernel does not tell.
-std::map<std::uint64_t, Socket> connections();
+/// Established IPv4 connections of this machine by socket inode. Empty if the kernel does not report them.
+std::map<std::uint64_t, Socket> tcpConnections();
 
-struct Cost {
+struct ProcessUsage {
     Nanos cpu = 0;
-    std::uint64_t memory = 0, peak = 0;  ///< bytes resident
-    std::vector<std::uint64_t> sockets;  ///< inodes
+    std::uint64_t memory = 0, peakMemory = 0;  ///< resident bytes
+    std::vector<std::uint64_t> sockets;        ///< inodes
 };
 
-/// Of a process of ours. Zeros where it has gone.
-Cost cost(pid_t id);
+/// Resource use of a process of the same user. All zero if the process has ended.
+ProcessUsage processUsage(pid_t id);
 
-std::uint64_t resident(pid_t id);  ///< bytes
+std::uint64_t residentMemory(pid_t id);  ///< bytes
 
-/// Bytes of memory that the machine has, and that are still available.
-struct Memory {
+/// Memory of the machine in bytes.
+struct SystemMemory {
     std::uint64_t total = 0, available = 0;
 };
-Memory memory();
+SystemMemory systemMemory();
 
-/// Of one process between two readings, by whom it talks with.
+/// Traffic of one process between two readings, with peers of one role.
 struct Flow {
-    int open = 0;  ///< at the second reading
-    std::uint64_t in = 0, out = 0, segmentsIn = 0, segmentsOut = 0;
+    int open = 0;  ///< connections at the second reading
+    std::uint64_t bytesIn = 0, bytesOut = 0, segmentsIn = 0, segmentsOut = 0;
 };
 
 /// A reading of all processes of a run at one moment.
-struct Reading {
+struct UsageReading {
     Nanos at = 0;
-    std::map<std::string, Cost> costs;  ///< by process
+    std::map<std::string, ProcessUsage> usage;  ///< by process
     std::map<std::uint64_t, Socket> sockets;
-    std::map<std::uint64_t, std::string> owners;  ///< inode: process
+    std::map<std::uint64_t, std::string> owners;  ///< process by socket inode
 
-    static Reading take(const std::map<std::string, pid_t>& processes);
-    /// What `process` exchanged since `before`, by role of the other end ("" where it is none of ours).
-    /// Connections that ended in between are not counted from `before` on.
-    std::map<std::string, Flow> flows(const Reading& before, const std::string& process,
+    static UsageReading capture(const std::map<std::string, pid_t>& processes);
+    /// Traffic of `process` since `before`, by the role of the peer ("" if the peer is no process of the
+    /// run). Excludes connections that closed in between.
+    std::map<std::string, Flow> flows(const UsageReading& before, const std::string& process,
                                       const std::map<std::string, std::string>& roles) const;
 };
 
--- a/src/scale_test/observations.cpp
+++ b/src/scale_test/observations.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr const char* kProxyReadyEvent = "readiness_gained";  // in the log of a real proxy
+constexpr const char* kProxyReadyEvent = "readiness_gained";  // log event of a real proxy
 
 std::map<std::string, std::uint64_t> sumByPeer(const Json& messages) {
     std::map<std::string, std::uint64_t> sums;
@@ -31,8 +31,8 @@
         return;
     }
     const auto& fact = line.at("fact").get_ref<const std::string&>();
-    if (fact == facts::kTally) {
-        tallies[process] = {sumByPeer(line.at("heard")), sumByPeer(line.at("sent"))};
+    if (fact == facts::kMessageCounts) {
+        messageCounts[process] = {sumByPeer(line.at("heard")), sumByPeer(line.at("sent"))};
         return;
     }
     const auto proxy = line.at("name").get<std::string>();
--- a/src/scale_test/observations.hpp
+++ b/src/scale_test/observations.hpp
@@ -1,5 +1,5 @@
-/// What the processes of a run have told: facts of hollow proxies, log records of all. Times are steady
-/// nanoseconds, which all processes share. One thread.
+/// Collects the output of the processes of a run: facts of simulated proxies (facts.hpp) and log records of
+/// all processes. Times are steady-clock nanoseconds, which all processes share. Single-threaded.
 #pragma once
 
 #include <map>
@@ -12,28 +12,28 @@
 
 namespace lichenlanding::scale_test {
 
-/// Messages of the hollow proxies of one process since its start, by kind of the peer.
-struct MessageTally {
-    std::map<std::string, std::uint64_t> heard, sent;
+/// Messages of the simulated proxies of one process since its start, by the peer's role.
+struct MessageCounts {
+    std::map<std::string, std::uint64_t> received, sent;
 };
 
 class Observations {
   public:
-    /// A line of a process; `now` for what does not name its time.
+    /// Adds a line of a process's output. `now` is used for lines without a time of their own.
     void add(const std::string& process, Role role, const nlohmann::json& line, Nanos now);
 
-    /// When a proxy became ready, by its name: once in each life.
+    /// Times at which each proxy became ready, by its name: one for each start.
     std::map<std::string, std::vector<Nanos>> readyTimes;
-    /// When an endpoint was told to be draining or gone: by its id and by proxy.
+    /// When a proxy learned that an endpoint is draining or removed, by endpoint id and proxy name.
     std::map<std::string, std::map<std::string, Nanos>> endpointChanges;
-    /// Names of the proxies that are connected, by the address of the control node.
+    /// Names of the connected proxies, by the address of the control node.
     std::map<std::string, std::set<std::string>> connections;
     std::uint64_t connectionsEnded = 0;
-    std::map<std::string, MessageTally> tallies;                            ///< by process
+    std::map<std::string, MessageCounts> messageCounts;                     ///< by process
     std::map<std::string, std::map<std::string, std::int64_t>> logRecords;  ///< by role and event
 
-    /// When each proxy held a configuration of at least `version`, if it did, after `since` (0 where it was
-    /// before).
+    /// Time from `since` until each proxy applied a configuration of at least `version`; 0 if it had before.
+    /// Excludes proxies that have not applied one.
     std::vector<Nanos> appliedTimes(std::int64_t version, Nanos since) const;
 
   private:
--- a/src/scale_test/operator_client.hpp
+++ b/src/scale_test/operator_client.hpp
@@ -1,5 +1,5 @@
-/// The operator of a run, and a client of its real proxies, over HTTP. One thread, the loop of its
-/// io_context.
+/// HTTP client that acts as the operator of a run and as a client of its real proxies. Single-threaded, on
+/// the event loop of its io_context.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -12,25 +12,25 @@
 
 class OperatorClient {
   public:
-    OperatorClient(transport::asio::io_context& io, const ScenarioConfig& plan, const RunLayout& layout);
+    OperatorClient(transport::asio::io_context& io, const ScenarioConfig& scenario, const RunLayout& layout);
 
-    /// Sends the configuration of so many changes until it is acknowledged. Throws std::runtime_error where
-    /// it is rejected.
+    /// Sends the configuration with this number of changes, and retries until it is acknowledged. Throws
+    /// std::runtime_error if it is rejected.
     transport::Task<> replaceConfiguration(std::int64_t changes);
-    /// Asks the n-th real proxy for the route that a change adds, until it is served. Its time; 0: it was
-    /// not, `within`.
-    transport::Task<Nanos> askForRoute(std::int64_t proxy, std::int64_t change, Nanos within);
+    /// Polls the real proxy of this index for the route that a change adds. Returns the time when it was
+    /// first served, or 0 after the timeout.
+    transport::Task<Nanos> waitForRoute(std::int64_t proxy, std::int64_t change, Nanos timeout);
 
-    std::size_t bodyBytes() const { return bodyBytes_; }  ///< of the last configuration
-    std::uint64_t resent() const { return resent_; }      ///< configurations sent once more
+    std::size_t bodyBytes() const { return bodyBytes_; }  ///< size of the last configuration
+    std::uint64_t resent() const { return resent_; }      ///< number of retries
 
   private:
     using Request = boost::beast::http::request<boost::beast::http::string_body>;
-    /// The status of the response; 0 where there is none.
+    /// The HTTP status of the response; 0 on failure.
     transport::Task<int> call(std::string address, Request request);
 
     transport::asio::io_context& io_;
-    const ScenarioConfig& plan_;
+    const ScenarioConfig& scenario_;
     const RunLayout& layout_;
     std::size_t bodyBytes_ = 0;
     std::uint64_t resent_ = 0;
--- a/src/scale_test/platform.cpp
+++ b/src/scale_test/platform.cpp
@@ -16,17 +16,18 @@
 
 namespace {
 
-constexpr std::size_t kDrainingMax = 2;
-constexpr std::size_t kLeastEndpoints = 4;  // with fewer none is replaced
+constexpr std::size_t kMaxDraining = 2;
+constexpr std::size_t kMinEndpoints = 4;  // with fewer, replaceEndpoint() does nothing
 
 }  // namespace
 
-Platform::Platform(asio::io_context& io, const ScenarioConfig& plan)
+Platform::Platform(asio::io_context& io, const ScenarioConfig& scenario)
     : io_(io),
-      plan_(plan),
+      scenario_(scenario),
       acceptor_(listen(io, "127.0.0.1:0")),
-      callsLeft_(static_cast<double>(plan.listCallsPerSecond)) {
-    while (endpointsMade_ < plan_.pods) endpoints_.push_back(pod(plan_, endpointsMade_++));
+      availableCalls_(static_cast<double>(scenario.listCallsPerSecond)) {
+    while (endpointsCreated_ < scenario_.pods)
+        endpoints_.push_back(podEndpoint(scenario_, endpointsCreated_++));
     spawn(io_, "platform", accept());
 }
 
@@ -35,44 +36,45 @@
 }
 
 std::string Platform::replaceEndpoint() {
-    if (endpoints_.size() < kLeastEndpoints) return "";
-    if (drainingCount_ == kDrainingMax) {
+    if (endpoints_.size() < kMinEndpoints) return "";
+    if (drainingCount_ == kMaxDraining) {
         endpoints_.pop_front();
         --drainingCount_;
     }
     auto& drained = endpoints_.at(drainingCount_++);
     drained.draining = true;
     const auto id = drained.id;
-    endpoints_.push_back(pod(plan_, endpointsMade_++));
+    endpoints_.push_back(podEndpoint(scenario_, endpointsCreated_++));
     return id;
 }
 
-bool Platform::takeCall() {
-    const auto most = static_cast<double>(plan_.listCallsPerSecond);
+bool Platform::tryAcquireCall() {
+    const auto callsPerSecond = static_cast<double>(scenario_.listCallsPerSecond);
     const Nanos at = now();
-    callsLeft_ =
-        std::min(most, callsLeft_ + static_cast<double>(at - std::exchange(refilledAt_, at)) / 1e9 * most);
-    if (callsLeft_ < 1) return false;
-    --callsLeft_;
+    availableCalls_ =
+        std::min(callsPerSecond, availableCalls_ + static_cast<double>(at - std::exchange(refilledAt_, at)) /
+                                                       1e9 * callsPerSecond);
+    if (availableCalls_ < 1) return false;
+    --availableCalls_;
     return true;
 }
 
 std::string Platform::page(std::size_t from) {
-    const auto to = std::min(from + static_cast<std::size_t>(plan_.listPageSize), endpoints_.size());
+    const auto to = std::min(from + static_cast<std::size_t>(scenario_.listPageSize), endpoints_.size());
     Json list = Json::array();
     for (auto at = from; at < to; ++at) {
-        const auto& one = endpoints_[at];
-        list.push_back({{"instance_id", one.id},
-                        {"service_name", one.service},
-                        {"address", one.address},
-                        {"zone", one.zone},
-                        {"config_version", one.version},
-                        {"capacity_slots", one.slots},
-                        {"state", one.draining ? "draining" : "ready"},
+        const auto& endpoint = endpoints_[at];
+        list.push_back({{"instance_id", endpoint.id},
+                        {"service_name", endpoint.service},
+                        {"address", endpoint.address},
+                        {"zone", endpoint.zone},
+                        {"config_version", endpoint.version},
+                        {"capacity_slots", endpoint.slots},
+                        {"state", endpoint.draining ? "draining" : "ready"},
                         {"warmup_left", "0ms"}});
     }
     const bool last = to == endpoints_.size();
-    if (last) completeLists.push_back(now());
+    if (last) listCompletionTimes.push_back(now());
     return Json{{"instance_list", std::move(list)},
                 {"next_token", last ? Json(nullptr) : Json("p-" + std::to_string(to))}}
         .dump();
@@ -80,9 +82,9 @@
 
 Task<> Platform::accept() {
     while (acceptor_.is_open()) {
-        ErrorCode code;
-        auto socket = co_await acceptor_.async_accept(withErrorCode(code));
-        if (code) co_return;
+        ErrorCode error;
+        auto socket = co_await acceptor_.async_accept(withErrorCode(error));
+        if (error) co_return;
         spawn(io_, "platform", serve(std::move(socket)));
     }
 }
@@ -91,9 +93,9 @@
     beast::flat_buffer buffer;
     for (;;) {
         http::request<http::empty_body> request;
-        ErrorCode code;
-        co_await http::async_read(socket, buffer, request, withErrorCode(code));
-        if (code) co_return;
+        ErrorCode error;
+        co_await http::async_read(socket, buffer, request, withErrorCode(error));
+        if (error) co_return;
         ++calls;
         Response response(http::status::ok, 11);
         response.set(http::field::content_type, "application/json");
@@ -101,7 +103,7 @@
         const auto token = target.find("page_token=p-");
         std::size_t from = 0;
         if (token != std::string::npos) parse(std::string_view(target).substr(token + 13), from);
-        if (takeCall()) {
+        if (tryAcquireCall()) {
             response.body() = page(from);
         } else {
             response.result(http::status::too_many_requests);
@@ -110,8 +112,8 @@
         response.keep_alive(request.keep_alive());
         response.prepare_payload();
         bytes += response.body().size();
-        co_await http::async_write(socket, response, withErrorCode(code));
-        if (code || !response.keep_alive()) co_return;
+        co_await http::async_write(socket, response, withErrorCode(error));
+        if (error || !response.keep_alive()) co_return;
     }
 }
 
--- a/src/scale_test/platform.hpp
+++ b/src/scale_test/platform.hpp
@@ -1,5 +1,5 @@
-/// A stand-in for the platform's list of endpoints (PROTOCOL, "Which pods there are"), in pages and with a
-/// bound on calls a second. Nobody listens at the endpoints. One thread, the loop of its io_context.
+/// A simulated platform API that lists endpoints (PROTOCOL, "Which pods there are"), in pages and with a rate
+/// limit. Nothing listens at the endpoints' addresses. Single-threaded, on the event loop of its io_context.
 #pragma once
 
 #include <deque>
@@ -13,31 +13,32 @@
 
 class Platform {
   public:
-    Platform(transport::asio::io_context& io, const ScenarioConfig& plan);
+    Platform(transport::asio::io_context& io, const ScenarioConfig& scenario);
     std::string address() const;  ///< host and port
 
-    /// The oldest ready endpoint drains, the one that drained two replacements ago is gone, another is new.
-    /// The id of the first; "" where there are too few.
+    /// Sets the oldest ready endpoint to draining, removes the one that started draining two replacements
+    /// ago, and adds a new one. Returns the id of the draining endpoint, or "" if there are too few
+    /// endpoints.
     std::string replaceEndpoint();
 
-    std::uint64_t calls = 0;           ///< all
-    std::uint64_t rejected = 0;        ///< of these, over the rate
-    std::uint64_t bytes = 0;           ///< of bodies
-    std::vector<Nanos> completeLists;  ///< when a list's last page was handed out, steady nanoseconds
+    std::uint64_t calls = 0;                 ///< list calls, including rejected ones
+    std::uint64_t rejected = 0;              ///< calls over the rate limit
+    std::uint64_t bytes = 0;                 ///< size of all response bodies
+    std::vector<Nanos> listCompletionTimes;  ///< when the last page of a list was served
 
   private:
     transport::Task<> accept();
     transport::Task<> serve(transport::tcp::socket socket);
-    std::string page(std::size_t from);  // the body
-    bool takeCall();
+    std::string page(std::size_t from);  // the response body
+    bool tryAcquireCall();
 
     transport::asio::io_context& io_;
-    const ScenarioConfig plan_;
+    const ScenarioConfig scenario_;
     transport::tcp::acceptor acceptor_;
     std::deque<discovery::Endpoint> endpoints_;
-    std::int64_t endpointsMade_ = 0;
-    std::size_t drainingCount_ = 0;  // the first so many
-    double callsLeft_;
+    std::int64_t endpointsCreated_ = 0;
+    std::size_t drainingCount_ = 0;  // these are first in endpoints_
+    double availableCalls_;
     Nanos refilledAt_ = transport::now();
 };
 
--- a/src/scale_test/processes.cpp
+++ b/src/scale_test/processes.cpp
@@ -23,13 +23,13 @@
 
 Pipe makePipe() {
     int ends[2];
-    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("scale: no pipe");
+    if (pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("scale-test: cannot create a pipe");
     return {ends[0], ends[1]};
 }
 
-// In the child, after fork(): only calls that are safe there.
-[[noreturn]] void runProgram(const std::string& program, char* const* arguments, pid_t parent, const Pipe& in,
-                             const Pipe& out, const std::string& settings) {
+// Runs in the child after fork(), where only async-signal-safe calls are allowed.
+[[noreturn]] void execProgram(const std::string& program, char* const* arguments, pid_t parent,
+                              const Pipe& in, const Pipe& out, const std::string& settings) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) _exit(1);
     dup2(in.readEnd, STDIN_FILENO);
@@ -48,7 +48,7 @@
             return "control_node";
         case Role::proxy:
             return "proxy";
-        case Role::hollowProxies:
+        case Role::simulatedProxies:
             return "hollow";
     }
     return "";
@@ -59,17 +59,17 @@
 
 Processes::~Processes() { stopAll(); }
 
-void Processes::launch(const std::string& name, Role role, std::vector<std::string> words,
+void Processes::launch(const std::string& name, Role role, std::vector<std::string> commandLine,
                        const std::string& settings) {
     const auto out = makePipe();
     const auto in = makePipe();
     std::vector<char*> arguments{program_.data()};
-    for (auto& word : words) arguments.push_back(word.data());
+    for (auto& argument : commandLine) arguments.push_back(argument.data());
     arguments.push_back(nullptr);
     const auto parent = getpid();
     const auto id = fork();
-    if (id < 0) throw std::runtime_error("scale: no process");
-    if (id == 0) runProgram(program_, arguments.data(), parent, in, out, settings);
+    if (id < 0) throw std::runtime_error("scale-test: cannot fork a process");
+    if (id == 0) execProgram(program_, arguments.data(), parent, in, out, settings);
     ::close(out.writeEnd);
     ::close(in.readEnd);
     auto& process = processes_[name];
--- a/src/scale_test/processes.hpp
+++ b/src/scale_test/processes.hpp
@@ -1,5 +1,5 @@
-/// The child processes of a run: started, listened to and ended. They end with their parent, also where that
-/// is killed. One thread, the loop of its io_context.
+/// The child processes of a run. They end with their parent, even if it is killed. Single-threaded, on the
+/// event loop of its io_context.
 #pragma once
 
 #include <sys/types.h>
@@ -16,22 +16,23 @@
 
 namespace lichenlanding::scale_test {
 
-enum class Role { controlNode, proxy, hollowProxies };
+enum class Role { controlNode, proxy, simulatedProxies };
 
-/// The role's name in what a run prints.
+/// The role's name in the run's output.
 const char* nameOf(Role role);
 
 class Processes {
   public:
-    /// A line of a process that is a JSON object.
+    /// Called for each output line of a process that is a JSON object.
     using Listener = std::function<void(const std::string& process, const nlohmann::json& line)>;
 
     Processes(transport::asio::io_context& io, std::string program, Listener listener);
     ~Processes();
 
-    /// Starts the program with `words`; `settings`: its settings file, "" for none. A name that is there
-    /// already is one that has been stopped. Throws std::runtime_error where the machine has no room.
-    void launch(const std::string& name, Role role, std::vector<std::string> words,
+    /// Starts the program with the given arguments. `settings` is the path of its settings file, or "". A
+    /// name may be reused after its process was stopped. Throws std::runtime_error if no process can be
+    /// started.
+    void launch(const std::string& name, Role role, std::vector<std::string> commandLine,
                 const std::string& settings);
     void stop(const std::string& name);
     void stopAll();
@@ -39,14 +40,13 @@
     transport::Task<> send(std::string name, std::string text);
 
     Role roleOf(const std::string& name) const { return processes_.at(name).role; }
-    /// Names with their roles, of all that were ever started; with their ids, of those that run.
-    std::map<std::string, Role> roles() const;
-    std::map<std::string, pid_t> running() const;
+    std::map<std::string, Role> roles() const;     ///< by name, of all processes ever started
+    std::map<std::string, pid_t> running() const;  ///< process ids by name
 
   private:
     struct Process {
-        pid_t id = -1;  // -1: does not run
-        Role role = Role::hollowProxies;
+        pid_t id = -1;  // -1: not running
+        Role role = Role::simulatedProxies;
         std::unique_ptr<transport::asio::posix::stream_descriptor> out, in;
     };
 
--- a/src/scale_test/report.hpp
+++ b/src/scale_test/report.hpp
@@ -1,4 +1,4 @@
-/// Figures of a run put together. Pure.
+/// Summaries and tables of a run's figures. Pure functions.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,11 +9,13 @@
 
 namespace lichenlanding::scale_test {
 
-/// Of times in nanoseconds: {"n", "median_ms", "p99_ms", "max_ms"}; null where there are none. The p-quantile
-/// is the smallest value that at least p of all do not exceed.
-nlohmann::json spread(std::vector<Nanos> times);
+/// Summary of times in nanoseconds: {"n", "median_ms", "p99_ms", "max_ms"}; null if there are none. The
+/// p-quantile is the smallest value that at least a share p of the times do not exceed.
+nlohmann::json summarizeTimes(std::vector<Nanos> times);
 
-/// A table in Markdown, right-aligned but for its first column. Cells of numbers are rounded to three digits.
-std::string table(const std::vector<std::string>& head, const std::vector<std::vector<nlohmann::json>>& rows);
+/// Formats a Markdown table; all columns but the first are right-aligned. Numbers are rounded to three
+/// significant digits.
+std::string markdownTable(const std::vector<std::string>& header,
+                          const std::vector<std::vector<nlohmann::json>>& rows);
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/run_layout.cpp
+++ b/src/scale_test/run_layout.cpp
@@ -13,16 +13,16 @@
 using namespace transport;
 using Json = nlohmann::json;
 
-constexpr int kPortsFrom = 20000, kPortsTo = 32000;  // below those that the kernel gives to connections
-constexpr int kPortStep = 8, kPortTries = 500;
-constexpr std::int64_t kSeedsMax = 3;
+constexpr int kFirstPort = 20000, kPortsEnd = 32000;  // below the kernel's ephemeral ports
+constexpr int kPortStep = 8, kMaxPortAttempts = 500;
+constexpr std::int64_t kMaxSeeds = 3;
 constexpr const char* kRegion = "region";
 
-// Roles in a settings file; nodes know them by these words.
+// Values of "role" in a settings file.
 constexpr const char* kControlNodeRole = "prompter";
 constexpr const char* kProxyRole = "foyer";
 
-std::string hostAndPort(const char* network, std::int64_t n, int port) {
+std::string formatAddress(const char* network, std::int64_t n, int port) {
     return network + std::to_string(n + 1) + ":" + std::to_string(port);
 }
 
@@ -34,7 +34,7 @@
 
 bool isFree(int port) {
     asio::io_context io;
-    for (int offset = 0; offset < kPortsOfNode; ++offset) {
+    for (int offset = 0; offset < kPortsPerNode; ++offset) {
         tcp::acceptor acceptor(io);
         ErrorCode error;
         acceptor.open(tcp::v4(), error);
@@ -47,11 +47,11 @@
 }  // namespace
 
 std::string RunLayout::controlNodeAddress(std::int64_t n, PortOffset port) const {
-    return hostAndPort("127.71.0.", n, port_ + port);
+    return formatAddress("127.71.0.", n, port_ + port);
 }
 
 std::string RunLayout::proxyAddress(std::int64_t n, PortOffset port) const {
-    return hostAndPort("127.72.0.", n, port_ + port);
+    return formatAddress("127.72.0.", n, port_ + port);
 }
 
 std::string RunLayout::controlNodeName(std::int64_t n) { return "control-node-" + std::to_string(n + 1); }
@@ -60,30 +60,31 @@
 
 std::vector<std::string> RunLayout::seedAddresses(PortOffset port) const {
     std::vector<std::string> seeds;
-    for (std::int64_t seed = 0; seed < std::min(plan_.controlNodes, kSeedsMax); ++seed)
+    for (std::int64_t seed = 0; seed < std::min(scenario_.controlNodes, kMaxSeeds); ++seed)
         seeds.push_back(controlNodeAddress(seed, port));
     return seeds;
 }
 
 Json RunLayout::commonSettings(const std::string& name, std::int64_t n, const std::string& platform) const {
     Json zones = Json::object();
-    for (std::int64_t zone = 0; zone < plan_.zones; ++zone) zones[zoneName(zone)] = kRegion;
-    return {{"node_name", name},
-            {"zone", zoneName(n % plan_.zones)},
-            {"region", kRegion},
-            {"zones", zones},
-            {"internal_ports", {port_, port_}},
-            {"seed_nodes", seedAddresses(kControlPlanePort)},
-            {"heartbeat", std::to_string(kHeartbeatMs) + "ms"},
-            {"fault_tolerance", {{"machines", (plan_.controlNodes - 1) / 2}, {"zones", 0}, {"regions", 0}}},
-            {"cloud_api", {{"address", platform}, {"rate_per_s", plan_.listCallsPerSecond}}}};
+    for (std::int64_t zone = 0; zone < scenario_.zones; ++zone) zones[zoneName(zone)] = kRegion;
+    return {
+        {"node_name", name},
+        {"zone", zoneName(n % scenario_.zones)},
+        {"region", kRegion},
+        {"zones", zones},
+        {"internal_ports", {port_, port_}},
+        {"seed_nodes", seedAddresses(kControlPlanePort)},
+        {"heartbeat", std::to_string(kHeartbeatMs) + "ms"},
+        {"fault_tolerance", {{"machines", (scenario_.controlNodes - 1) / 2}, {"zones", 0}, {"regions", 0}}},
+        {"cloud_api", {{"address", platform}, {"rate_per_s", scenario_.listCallsPerSecond}}}};
 }
 
 std::string RunLayout::writeControlNodeSettings(const std::string& folder, std::int64_t n, bool bootstrap,
                                                 const std::string& platform) const {
     const auto name = controlNodeName(n);
-    const auto disk = folder + "/" + name;
-    std::filesystem::create_directories(disk);
+    const auto dataDirectory = folder + "/" + name;
+    std::filesystem::create_directories(dataDirectory);
     auto settings = commonSettings(name, n, platform);
     settings.update({{"role", kControlNodeRole},
                      {"machine_class", "core"},
@@ -93,7 +94,7 @@
                      {"bootstrap", bootstrap},
                      {"quorum_member", true},
                      {"limits", {{"disk_mb", 256}, {"memory_mb", 256}}},
-                     {"data_dir", disk}});
+                     {"data_dir", dataDirectory}});
     return writeFile(folder, name, settings);
 }
 
@@ -116,12 +117,12 @@
 }
 
 int findFreePorts() {
-    int port = kPortsFrom + static_cast<int>(getpid()) * kPortStep % (kPortsTo - kPortsFrom);
-    for (int tried = 0; tried < kPortTries; ++tried) {
+    int port = kFirstPort + static_cast<int>(getpid()) * kPortStep % (kPortsEnd - kFirstPort);
+    for (int attempt = 0; attempt < kMaxPortAttempts; ++attempt) {
         if (isFree(port)) return port;
-        port = port + kPortStep < kPortsTo ? port + kPortStep : kPortsFrom;
+        port = port + kPortStep < kPortsEnd ? port + kPortStep : kFirstPort;
     }
-    throw std::runtime_error("scale: no free ports");
+    throw std::runtime_error("scale-test: no consecutive free ports found");
 }
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/scale_run.hpp
+++ b/src/scale_test/scale_run.hpp
@@ -1,5 +1,5 @@
-/// One scale run: starts the processes, goes through its phases and reports what they cost. One thread, its
-/// own loop.
+/// One run: starts the processes, executes the phases and reports their resource use. Single-threaded, on its
+/// own event loop.
 #pragma once
 
 #include "scale_test/cost_report.hpp"
@@ -12,29 +12,28 @@
 
 class ScaleRun {
   public:
-    /// Throws std::runtime_error where the machine has no room for the plan.
-    ScaleRun(const ScenarioConfig& plan, std::string program);
+    /// Throws std::runtime_error if the scenario exceeds the limits of the machine.
+    ScaleRun(const ScenarioConfig& scenario, std::string program);
     ~ScaleRun();
 
-    /// Blocks until the run is over, at the plan's limit at the latest. False where a phase did not come to
-    /// its end.
+    /// Blocks until the run is over, for the scenario's limit at most. False if a phase did not complete.
     bool run();
 
   private:
-    void checkRoom() const;
+    void checkCapacity() const;
     void launchControlNode(std::int64_t n, bool bootstrap);
     void launchAll();
-    std::string hollowProcessOf(std::int64_t proxy) const;
+    std::string simulatorProcessOf(std::int64_t proxy) const;
     bool allProxiesAppliedBy(std::int64_t version) const;
 
-    // Ends of the run.
+    // The run as a whole, and the conditions that stop it.
     transport::Task<> runPhases();
     transport::Task<> stopAtLimit();
-    transport::Task<> watchMemory();
+    transport::Task<> monitorMemory();
     void stopWith(const std::string& reason);
 
-    // Phases (scale_phases.cpp), each left out where its setting is 0.
-    transport::Task<> allPhases();
+    // Phases (scale_phases.cpp); phases after the steady one are skipped if their setting is 0.
+    transport::Task<> executePhases();
     transport::Task<> startPhase();
     transport::Task<> steadyPhase();
     transport::Task<> changesPhase();
@@ -42,35 +41,35 @@
     transport::Task<> restartsPhase();
     transport::Task<> lossPhase();
 
-    // What they are made of.
+    // Steps of the phases.
     struct ConfigurationChange {
         Nanos sent = 0, acknowledged = 0;
-        std::vector<Nanos> served;  // by real proxies
+        std::vector<Nanos> served;  // times of the real proxies
     };
-    transport::Task<> makeChanges(std::vector<ConfigurationChange>& changes);
+    transport::Task<> sendChanges(std::vector<ConfigurationChange>& changes);
     void reportChanges(const std::vector<ConfigurationChange>& changes);
-    transport::Task<> collectServed(std::int64_t proxy, std::int64_t change, std::vector<Nanos>* served,
-                                    int* open);
+    transport::Task<> recordServed(std::int64_t proxy, std::int64_t change, std::vector<Nanos>* served,
+                                   int* open);
     transport::Task<Nanos> drainEndpoint();
-    transport::Task<> collectDrained(std::vector<Nanos>* times, int* open);
-    // Times of 0 have not come about.
+    transport::Task<> recordDrained(std::vector<Nanos>* times, int* open);
+    // Results of the loss phase. A time is 0 if the event did not occur before the timeout.
     struct ControlNodeLoss {
-        Nanos nextList = 0;          // until the platform is asked for a whole list again
-        Nanos drainKnown = 0;        // of an endpoint that drains then, until the last proxy knows
-        Nanos drainKnownAt = 0;      // the same since the loss
-        std::vector<Nanos> applied;  // of a change made then, by proxy
+        Nanos nextList = 0;          // until the platform has served a complete list again
+        Nanos drainKnown = 0;        // from an endpoint's draining until the last proxy knows
+        Nanos drainKnownAt = 0;      // the same, from the loss on
+        std::vector<Nanos> applied;  // of a change made meanwhile, by proxy
         std::uint64_t connectionsEnded = 0, connectionsEndedByReturn = 0;
-        Nanos connectedAfter = 0;  // its return, until every proxy is connected
+        Nanos connectedAfter = 0;  // from its return until every proxy is connected
     };
-    transport::Task<> loseControlNode(std::int64_t lost, ControlNodeLoss& loss);
+    transport::Task<> loseControlNode(std::int64_t lostNode, ControlNodeLoss& loss);
     void reportLoss(const ControlNodeLoss& loss);
     std::int64_t endpointPublisher(const Snapshot& from, const Snapshot& to) const;
 
     Snapshot snapshot() const;
     void report(const std::string& phase, const Snapshot& from, const Snapshot& to);
 
-    const ScenarioConfig plan_;
-    std::string folder_;  // temporary, of settings and data
+    const ScenarioConfig scenario_;
+    std::string folder_;  // temporary, for settings and data
     transport::asio::io_context io_{1};
     Platform platform_;
     RunLayout layout_;
@@ -78,12 +77,13 @@
     Processes processes_;
     OperatorClient operator_;
     CostReport report_;
-    const Nanos began_ = transport::now();
+    const Nanos startTime_ = transport::now();
     std::uint64_t peakMemory_ = 0;  // bytes, of all processes together
     std::string phase_ = "start";
-    std::string failure_;  // why it is not whole
-    bool whole_ = false;
-    std::int64_t publisher_ = 0;  // the control node that follows the platform's list, in the steady phase
+    std::string failure_;  // why the run is incomplete
+    bool complete_ = false;
+    // Index of the control node that polled the platform in the steady phase.
+    std::int64_t endpointPublisher_ = 0;
 };
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/scale_test.cpp
+++ b/src/scale_test/scale_test.cpp
@@ -4,6 +4,8 @@
 
 namespace lichenlanding::scale_test {
 
-bool scale(const ScenarioConfig& plan, const std::string& program) { return ScaleRun(plan, program).run(); }
+bool runScaleTest(const ScenarioConfig& scenario, const std::string& program) {
+    return ScaleRun(scenario, program).run();
+}
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/scale_test.hpp
+++ b/src/scale_test/scale_test.hpp
@@ -1,6 +1,6 @@
-/// The scale run: real control nodes and a few real proxies as processes, hollow proxies hundreds to a
-/// process, and stand-ins for the platform's list and the operator, all over loopback. It measures what each
-/// role costs.
+/// The scale test: real control nodes and a few real proxies as processes, hundreds of simulated proxies per
+/// process, and a simulated platform and operator, all over loopback. It measures the resource use of each
+/// role.
 #pragma once
 
 #include <string>
@@ -9,10 +9,10 @@
 
 namespace lichenlanding::scale_test {
 
-/// Runs `program` (this executable) in its parts. JSON lines and tables go to standard output. False where a
-/// phase did not come to its end: its line says so. It ends by itself, at the plan's limit at the latest, and
-/// with it every process that it started. Throws std::runtime_error where the machine has no room for the
-/// plan: descriptors, memory, processes.
-bool scale(const ScenarioConfig& plan, const std::string& program);
+/// Runs a scenario with `program` (this executable) in the child processes. Prints JSON lines and tables to
+/// standard output. Returns false if a phase did not complete; the "end" line gives the reason. Ends after
+/// the scenario's limit at the latest and then stops every process that it started. Throws std::runtime_error
+/// if the machine allows too few descriptors or the scenario needs too many processes.
+bool runScaleTest(const ScenarioConfig& scenario, const std::string& program);
 
 }  // namespace lichenlanding::scale_test
--- a/src/scale_test/scenario_config.hpp
+++ b/src/scale_test/scenario_config.hpp
@@ -1,4 +1,4 @@
-/// What a scale run is made of: read from a file of settings, each declared once. Pure; any thread.
+/// Settings of a scale test and the configurations and pods that follow from them. Pure; any thread.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 #include "discovery/endpoint_set.hpp"
 
-// Member, name in the file, default, least, most.
+// Member, key in the settings file, default, minimum, maximum.
 #define SCALE_SETTINGS(X)                                      \
     X(seed, "seed", 1, 0, 4294967295)                          \
     X(limitSeconds, "limit_s", 150, 1, 600)                    \
@@ -35,30 +35,30 @@
 namespace lichenlanding::scale_test {
 
 struct ScenarioConfig {
-#define X(member, name, otherwise, least, most) std::int64_t member = otherwise;
+#define X(member, key, defaultValue, minimum, maximum) std::int64_t member = defaultValue;
     SCALE_SETTINGS(X)
 #undef X
 
-    /// Throws std::runtime_error that names the setting and what is allowed there. Names that settings had
-    /// before the present version are accepted for one more.
+    /// Throws std::runtime_error with the setting's name and its allowed range. Names of the previous version
+    /// are accepted for one version.
     void set(const std::string& name, const std::string& value);
-    nlohmann::json describe() const;  ///< every setting by its name in the file
+    nlohmann::json describe() const;  ///< every setting by its key in the file
     static ScenarioConfig from(const nlohmann::json& described);
 
     std::int64_t processes() const { return (proxies + proxiesPerProcess - 1) / proxiesPerProcess; }
-    /// Descriptors that one hollow process holds at most: connections to control nodes, to and from
-    /// neighbours, acceptors.
+    /// Upper bound of the descriptors of a process of simulated proxies: connections to control nodes, to and
+    /// from watched proxies, acceptors.
     std::int64_t descriptors() const;
 };
 
-/// The operator's body: `plan.routes` routes over all services, and one more for each change so far. The
-/// number of the configuration is 1 + changes. The last route's path is changedPath(changes).
-std::string configuration(const ScenarioConfig& plan, std::int64_t changes);
-std::string changedPath(std::int64_t changes);  ///< "/added-3/"; the host is kChangedHost
-inline const std::string kChangedHost = "h0.example";
+/// The configuration document that the operator sends: `scenario.routes` routes over all services, and one
+/// more for each change. Its version is 1 + changes. The path of the last route is addedRoutePath(changes).
+std::string buildConfiguration(const ScenarioConfig& scenario, std::int64_t changes);
+std::string addedRoutePath(std::int64_t changes);  ///< "/added-3/" on host kAddedRouteHost
+inline const std::string kAddedRouteHost = "h0.example";
 
-/// The n-th pod that ever was: on a loopback address where nobody listens.
-discovery::Endpoint pod(const ScenarioConfig& plan, std::int64_t n);
+/// The endpoint of the n-th pod created in the run, on a loopback address where nothing listens.
+discovery::Endpoint podEndpoint(const ScenarioConfig& scenario, std::int64_t n);
 
 std::string zoneName(std::int64_t zone);
 
