--- a/bench/metadata.cpp
+++ b/bench/metadata.cpp
@@ -1,5 +1,5 @@
-// Signed metadata: what a refresh, a look-up and a verification cost, and what the index for delegations
-// gains over walking them. 100,000 targets in 16,384 hash bins, as a large installation has them.
+// Benchmarks of signed metadata: refresh, target lookup, signature verification, and the delegation index
+// against a linear search. Uses 100,000 targets in 16,384 hash bins, as in a large installation.
 #include <benchmark/benchmark.h>
 #include <sys/resource.h>
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr int bits = 14, targetCount = 100'000;
+constexpr int kBinBits = 14, kTargetCount = 100'000;
 
-double peakMegabytes() {
+double peakMemoryMegabytes() {
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
     return static_cast<double>(used.ru_maxrss) / 1024;
@@ -21,26 +21,26 @@
 
 std::string pathOf(int target) { return "files/" + std::to_string(target) + ".json"; }
 
-// Bins by name, signed once with one key.
+// A repository with hash bins, all signed with one key.
 struct BinRepository {
     BinRepository() {
         const auto key = SigningKey::generate(Scheme::ed25519);
-        const HashBins bins{{{key.key().id()}, 1}, bits, "bin"};
+        const HashBins bins{{{key.key().id()}, 1}, kBinBits, "bin"};
         std::map<std::string, std::vector<int>> byBin;
-        for (int target = 0; target < targetCount; ++target)
+        for (int target = 0; target < kTargetCount; ++target)
             byBin[bins.roleOf(digest("sha256", pathOf(target)))].push_back(target);
-        delegateBins(top.role("targets"), bins, {key.key()});
-        top.redo("targets");
+        delegateBins(repository.role("targets"), bins, {key.key()});
+        repository.redo("targets");
         for (const auto& [name, targets] : byBin) {
             auto envelope = newTargets(kStart + 90 * kDay);
             for (const auto target : targets) addTarget(envelope, pathOf(target), "bytes");
             sign(envelope, key);
-            top.put(name, 1, textOf(envelope));
-            addListing(top.snapshot, name + ".json", listingOf(1, "", false));
+            repository.put(name, 1, textOf(envelope));
+            addListing(repository.snapshot, name + ".json", listingOf(1, "", false));
         }
-        top.publish();
+        repository.publish();
     }
-    Repository top;
+    Repository repository;
 };
 
 const BinRepository& bins() {
@@ -48,12 +48,12 @@
     return made;
 }
 
-// From nothing: root, timestamp, a snapshot of 16,385 roles, targets, and one bin.
+// A first refresh: root, timestamp, a snapshot of 16,385 roles, targets, and one bin.
 void refreshOfBins(benchmark::State& state) {
-    const auto& files = bins().top.files;
+    const auto& files = bins().repository.files;
     std::size_t bytes = 0;
     for (auto _ : state) {
-        Client client(bins().top.firstRoot());
+        Client client(bins().repository.firstRoot());
         benchmark::DoNotOptimize(client.update(files, kStart + 60, {pathOf(7)}));
         if (client.whoLists(pathOf(7)) == "-") state.SkipWithError("not found");
         bytes = 0;
@@ -61,25 +61,26 @@
             if (files.count(name)) bytes += files.at(name).size();
     }
     state.counters["bytes"] = static_cast<double>(bytes);
-    state.counters["peak_MB"] = peakMegabytes();
+    state.counters["peak_MB"] = peakMemoryMegabytes();
 }
 
-// Nothing new: the timestamp alone is fetched, the rest is read from what is kept.
+// A refresh without changes: only the timestamp is fetched, the rest is read from the store.
 void refreshWithoutNews(benchmark::State& state) {
-    Client client(bins().top.firstRoot());
-    client.update(bins().top.files, kStart + 60, {pathOf(7)});
-    for (auto _ : state) benchmark::DoNotOptimize(client.update(bins().top.files, kStart + 60, {pathOf(7)}));
+    Client client(bins().repository.firstRoot());
+    client.update(bins().repository.files, kStart + 60, {pathOf(7)});
+    for (auto _ : state)
+        benchmark::DoNotOptimize(client.update(bins().repository.files, kStart + 60, {pathOf(7)}));
 }
 
-// 100 targets in an update that has been accepted: each its own bin.
+// Lookups of 100 targets in different bins, after an accepted update.
 void lookUps(benchmark::State& state) {
-    const auto& files = bins().top.files;
+    const auto& files = bins().repository.files;
     for (auto _ : state) {
         state.PauseTiming();
-        Client client(bins().top.firstRoot());
-        auto set = TrustedSet::start(bins().top.firstRoot(), kStart);
+        Client client(bins().repository.firstRoot());
+        auto set = TrustedSet::start(bins().repository.firstRoot(), kStart);
         Update update(std::move(*set), client.kept);
-        const auto drive = [&] {
+        const auto runUpdate = [&] {
             while (update.next().kind == Update::Next::fetch) {
                 const auto file = files.find(update.next().path);
                 if (file == files.end()) update.notFound();
@@ -87,19 +88,19 @@
                 client.kept.take(update.takeTransactions());
             }
         };
-        drive();
+        runUpdate();
         state.ResumeTiming();
         for (int target = 0; target < 100; ++target) update.search(pathOf(target * 977));
-        drive();
+        runUpdate();
         if (update.next().kind != Update::Next::done) state.SkipWithError("refused");
     }
     state.SetItemsProcessed(state.iterations() * 100);
 }
 
-// All 100,000 in one role.
+// All 100,000 targets in one role.
 void readOneRole(benchmark::State& state) {
     auto envelope = newTargets(kStart + kDay);
-    for (int target = 0; target < targetCount; ++target) addTarget(envelope, pathOf(target), "bytes");
+    for (int target = 0; target < kTargetCount; ++target) addTarget(envelope, pathOf(target), "bytes");
     const auto key = SigningKey::generate(Scheme::ed25519);
     sign(envelope, key);
     const auto text = textOf(envelope);
@@ -108,7 +109,7 @@
         if (!read || !Targets::read(*read, "targets")) state.SkipWithError("refused");
     }
     state.SetBytesProcessed(static_cast<std::int64_t>(state.iterations() * text.size()));
-    state.counters["peak_MB"] = peakMegabytes();
+    state.counters["peak_MB"] = peakMemoryMegabytes();
 }
 
 void verifications(benchmark::State& state) {
@@ -120,9 +121,10 @@
     state.SetItemsProcessed(state.iterations());
 }
 
-// One role that delegates by hash prefix to as many roles as there are bins: the index, and a walk over all.
-struct Delegated {
-    explicit Delegated(int count, bool byPattern) {
+// Delegations of one role to `count` roles, by path pattern or by hash prefix: as an index and as a list that
+// is searched linearly.
+struct Delegations {
+    explicit Delegations(int count, bool byPattern) {
         int digits = 0;
         while ((1 << (4 * digits)) < count) ++digits;
         for (int role = 0; role < count; ++role) {
@@ -137,18 +139,19 @@
             index.add(static_cast<std::uint32_t>(role), patterns.back(), prefixes.back());
         }
         index.seal();
-        for (int look = 0; look < 1000; ++look) {
-            paths.push_back("team" + std::to_string(look * 7919 % count) + "/x/file-1.json");
+        for (int lookup = 0; lookup < 1000; ++lookup) {
+            paths.push_back("team" + std::to_string(lookup * 7919 % count) + "/x/file-1.json");
             hashes.push_back(digest("sha256", paths.back()));
         }
     }
-    std::vector<std::uint32_t> walk(const std::string& path, const std::string& hash) const {
+    std::vector<std::uint32_t> linearSearch(const std::string& path, const std::string& hash) const {
         std::vector<std::uint32_t> found;
         for (std::uint32_t role = 0; role < patterns.size(); ++role) {
-            bool is = false;
-            for (const auto& pattern : patterns[role]) is = is || patternMatches(pattern, path);
-            for (const auto& digits : prefixes[role]) is = is || hash.compare(0, digits.size(), digits) == 0;
-            if (is) found.push_back(role);
+            bool matches = false;
+            for (const auto& pattern : patterns[role]) matches = matches || patternMatches(pattern, path);
+            for (const auto& digits : prefixes[role])
+                matches = matches || hash.compare(0, digits.size(), digits) == 0;
+            if (matches) found.push_back(role);
         }
         return found;
     }
@@ -158,7 +161,7 @@
 };
 
 void delegationsByIndex(benchmark::State& state) {
-    const Delegated made(static_cast<int>(state.range(0)), state.range(1));
+    const Delegations made(static_cast<int>(state.range(0)), state.range(1));
     std::size_t at = 0;
     for (auto _ : state) {
         if (made.index.matching(made.paths[at], made.hashes[at]).size() > 1) state.SkipWithError("too many");
@@ -168,10 +171,10 @@
 }
 
 void delegationsByWalk(benchmark::State& state) {
-    const Delegated made(static_cast<int>(state.range(0)), state.range(1));
+    const Delegations made(static_cast<int>(state.range(0)), state.range(1));
     std::size_t at = 0;
     for (auto _ : state) {
-        const auto found = made.walk(made.paths[at], made.hashes[at]);
+        const auto found = made.linearSearch(made.paths[at], made.hashes[at]);
         if (found != made.index.matching(made.paths[at], made.hashes[at])) state.SkipWithError("they differ");
         at = (at + 1) % made.paths.size();
     }
