--- a/bench/refresh_and_hits.cpp
+++ b/bench/refresh_and_hits.cpp
@@ -165,12 +165,12 @@
         std::optional<TrustConfig> trust;
         if (mode != off) {
             trust.emplace();
-            trust->root = rootFile;
-            trust->builds = "releases/{build}";
+            trust->rootFile = rootFile;
+            trust->buildPathPattern = "releases/{build}";
             trust->directory = rootFile + ".trust";
             trust->metadata.push_back({{{"127.0.0.1", ports.mirror}, "/"}, false});
-            trust->thread = mode == onWorker;
-            trust->rhythm = {1000 * kMillisecond, 100 * kMillisecond, 1000 * kMillisecond};
+            trust->verifyOnWorker = mode == onWorker;
+            trust->refreshIntervals = {1000 * kMillisecond, 100 * kMillisecond, 1000 * kMillisecond};
         }
         Sidecar made(config, trust);
         report(made.address().port);
