--- a/src/command/files.cpp
+++ b/src/command/files.cpp
@@ -100,7 +100,7 @@
     return duration_cast<seconds>(system_clock::now().time_since_epoch()).count();
 }
 
-void throwIfRefused(const metadata::Check& refusal) {
+void throwIf(const metadata::Check& refusal) {
     if (refusal) throw std::runtime_error(refusal->text());
 }
 
--- a/src/command/files.hpp
+++ b/src/command/files.hpp
@@ -31,7 +31,7 @@
 metadata::UnixSeconds parseRfc3339(const std::string& text);
 metadata::UnixSeconds wallClock();
 
-/// Throws std::runtime_error with the text of the refusal, if there is one.
-void throwIfRefused(const metadata::Check& refusal);
+/// Throws std::runtime_error with the text of `refusal`, if there is one.
+void throwIf(const metadata::Check& refusal);
 
 }  // namespace lichenlanding::command
--- a/src/command/metadata_manifest.cpp
+++ b/src/command/metadata_manifest.cpp
@@ -34,7 +34,7 @@
     std::printf("%s, release counter %lld\n", escaped(directive->path).c_str(),
                 static_cast<long long>(directive->releaseCounter));
     if (options.image.empty()) return success;
-    throwIfRefused(unit.install(readFile(options.image)));
+    throwIf(unit.install(readFile(options.image)));
     std::printf("the image is the one directed\n");
     return success;
 }
--- a/src/command/repository_editor.hpp
+++ b/src/command/repository_editor.hpp
@@ -53,21 +53,21 @@
     }
 
     int create() {
-        if (fileExists(draftPath("root")))
+        if (fileExists(draft("root")))
             throw std::runtime_error(options_.repository + " is already a repository");
         makeDirectory(options_.repository + "/draft");
         makeDirectory(options_.keyDirectory);
-        auto root = newRoot(expiryOf("root"), !options_.inconsistent);
+        auto root = newRoot(expiry("root"), !options_.inconsistent);
         std::vector<SigningKey> rootKeys;
         for (const auto* role : {"root", "timestamp", "snapshot", "targets"}) {
             const auto path = keyPath(role);
             if (!fileExists(path))
                 writeFile(path, SigningKey::generate(parseScheme(options_.scheme)).toPem(passphrase_), true);
             const auto key = readSigningKey(path, passphrase_);
-            throwIfRefused(addKey(root, role, key.key()));
+            throwIf(addKey(root, role, key.key()));
         }
         sign(root, readSigningKey(keyPath("root"), passphrase_));
-        auto targets = newTargets(expiryOf("targets"));
+        auto targets = newTargets(expiry("targets"));
         sign(targets, readSigningKey(keyPath("targets"), passphrase_));
         save("root", root);
         save("targets", targets);
@@ -86,7 +86,7 @@
             if (!parsed) throw std::runtime_error("--custom: " + parsed.refusal().text());
             custom = std::move(*parsed);
         }
-        throwIfRefused(metadata::addTarget(targets, options_.name, bytes, custom));
+        throwIf(metadata::addTarget(targets, options_.name, bytes, custom));
         makeDirectory(options_.repository + "/files");
         writeFile(storedFilePath(options_.name), bytes);
         return changeAndSave(options_.role, targets);
@@ -110,7 +110,7 @@
         std::vector<std::string> created;
         if (options_.bits > 0) {
             const HashBins bins{signers, options_.bits, options_.name};
-            throwIfRefused(delegateBins(targets, bins, keys));
+            throwIf(delegateBins(targets, bins, keys));
             if (options_.bits > 16)
                 throw std::runtime_error("--bins must be at most 16, since each bin is a file");
             for (std::uint64_t bin = 0; bin < std::uint64_t{1} << options_.bits; ++bin) {
@@ -120,14 +120,14 @@
                 created.push_back(bins.roleOf(digits));
             }
         } else {
-            throwIfRefused(metadata::delegate(
+            throwIf(metadata::delegate(
                 targets, {options_.name, signers, options_.terminating, options_.paths, options_.prefixes},
                 keys));
             created.push_back(options_.name);
         }
         for (const auto& role : created)
-            if (!fileExists(draftPath(role))) {
-                auto empty = newTargets(expiryOf("targets"));
+            if (!fileExists(draft(role))) {
+                auto empty = newTargets(expiry("targets"));
                 signWithAll(empty, signers.keyIds);
                 save(role, empty);
             }
@@ -147,10 +147,10 @@
     int rotate() {
         auto root = load("root");
         for (const auto& path : options_.add)
-            throwIfRefused(addKey(root, options_.role, readPublicKey(path, passphrase_)));
-        for (const auto& id : options_.remove) throwIfRefused(removeKey(root, options_.role, id));
+            throwIf(addKey(root, options_.role, readPublicKey(path, passphrase_)));
+        for (const auto& id : options_.remove) throwIf(removeKey(root, options_.role, id));
         const auto& entry = documentOf(root)["roles"][options_.role];
-        throwIfRefused(setThreshold(
+        throwIf(setThreshold(
             root, options_.role,
             options_.threshold > 0 ? options_.threshold : entry["threshold"].get<std::int64_t>()));
         return changeAndSave("root", root);
@@ -177,50 +177,46 @@
         const auto envelope = readEnvelope(rootBytes, "root", "root");
         auto root = Root::read(envelope);
         if (!root) throw std::runtime_error(root.refusal().text());
-        throwIfRefused(envelope.verify(root->keys, root->roles["root"], "root"));
-        makeDirectory(publishedPath(""));
+        throwIf(envelope.verify(root->keys, root->roles["root"], "root"));
+        makeDirectory(published(""));
         makeDirectory(options_.repository + "/targets");
         const auto version = std::to_string(root->version) + ".root.json";
         if (root->version > 1) {
-            const auto before = readEnvelope(
-                readFile(publishedPath(std::to_string(root->version - 1) + ".root.json")), "root", "root");
-            const auto beforeRoot = Root::read(before);
-            throwIfRefused(envelope.verify(beforeRoot->keys, beforeRoot->roles.at("root"), "root"));
+            const auto previous = readEnvelope(
+                readFile(published(std::to_string(root->version - 1) + ".root.json")), "root", "root");
+            const auto previousRoot = Root::read(previous);
+            throwIf(envelope.verify(previousRoot->keys, previousRoot->roles.at("root"), "root"));
         }
-        if (fileExists(publishedPath(version)) && readFile(publishedPath(version)) != rootBytes)
+        if (fileExists(published(version)) && readFile(published(version)) != rootBytes)
             throw std::runtime_error("root: version " + std::to_string(root->version) +
                                      " is already published with different content");
 
         // Targets, their delegations and their files are published before the snapshot that lists them.
-        auto snapshot =
-            fileExists(draftPath("snapshot")) ? load("snapshot") : newSnapshot(expiryOf("snapshot"));
-        const auto before = documentOf(snapshot)["meta"];
+        auto snapshot = fileExists(draft("snapshot")) ? load("snapshot") : newSnapshot(expiry("snapshot"));
+        const auto listed = documentOf(snapshot)["meta"];
         const bool consistent = root->consistent;
         publishRole("targets", root->keys, root->roles["targets"], consistent, snapshot);
-        if (documentOf(snapshot)["meta"] != before || options_.days > 0 ||
+        if (documentOf(snapshot)["meta"] != listed || options_.days > 0 ||
             !isSigned(snapshot, *root, "snapshot")) {
-            if (versionOf(snapshot) > 1 || !before.empty()) bumpVersion(snapshot, expiryOf("snapshot"));
+            if (versionOf(snapshot) > 1 || !listed.empty()) bumpVersion(snapshot, expiry("snapshot"));
             sign(snapshot, readSigningKey(keyPath("snapshot"), passphrase_));
         }
-        throwIfRefused(verifySignedBy(snapshot, "snapshot", "snapshot", root->keys, root->roles["snapshot"]));
+        throwIf(verifySignedBy(snapshot, "snapshot", "snapshot", root->keys, root->roles["snapshot"]));
         const auto snapshotText = textOf(snapshot);
         auto timestamp =
-            fileExists(draftPath("timestamp")) ? load("timestamp") : newTimestamp(expiryOf("timestamp"));
-        if (!documentOf(timestamp)["meta"].empty()) bumpVersion(timestamp, expiryOf("timestamp"));
+            fileExists(draft("timestamp")) ? load("timestamp") : newTimestamp(expiry("timestamp"));
+        if (!documentOf(timestamp)["meta"].empty()) bumpVersion(timestamp, expiry("timestamp"));
         addListing(timestamp, "snapshot.json", listingOf(versionOf(snapshot), snapshotText, true));
         timestamp["signatures"] = Json::array();
         sign(timestamp, readSigningKey(keyPath("timestamp"), passphrase_));
-        throwIfRefused(
-            verifySignedBy(timestamp, "timestamp", "timestamp", root->keys, root->roles["timestamp"]));
+        throwIf(verifySignedBy(timestamp, "timestamp", "timestamp", root->keys, root->roles["timestamp"]));
         save("snapshot", snapshot);
         save("timestamp", timestamp);
-        writeFile(publishedPath(version), rootBytes);
-        writeFile(publishedPath("root.json"), rootBytes);
-        writeFile(
-            publishedPath((consistent ? std::to_string(versionOf(snapshot)) + "." : "") + "snapshot.json"),
-            snapshotText);
-        writeFile(publishedPath("timestamp.json"),
-                  textOf(timestamp));  // last: it makes clients see the new set
+        writeFile(published(version), rootBytes);
+        writeFile(published("root.json"), rootBytes);
+        writeFile(published((consistent ? std::to_string(versionOf(snapshot)) + "." : "") + "snapshot.json"),
+                  snapshotText);
+        writeFile(published("timestamp.json"), textOf(timestamp));  // last: clients see the set from here on
         std::printf("published root %lld, snapshot %lld, timestamp %lld\n",
                     static_cast<long long>(root->version), static_cast<long long>(versionOf(snapshot)),
                     static_cast<long long>(versionOf(timestamp)));
@@ -228,28 +224,26 @@
     }
 
   private:
-    std::string draftPath(const std::string& role) const {
+    std::string draft(const std::string& role) const {
         return options_.repository + "/draft/" + percentEncoded(role) + ".json";
     }
-    std::string publishedPath(const std::string& file) const {
-        return options_.repository + "/metadata/" + file;
-    }
+    std::string published(const std::string& file) const { return options_.repository + "/metadata/" + file; }
     std::string storedFilePath(const std::string& target) const {
         auto name = percentEncoded(target);
         if (name.size() > 200) name = digest("sha256", target);
         return options_.repository + "/files/" + name;
     }
     std::string keyPath(const std::string& role) const { return options_.keyDirectory + "/" + role + ".pem"; }
-    UnixSeconds expiryOf(const std::string& role) const {
+    UnixSeconds expiry(const std::string& role) const {
         return now_ + (options_.days > 0 ? options_.days : defaultValidityDays(role)) * kSecondsPerDay;
     }
 
     Json load(const std::string& role) const {
-        auto parsed = parseJson(readFile(draftPath(role)), 256U << 20);
-        if (!parsed) throw std::runtime_error(draftPath(role) + ": " + parsed.refusal().text());
+        auto parsed = parseJson(readFile(draft(role)), 256U << 20);
+        if (!parsed) throw std::runtime_error(draft(role) + ": " + parsed.refusal().text());
         return std::move(*parsed);
     }
-    void save(const std::string& role, const Json& envelope) { writeFile(draftPath(role), textOf(envelope)); }
+    void save(const std::string& role, const Json& envelope) { writeFile(draft(role), textOf(envelope)); }
 
     static Envelope readEnvelope(const std::string& text, const std::string& role, const std::string& type) {
         auto parsed = Envelope::read(text, role, type, text.size());
@@ -271,9 +265,9 @@
     int changeAndSave(const std::string& role, Json& envelope) {
         // An unpublished root keeps its version: clients need every version of the root in sequence.
         const bool unpublished =
-            role == "root" && !fileExists(publishedPath(std::to_string(versionOf(envelope)) + ".root.json"));
+            role == "root" && !fileExists(published(std::to_string(versionOf(envelope)) + ".root.json"));
         const auto version = versionOf(envelope);
-        bumpVersion(envelope, expiryOf(role == "root" ? "root" : "targets"));
+        bumpVersion(envelope, expiry(role == "root" ? "root" : "targets"));
         if (unpublished) documentOf(envelope)["version"] = version;
         signWithAll(envelope, {});
         save(role, envelope);
@@ -286,12 +280,12 @@
                      Json& snapshot) {
         const auto text = textOf(load(role));
         const auto envelope = readEnvelope(text, role, "targets");
-        throwIfRefused(envelope.verify(keys, signers, role));
+        throwIf(envelope.verify(keys, signers, role));
         auto targets = Targets::read(envelope, role);
         if (!targets) throw std::runtime_error(targets.refusal().text());
         for (const auto& [path, target] : targets->targets) {
             const auto bytes = readFile(storedFilePath(path));
-            throwIfRefused(verifyBytes(bytes, target.length, target.hashes, path));
+            throwIf(verifyBytes(bytes, target.length, target.hashes, path));
             const auto publishedTarget =
                 options_.repository + "/targets/" + (consistent ? locationOf(path, target) : path);
             makeDirectory(publishedTarget.substr(0, publishedTarget.rfind('/')));
@@ -307,8 +301,8 @@
                 publishRole(targets->bins->roleOf(digits), targets->keys, targets->bins->signers, consistent,
                             snapshot);
             }
-        writeFile(publishedPath((consistent ? std::to_string(envelope.version) + "." : "") +
-                                percentEncoded(role) + ".json"),
+        writeFile(published((consistent ? std::to_string(envelope.version) + "." : "") +
+                            percentEncoded(role) + ".json"),
                   text);
         addListing(snapshot, role + ".json", listingOf(envelope.version, text, false));
     }
