--- a/src/scale_test/scale_phases.cpp
+++ b/src/scale_test/scale_phases.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 constexpr Nanos kPollInterval = 10 * kMillisecond;
-constexpr Nanos kPropagationTimeout =
-    30 * kSecond;                          // a change not applied everywhere by then counts as missing
-constexpr Nanos kMinOutage = 5 * kSecond;  // minimum outage of the lost control node
+// A change that is not applied everywhere by then counts as missing.
+constexpr Nanos kPropagationTimeout = 30 * kSecond;
+constexpr Nanos kMinOutage = 5 * kSecond;  // of the control node that is stopped
 
 template <typename Done>
 Task<bool> waitUntil(Done done, Nanos timeout) {
