--- a/src/metadata/key.cpp
+++ b/src/metadata/key.cpp
@@ -106,7 +106,7 @@
             Reason::wrongShape, {}, 0, "key " + escaped(id, 64) + " lacks keytype, scheme or keyval"};
     // Some implementations hash additional fields of the key object into the id, others do not.
     if (id != keyId(object) && id != keyId({{"keytype", *type}, {"scheme", *scheme}, {"keyval", *value}}))
-        return Refusal{Reason::badKeyId, {}, 0, "key id " + escaped(id, 64) + " is not the hash of the key"};
+        return Refusal{Reason::badKeyId, {}, 0, "id is not the hash of the key: " + escaped(id, 64)};
     Key read;
     read.id_ = id;
     read.object_ = object;
