--- a/tests/support/transcript.hpp
+++ b/tests/support/transcript.hpp
@@ -1,5 +1,5 @@
-// Approved transcripts: what a test saw is compared, whole, with a text that somebody has read and kept.
-// WRITE_TRANSCRIPTS=1 writes them anew, to be read before they are committed.
+// Approved transcripts: the full output of a test is compared with a reviewed text file.
+// WRITE_TRANSCRIPTS=1 in the environment rewrites the files; review the difference before committing it.
 #pragma once
 
 #include <cppunit/extensions/HelperMacros.h>
@@ -9,11 +9,12 @@
 #include <sstream>
 #include <string>
 
-inline void approve(const std::string& name, const std::string& seen) {
+// Asserts that `actual` equals the approved transcript `name`.txt.
+inline void approve(const std::string& name, const std::string& actual) {
     const auto path = std::string(TRANSCRIPTS) + "/" + name + ".txt";
-    if (std::getenv("WRITE_TRANSCRIPTS")) std::ofstream(path) << seen;
+    if (std::getenv("WRITE_TRANSCRIPTS")) std::ofstream(path) << actual;
     std::ifstream file(path);
-    std::stringstream kept;
-    kept << file.rdbuf();
-    CPPUNIT_ASSERT_EQUAL_MESSAGE(name, kept.str(), seen);
+    std::stringstream approved;
+    approved << file.rdbuf();
+    CPPUNIT_ASSERT_EQUAL_MESSAGE(name, approved.str(), actual);
 }
