--- a/tests/support/cluster_fixture.hpp
+++ b/tests/support/cluster_fixture.hpp
@@ -1,6 +1,6 @@
-// The gateway's own programs as processes on loopback addresses: three control planes, two proxies, and
-// stand-ins for the platform, the pods and the operator. Machines are killed, lose their disks and come back.
-// Waiting is for lines of their logs and for answers, never for time alone.
+// Runs the gateway's programs as processes on loopback addresses: three control nodes and two proxies. The
+// test process itself plays the cloud API, the pods and the operator. Tests kill processes, delete their
+// disks and restart them. They wait for log events and responses, never for a fixed time.
 #pragma once
 
 #include <spawn.h>
@@ -26,21 +26,22 @@
 using lichenlanding::Nanos;
 namespace http = boost::beast::http;
 
+// A child process.
 struct Program {
-    pid_t id = -1;
+    pid_t id = -1;  ///< -1 while it is not running
     std::unique_ptr<asio::posix::stream_descriptor> out;
-    std::vector<Json> lines;
-    int status = -1;
+    std::vector<Json> lines;  ///< its output so far; a line that is no JSON object is {"text": line}
+    int status = -1;          ///< as waitpid() returned it
 };
 
 class Cluster {
   public:
     Cluster() {
-        auto made = (std::filesystem::temp_directory_path() / "cluster-XXXXXX").string();
-        CPPUNIT_ASSERT(mkdtemp(made.data()));
-        folder = made;
-        // On addresses where the programs will listen: another cluster beside this one may hold the port
-        // there.
+        auto path = (std::filesystem::temp_directory_path() / "cluster-XXXXXX").string();
+        CPPUNIT_ASSERT(mkdtemp(path.data()));
+        folder = path;
+        // Checked on the addresses where the programs will listen, because a cluster of another test run may
+        // occupy the port there.
         for (auto* port : {&internal, &control}) *port = freePort(ip("c1"));
         for (auto* port : {&front, &probe}) *port = freePort(ip("e1"));
         platform = std::make_unique<tcp::acceptor>(listen(io, "127.0.0.1:0"));
@@ -63,6 +64,7 @@
         tcp::acceptor free(listen(io, address + ":0"));
         return free.local_endpoint().port();
     }
+    // The loopback address of a program: "c1" to "c3" are control nodes, "e1" and "e2" are proxies.
     static std::string ip(const std::string& name) {
         return (name[0] == 'c' ? "127.0.1." : "127.0.2.") + name.substr(1);
     }
@@ -70,8 +72,9 @@
         return ip(name) + ":" + std::to_string(port);
     }
 
+    // Writes the settings of the program `name`, creates its disk folder and starts it.
     void launch(const std::string& name, bool bootstrap = true) {
-        const bool core = name[0] == 'c';
+        const bool controlNode = name[0] == 'c';
         const auto disk = folder + "/" + name;
         std::filesystem::create_directories(disk);
         Json settings{{"node_name", name},
@@ -80,7 +83,7 @@
                       {"internal_ports", {internal, internal}},
                       {"seed_nodes", {at("c1", control), at("c2", control), at("c3", control)}},
                       {"bootstrap", bootstrap},
-                      {"quorum_member", core},
+                      {"quorum_member", controlNode},
                       {"data_dir", disk},
                       {"limits", {{"disk_mb", 64}}},
                       {"fault_tolerance", {{"machines", 1}}},
@@ -94,8 +97,9 @@
                         {"control_plane", at(name, control)}}}};
         const auto file = disk + ".json";
         std::ofstream(file) << settings;
-        spawn(programs[name], {core ? "control-plane" : "proxy"}, "LICHENLANDING_SETTINGS=" + file);
+        spawn(programs[name], {controlNode ? "control-plane" : "proxy"}, "LICHENLANDING_SETTINGS=" + file);
     }
+    // Starts the gateway binary with `words` as arguments and `variable` as its whole environment.
     void spawn(Program& program, std::vector<std::string> words, const std::string& variable) {
         int ends[2];
         CPPUNIT_ASSERT(pipe(ends) == 0);
@@ -103,7 +107,8 @@
         posix_spawn_file_actions_init(&actions);
         posix_spawn_file_actions_adddup2(&actions, ends[1], 2);
         posix_spawn_file_actions_adddup2(&actions, ends[1], 1);
-        // No socket of this process stays open in another one: its close would not be seen.
+        // The child must not inherit this process's sockets: peers would not notice when they are closed
+        // here.
         posix_spawn_file_actions_addclosefrom_np(&actions, 3);
         words.insert(words.begin(), GATEWAY);
         std::vector<char*> arguments;
@@ -120,13 +125,15 @@
         program.out = std::make_unique<asio::posix::stream_descriptor>(io, ends[0]);
         lichenlanding::transport::spawn(io, "log", follow(program));
     }
+    // Sends `signal` (0 for none) and waits until the process has ended.
     void stop(Program& program, int signal) {
         if (program.id <= 0) return;
         kill(program.id, signal);
         waitpid(program.id, &program.status, 0);
         program.id = -1;
     }
-    // Until the program has logged `event`, after the first `from` lines.
+    // Waits until the program logs `event`, skipping the first `from` lines. Returns the number of lines up
+    // to and including that event. Fails after 40 s, or after 15 s without any activity.
     std::size_t await(const std::string& name, const std::string& event, std::size_t from = 0) {
         auto& lines = programs[name].lines;
         const Nanos end = now() + 40 * kSecond;
@@ -136,10 +143,10 @@
             if (io.run_one_for(std::chrono::seconds(15)) > 0 && now() < end) continue;
             std::string all;
             for (const auto& seen : lines) all += seen.dump() + "\n";
-            CPPUNIT_FAIL(name + " never said " + event + "; it said\n" + all);
+            CPPUNIT_FAIL(name + " did not log " + event + "; its output:\n" + all);
         }
     }
-    // One call on a connection of its own. {0, ""} where nobody answers.
+    // Sends one request on a new connection and returns status and body, or {0, ""} if there is no response.
     std::pair<int, std::string> call(const std::string& address, http::verb method, const std::string& target,
                                      const std::string& body = "", const std::string& id = "") {
         std::pair<int, std::string> answer{0, ""};
@@ -148,7 +155,7 @@
         while (!done) CPPUNIT_ASSERT(io.run_one_for(std::chrono::seconds(15)) > 0);
         return answer;
     }
-    // A POST without waiting for it in place; its status, 0 where nobody answers.
+    // Sends a POST as a coroutine; returns its status, or 0 if there is no response.
     Task<int> callAsync(std::string address, std::string target, std::string body) {
         std::pair<int, std::string> answer{0, ""};
         bool done = false;
@@ -170,13 +177,15 @@
     int readiness(const std::string& name) {
         return call(at(name, probe), http::verb::get, "/api/readiness").first;
     }
-    // Asked again until it says so; each try is a whole exchange.
+    // Polls `condition` until it is true; fails after 15 s. Conditions make a request, so this does not spin.
     template <typename Condition>
-    void until(const char* what, Condition holds) {
+    void until(const char* what, Condition condition) {
         for (const Nanos end = now() + 15 * kSecond; now() < end;)
-            if (holds()) return;
-        CPPUNIT_FAIL(std::string("never: ") + what);
+            if (condition()) return;
+        CPPUNIT_FAIL(std::string("timed out waiting until ") + what);
     }
+    // A configuration document of that version, with routes /r/ (idempotent), /w/ (non-idempotent) and
+    // `prefix`.
     static std::string configuration(int version, const std::string& prefix) {
         char digits[9];
         std::snprintf(digits, sizeof digits, "%08x", version);
@@ -195,11 +204,12 @@
     unsigned internal = 0, control = 0, front = 0, probe = 0;
     std::unique_ptr<tcp::acceptor> platform;
     std::vector<std::unique_ptr<tcp::acceptor>> podAcceptors;
-    std::map<std::string, std::string> pods;
-    std::multiset<std::string> ran;  // ids that pods have run
+    std::map<std::string, std::string> pods;  // address by instance id
+    std::multiset<std::string> ran;           // attempt ids of the requests that reached a pod
     std::map<std::string, Program> programs;
 
   private:
+    // The cloud API's instance list, built from `pods`.
     Json list(const http::request<http::string_body>& /*unused*/) {
         Json entries = Json::array();
         for (const auto& [id, address] : pods)
@@ -213,6 +223,7 @@
                                {"warmup_left", "0ms"}});
         return {{"instance_list", entries}, {"next_token", nullptr}};
     }
+    // A pod's response; records the attempt id.
     Json serve(const http::request<http::string_body>& request) {
         ran.insert(std::string(request["X-Attempt-Id"]));
         return "served";
@@ -242,6 +253,7 @@
             if (code) co_return;
         }
     }
+    // Reads the program's output into `program.lines`.
     Task<> follow(Program& program) {
         asio::streambuf buffer;
         for (;;) {
