--- a/tests/integration/command_line.cpp
+++ b/tests/integration/command_line.cpp
@@ -1,4 +1,4 @@
-// The program's command line: output, exit status, help texts, and the subcommands' names of before.
+// The program's command line: output, exit status, help texts, and the subcommand names of version 0.3.
 #include "support/cluster_fixture.hpp"
 
 using namespace cluster;
@@ -6,11 +6,11 @@
 class CommandLineTest : public CppUnit::TestFixture {
     CPPUNIT_TEST_SUITE(CommandLineTest);
     CPPUNIT_TEST(outputStatusAndHelpAreApproved);
-    CPPUNIT_TEST(subcommandNamesOfBeforeStillWork);
+    CPPUNIT_TEST(earlierSubcommandNamesStillWork);
     CPPUNIT_TEST_SUITE_END();
 
-    // What a call of the program comes to: its exit status and, unless the command line was wrong, its
-    // output.
+    // Runs the program and returns its exit status and its output. The output is left out for exit status 2
+    // (wrong command line).
     static std::string transcriptOf(Cluster& cluster, std::vector<std::string> words) {
         for (auto& word : words)
             if (word.find(".json") !=
@@ -24,7 +24,7 @@
         cluster.io.restart();
         for (int turn = 0; turn < 200 && cluster.io.poll() > 0; ++turn) {
         }
-        std::string seen;
+        std::string output;
         if (WEXITSTATUS(tool.status) != 2)
             for (const auto& out : tool.lines) {
                 auto text = out.value("text", out.dump());
@@ -32,9 +32,9 @@
                      at != std::basic_string<char, std::char_traits<char>, std::allocator<char>>::npos;
                      at = text.find(cluster.folder))
                     text.replace(at, cluster.folder.size(), "FOLDER");
-                seen += "  " + text + "\n";
+                output += "  " + text + "\n";
             }
-        return seen + "  status " + std::to_string(WEXITSTATUS(tool.status)) + "\n";
+        return output + "  status " + std::to_string(WEXITSTATUS(tool.status)) + "\n";
     }
     static void writeConfigurations(const Cluster& cluster) {
         std::ofstream(cluster.folder + "/good.json") << Cluster::configuration(3, "/a/");
@@ -43,11 +43,10 @@
     }
 
   public:
-    // Output and exit status of the tools, and the help texts.
     void outputStatusAndHelpAreApproved() {
         Cluster cluster;
         writeConfigurations(cluster);
-        std::string seen;
+        std::string output;
         for (const auto& words : std::vector<std::vector<std::string>>{{"config", "check", "good.json"},
                                                                        {"config", "check", "bad.json"},
                                                                        {"config", "check", "none.json"},
@@ -69,17 +68,17 @@
                                                                        {"status", "--help"}}) {
             std::string line;
             for (const auto& word : words) line += " " + word;
-            seen += "$" + line + "\n" + transcriptOf(cluster, words);
+            output += "$" + line + "\n" + transcriptOf(cluster, words);
         }
-        approve("command-line", seen);
+        approve("command-line", output);
     }
 
-    // The subcommands' names of version 0.3 do what the present ones do.
-    void subcommandNamesOfBeforeStillWork() {
+    // The subcommand names of version 0.3 behave like the current ones.
+    void earlierSubcommandNamesStillWork() {
         Cluster cluster;
         writeConfigurations(cluster);
         using Words = std::vector<std::string>;
-        for (const auto& [before, now] : std::vector<std::pair<Words, Words>>{
+        for (const auto& [earlier, current] : std::vector<std::pair<Words, Words>>{
                  {{"foyer"}, {"proxy"}},
                  {{"foyer", "--help"}, {"proxy", "--help"}},
                  {{"prompter"}, {"control-plane"}},
@@ -98,8 +97,9 @@
                  {{"rehearse", "hollow", "[]"}, {"scale-test", "hollow", "[]"}},
                  {{"rehearse", "hollow", "--help"}, {"scale-test", "hollow", "--help"}}}) {
             std::string line;
-            for (const auto& word : before) line += " " + word;
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(line, transcriptOf(cluster, now), transcriptOf(cluster, before));
+            for (const auto& word : earlier) line += " " + word;
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(line, transcriptOf(cluster, current),
+                                         transcriptOf(cluster, earlier));
         }
     }
 };
