--- a/tests/integration/previous_version.cpp
+++ b/tests/integration/previous_version.cpp
@@ -1,5 +1,6 @@
-// What an earlier version left on disk and sent over links (tests/fixtures/previous_version) is read by this
-// one, and written back equal. Names in the code may change; these bytes may not.
+// Compatibility with an earlier version: the stores and messages that it wrote
+// (tests/fixtures/previous_version) can be read and are written back byte for byte. Names in the code may
+// change; these bytes may not.
 #include <lmdb.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -34,7 +35,7 @@
 
 const std::string kFolder = std::string(FIXTURES) + "/previous_version";
 const std::vector<std::string> kMemberStores{"c1", "c3", "c5"};
-constexpr int kPort = 7720;  // of the addresses in the fixtures
+constexpr int kPort = 7720;  // port of the addresses in the fixtures
 
 std::string bytesOf(const std::string& name) {
     std::ifstream file(kFolder + "/" + name, std::ios::binary);
@@ -44,19 +45,19 @@
     return bytes.str();
 }
 
-std::string unhex(const std::string& digits) {
+std::string decodeHex(const std::string& digits) {
     std::string bytes;
     for (std::size_t at = 0; at + 1 < digits.size(); at += 2)
         bytes += static_cast<char>(std::stoi(digits.substr(at, 2), nullptr, 16));
     return bytes;
 }
 
-// Each message by its name in messages.txt: the bytes as they travel.
+// The encoded messages by their name in messages.txt.
 const std::map<std::string, std::string>& frames() {
     static const auto kAll = [] {
         std::map<std::string, std::string> read;
         std::istringstream lines(bytesOf("messages.txt"));
-        for (std::string name, digits; lines >> name >> digits;) read[name] = unhex(digits);
+        for (std::string name, digits; lines >> name >> digits;) read[name] = decodeHex(digits);
         return read;
     }();
     return kAll;
@@ -65,7 +66,8 @@
 Json decoded(const std::string& frame) { return Json::from_cbor(decompress(frame)); }
 Json message(const std::string& name) { return decoded(frames().at(name)); }
 
-// The places of all fields, such as "reply.cell" or "set[].i"; not the keys of maps by name or number.
+// Collects the paths of all fields, such as ".reply.cell" or ".set[].i". Maps keyed by name or number count
+// as one field; their entries are not descended into.
 void addFields(const Json& value, const std::string& place, std::set<std::string>& all) {
     static const std::set<std::string> kMaps{"held", "holds", "ballots", "cells", "foyers", "totals"};
     if (value.is_array())
@@ -82,34 +84,35 @@
     return all;
 }
 
-std::string kindOf(const Json& told) {
-    return told.at("t").get<std::string>() +
-           (told.contains("kind") ? told.at("kind").get<std::string>() : "");
+std::string kindOf(const Json& json) {
+    return json.at("t").get<std::string>() +
+           (json.contains("kind") ? json.at("kind").get<std::string>() : "");
 }
 
-// A message of this version has no field that the earlier one's had not, and all that each of those had.
-void sameFields(const Json& told) {
+// Checks that a message of this version has no field that no earlier message of its kind had, and every field
+// that all of those had.
+void checkFields(const Json& json) {
     std::set<std::string> allowed;
     std::set<std::string> needed;
     bool any = false;
     for (const auto& [name, frame] : frames()) {
         const auto earlier = decoded(frame);
-        if (earlier.is_null() || kindOf(earlier) != kindOf(told)) continue;
+        if (earlier.is_null() || kindOf(earlier) != kindOf(json)) continue;
         const auto these = fields(earlier);
         allowed.insert(these.begin(), these.end());
         if (any) std::erase_if(needed, [&](const auto& field) { return !these.contains(field); });
         else needed = these;
         any = true;
     }
-    CPPUNIT_ASSERT_MESSAGE("no earlier message is like " + told.dump(), any);
-    const auto these = fields(told);
+    CPPUNIT_ASSERT_MESSAGE("the fixtures hold no message of the kind of " + json.dump(), any);
+    const auto these = fields(json);
     for (const auto& field : these)
-        CPPUNIT_ASSERT_MESSAGE(field + " is new in " + told.dump(), allowed.contains(field));
+        CPPUNIT_ASSERT_MESSAGE(field + " is new in " + json.dump(), allowed.contains(field));
     for (const auto& field : needed)
-        CPPUNIT_ASSERT_MESSAGE(field + " is missing in " + told.dump(), these.contains(field));
+        CPPUNIT_ASSERT_MESSAGE(field + " is missing in " + json.dump(), these.contains(field));
 }
 
-std::uint32_t numberOf(const std::string& address) {
+std::uint32_t proposerOf(const std::string& address) {
     return static_cast<std::uint32_t>(hashing::hash("member", address));
 }
 
@@ -118,64 +121,66 @@
         proposalNumber = messages::encode(messages::decodeProposalNumber(proposalNumber));
     return all;
 }
-Json epoch(const Json& told) { return membership::encode(membership::decodeEpoch(told)); }
+Json epoch(const Json& json) { return membership::encode(membership::decodeEpoch(json)); }
 
-// The message with each part that has a reader and a writer read and written.
-Json rewritten(Json told) {
-    const auto kind = told.at("t").get<std::string>();
+// Decodes and encodes each part of the message that has a codec.
+Json rewritten(Json json) {
+    const auto kind = json.at("t").get<std::string>();
     if (kind == "standing")
         for (const auto* name : {"epoch", "from", "to"})
-            if (told.contains(name)) told[name] = epoch(told[name]);
-    if (kind == "hello" && told.contains("standing")) told["standing"] = rewritten(told["standing"]);
-    if (told.contains("about") && told["about"].is_object())
-        told["about"]["held"] = proposalNumbers(told["about"]["held"]);
-    if (kind == "pong") told["held"] = proposalNumbers(told["held"]);
-    if (kind == "known") told["ballots"] = proposalNumbers(told["ballots"]);
-    if (kind == "learn") told["ballot"] = messages::encode(messages::decodeProposalNumber(told["ballot"]));
-    if (kind == "reg") told["request"] = membership::encode(membership::decodeRequest(told["request"]));
-    if (kind == "reply") told["reply"] = membership::encode(membership::decodeReply(told["reply"]));
-    if (kind == "counts") told["totals"] = messages::encode(messages::decodeTotals(told["totals"]));
+            if (json.contains(name)) json[name] = epoch(json[name]);
+    if (kind == "hello" && json.contains("standing")) json["standing"] = rewritten(json["standing"]);
+    if (json.contains("about") && json["about"].is_object())
+        json["about"]["held"] = proposalNumbers(json["about"]["held"]);
+    if (kind == "pong") json["held"] = proposalNumbers(json["held"]);
+    if (kind == "known") json["ballots"] = proposalNumbers(json["ballots"]);
+    if (kind == "learn") json["ballot"] = messages::encode(messages::decodeProposalNumber(json["ballot"]));
+    if (kind == "reg") json["request"] = membership::encode(membership::decodeRequest(json["request"]));
+    if (kind == "reply") json["reply"] = membership::encode(membership::decodeReply(json["reply"]));
+    if (kind == "counts") json["totals"] = messages::encode(messages::decodeTotals(json["totals"]));
     if (kind == "configuration")
-        told["squeezed"] = messages::encodeBytes(messages::decodeBytes(told["squeezed"]));
-    if (kind == "rollouts") told["list"] = messages::encode(messages::decodeRollouts(told["list"]));
+        json["squeezed"] = messages::encodeBytes(messages::decodeBytes(json["squeezed"]));
+    if (kind == "rollouts") json["list"] = messages::encode(messages::decodeRollouts(json["list"]));
     if (kind == "pods")
-        for (auto& pod : told["set"]) pod = messages::encode(messages::decodeEndpoint(pod));
-    return told;
+        for (auto& pod : json["set"]) pod = messages::encode(messages::decodeEndpoint(pod));
+    return json;
 }
 
-Json sure(Json told) {
-    told["sure"] = true;
-    return told;
+Json withConfirmed(Json json) {
+    json["sure"] = true;
+    return json;
 }
 
-// The message read into its struct and written again, with the fields that any message may carry put back.
-// Nothing where the message has no struct; the hello of a control node has more fields than its struct.
-std::optional<Json> throughStruct(const Json& told) {
-    const auto& type = messages::typeOf(told);
-    Json again;
-    if (type == messages::kTypeHello) again = messages::encode(messages::decodeHello(told));
-    else if (type == messages::kTypeRoster) again = messages::encode(messages::decodeRoster(told));
-    else if (type == messages::kTypeDigest) again = messages::encode(messages::decodeDigest(told));
-    else if (type == messages::kTypeFetch) again = messages::encode(messages::decodeFetchRequest(told));
+// Decodes the message into its struct and encodes it again; fields that any message may carry are copied.
+// std::nullopt if the message has no struct. The hello of a control node has more fields than its struct;
+// they are copied too.
+std::optional<Json> throughStruct(const Json& json) {
+    const auto& type = messages::typeOf(json);
+    Json reencoded;
+    if (type == messages::kTypeHello) reencoded = messages::encode(messages::decodeHello(json));
+    else if (type == messages::kTypeRoster) reencoded = messages::encode(messages::decodeRoster(json));
+    else if (type == messages::kTypeDigest) reencoded = messages::encode(messages::decodeDigest(json));
+    else if (type == messages::kTypeFetch) reencoded = messages::encode(messages::decodeFetchRequest(json));
     else if (type == messages::kTypeConfiguration)
-        again = messages::encode(messages::decodeConfigurationUpdate(told));
-    else if (type == messages::kTypeRollouts) again = messages::encode(messages::decodeRolloutsUpdate(told));
+        reencoded = messages::encode(messages::decodeConfigurationUpdate(json));
+    else if (type == messages::kTypeRollouts)
+        reencoded = messages::encode(messages::decodeRolloutsUpdate(json));
     else if (type == messages::kTypeEndpoints)
-        again = messages::encode(messages::decodeEndpointsUpdate(told));
+        reencoded = messages::encode(messages::decodeEndpointsUpdate(json));
     else if (type == messages::kTypeAcknowledgement)
-        again = messages::encode(messages::decodeAcknowledgement(told));
-    else if (type == messages::kTypePeerLost) again = messages::encode(messages::decodePeerLost(told));
-    else if (type == messages::kTypeCounts) again = messages::encode(messages::decodeCountsReport(told));
-    else if (type == messages::kTypeVote) again = messages::encode(messages::decodeVote(told));
+        reencoded = messages::encode(messages::decodeAcknowledgement(json));
+    else if (type == messages::kTypePeerLost) reencoded = messages::encode(messages::decodePeerLost(json));
+    else if (type == messages::kTypeCounts) reencoded = messages::encode(messages::decodeCountsReport(json));
+    else if (type == messages::kTypeVote) reencoded = messages::encode(messages::decodeVote(json));
     else return std::nullopt;
     for (const auto* field : {messages::kFieldConfirmed, messages::kFieldClock})
-        if (told.contains(field)) again[field] = told[field];
-    if (type == messages::kTypeHello && told.at("kind") == messages::kWireKindControlNode)
-        for (const auto* field : {"formed", "about", "standing"}) again[field] = told.at(field);
-    return std::make_optional<Json>(std::move(again));
+        if (json.contains(field)) reencoded[field] = json[field];
+    if (type == messages::kTypeHello && json.at("kind") == messages::kWireKindControlNode)
+        for (const auto* field : {"formed", "about", "standing"}) reencoded[field] = json.at(field);
+    return std::make_optional<Json>(std::move(reencoded));
 }
 
-// Every record of a store as it lies there, checksums and all.
+// All raw records of a store, with their checksums.
 std::map<std::string, std::string> records(const std::string& store) {
     std::map<std::string, std::string> all;
     MDB_env* env = nullptr;
@@ -206,8 +211,8 @@
     return all;
 }
 
-void isConfiguration(const std::string& value, std::uint32_t version,
-                     const std::vector<std::uint32_t>& history) {
+void checkConfiguration(const std::string& value, std::uint32_t version,
+                        const std::vector<std::uint32_t>& history) {
     const auto held = admin::decodeRecord(value);
     CPPUNIT_ASSERT_EQUAL(version, held.version);
     const auto body = admin::body(value);
@@ -226,6 +231,7 @@
                                                     {"127.0.1.3:7720", "142e5df8ad25de68", "z3", "r1"},
                                                     {"127.0.1.5:7720", "711b7c9a58769ede", "z2", "r1"}};
 
+// Runs the gateway binary with a settings file, and kills it at the end.
 struct Program {
     Program(std::string command, const Json& settings, const std::string& file) {
         std::ofstream(file) << settings;
@@ -246,36 +252,36 @@
     pid_t id = -1;
 };
 
-// One end of links, played by the test: greets as it is told and keeps what it hears.
-struct Played {
-    explicit Played(Json greeting_) : greeting(std::move(greeting_)) {
+// A peer played by the test: sends `greeting` as its hello and records the messages that it receives.
+struct FakePeer {
+    explicit FakePeer(Json greeting_) : greeting(std::move(greeting_)) {
         owner->makeHello = [this](PeerConnection&) { return greeting; };
-        owner->onMessage = [this](PeerConnection& link, const Json& told) {
-            last = link.shared_from_this(), heard.push_back(told);
+        owner->onMessage = [this](PeerConnection& link, const Json& json) {
+            lastLink = link.shared_from_this(), received.push_back(json);
             try {
-                sameFields(told);
-            } catch (const CppUnit::Exception& other) {  // of no use to the link: told by the next find()
-                if (wrong.empty()) wrong = other.what();
+                checkFields(json);
+            } catch (const CppUnit::Exception& other) {  // the connection must not see it; find() reports it
+                if (fieldError.empty()) fieldError = other.what();
             }
-            if (told.at("t") == "hello") onHello = last;
+            if (json.at("t") == "hello") helloLink = lastLink;
         };
         owner->onClosed = [](PeerConnection&) {};
     }
     const Json* find(const std::string& kind, const std::function<bool(const Json&)>& fits = {}) const {
-        CPPUNIT_ASSERT_MESSAGE(wrong, wrong.empty());
-        for (const auto& told : heard)
-            if (told.at("t") == kind && (!fits || fits(told))) return &told;
+        CPPUNIT_ASSERT_MESSAGE(fieldError, fieldError.empty());
+        for (const auto& json : received)
+            if (json.at("t") == kind && (!fits || fits(json))) return &json;
         return nullptr;
     }
-    void say(const std::string& name) {
-        onHello->send(std::make_shared<const std::string>(frames().at(name)));
+    void sendFixture(const std::string& name) {
+        helloLink->send(std::make_shared<const std::string>(frames().at(name)));
     }
 
     Json greeting;
     std::shared_ptr<PeerConnection::Callbacks> owner = std::make_shared<PeerConnection::Callbacks>();
-    std::shared_ptr<PeerConnection> last, onHello;
-    std::deque<Json> heard;
-    std::string wrong;
+    std::shared_ptr<PeerConnection> lastLink, helloLink;
+    std::deque<Json> received;
+    std::string fieldError;
 };
 
 }  // namespace
@@ -289,43 +295,43 @@
     CPPUNIT_TEST(values);
     CPPUNIT_TEST(messages);
     CPPUNIT_TEST(typedMessagesKeepTheirBytes);
-    CPPUNIT_TEST(pieces);
-    CPPUNIT_TEST(news);
+    CPPUNIT_TEST(chunks);
+    CPPUNIT_TEST(subscriptionMessages);
     CPPUNIT_TEST(listChanges);
-    CPPUNIT_TEST(keepersTalk);
-    CPPUNIT_TEST(controlNodeTalks);
-    CPPUNIT_TEST(proxyTalks);
+    CPPUNIT_TEST(replicasKeepMessageFields);
+    CPPUNIT_TEST(controlNodeInteroperates);
+    CPPUNIT_TEST(proxyInteroperates);
     CPPUNIT_TEST_SUITE_END();
 
     std::string scratch_;
 
-    // A copy of a store, as a control node's data_dir would have it.
-    std::string copied(const std::string& store) const {
+    // Copies a store of the fixtures to a data_dir and returns the path.
+    std::string copyStore(const std::string& store) const {
         const auto to = scratch_ + "/" + store + "/promptbook";
         std::filesystem::create_directories(to);
         std::filesystem::copy_file(kFolder + "/" + store + "/data.mdb", to + "/data.mdb",
                                    std::filesystem::copy_options::overwrite_existing);
         return to;
     }
-    config::BootstrapSettings boot(const std::string& ip, const std::string& store) const {
-        config::BootstrapSettings told;
-        told.ip = told.name = ip, told.internalPorts = {kPort}, told.quorumMember = true;
-        told.seeds = {"127.0.1.1:1", "127.0.1.2:1", "127.0.1.3:1"};
-        told.dataDir = scratch_ + "/" + store, told.diskMegabytes = 16;
-        return told;
+    config::BootstrapSettings bootstrapSettings(const std::string& ip, const std::string& store) const {
+        config::BootstrapSettings bootstrap;
+        bootstrap.ip = bootstrap.name = ip, bootstrap.internalPorts = {kPort}, bootstrap.quorumMember = true;
+        bootstrap.seeds = {"127.0.1.1:1", "127.0.1.2:1", "127.0.1.3:1"};
+        bootstrap.dataDir = scratch_ + "/" + store, bootstrap.diskMegabytes = 16;
+        return bootstrap;
     }
     static int freePort() {
         asio::io_context io;
         return listen(io, "127.0.0.1:0").local_endpoint().port();
     }
-    static std::string at(const std::string& ip, int where) { return ip + ":" + std::to_string(where); }
-    Json settings(const std::string& name, const std::string& ip, const std::string& seed, int internal,
-                  int from) const {
+    static std::string at(const std::string& ip, int port) { return ip + ":" + std::to_string(port); }
+    Json settings(const std::string& name, const std::string& ip, const std::string& seed, int internalPort,
+                  int firstPort) const {
         return {{"node_name", name},
                 {"ip_address", ip},
                 {"zone", "z"},
-                {"internal_ports", {internal}},
-                {"seed_nodes", {at(seed, from)}},
+                {"internal_ports", {internalPort}},
+                {"seed_nodes", {at(seed, firstPort)}},
                 {"bootstrap", true},
                 {"quorum_member", true},
                 {"heartbeat", "300ms"},
@@ -334,15 +340,15 @@
                 {"fault_tolerance", {{"machines", 0}}},
                 {"cloud_api", {{"address", "127.0.0.1:1"}, {"rate_per_s", 1.0}}},
                 {"listen_addresses",
-                 {{"front_http", at(ip, from + 1)},
-                  {"readiness", at(ip, from + 2)},
-                  {"control_plane", at(ip, from)}}}};
+                 {{"front_http", at(ip, firstPort + 1)},
+                  {"readiness", at(ip, firstPort + 2)},
+                  {"control_plane", at(ip, firstPort)}}}};
     }
     template <typename Done>
     static void until(asio::io_context& io, const char* what, Done done) {
         for (const Nanos last = now() + 20 * kSecond; !done();) {
             io.run_one_for(std::chrono::milliseconds(50));
-            CPPUNIT_ASSERT_MESSAGE(std::string("never: ") + what, now() < last);
+            CPPUNIT_ASSERT_MESSAGE(std::string("timed out waiting until ") + what, now() < last);
         }
     }
 
@@ -354,96 +360,97 @@
     }
     void tearDown() override { std::filesystem::remove_all(scratch_); }
 
-    // Each store holds what it held, and a new store that is told the same has the same records, byte for
+    // Each store can be read, and the same contents written to a new store give the same records, byte for
     // byte.
     void stores() {
         for (const std::string store : {"promptbook/c1", "promptbook/c2", "promptbook/c3", "promptbook/c5",
                                         "promptbook_before_epochs"}) {
-            const bool before = store == "promptbook_before_epochs";
-            const auto opened = copied(store);
+            const bool withoutEpochs = store == "promptbook_before_epochs";
+            const auto opened = copyStore(store);
             const auto earlier = records(opened);
             LmdbReplicaStore replicaStore(opened, 8 << 20);
             const auto cells = replicaStore.states();
             CPPUNIT_ASSERT_EQUAL(std::size_t{3}, cells.size());
-            std::set<std::string> names;
-            std::set<std::string> expected{"disk", "standing", "writes", "witness"};
-            if (before) expected = {"members"};
+            std::set<std::string> noteNames;
+            std::set<std::string> expectedNames{"disk", "standing", "writes", "witness"};
+            if (withoutEpochs) expectedNames = {"members"};
             std::map<std::string, std::string> notes;
             for (const auto& [key, _] : earlier)
                 if (key[0] == 'n')
-                    names.insert(key.substr(1)), notes[key.substr(1)] = replicaStore.note(key.substr(1));
-            CPPUNIT_ASSERT(expected == names);
+                    noteNames.insert(key.substr(1)), notes[key.substr(1)] = replicaStore.note(key.substr(1));
+            CPPUNIT_ASSERT(expectedNames == noteNames);
             CPPUNIT_ASSERT_EQUAL(
                 std::string("diskstandingmembers"),
                 storage::kDiskIdentityNote + storage::kEpochStateNote + storage::kLegacyMembersNote);
-            isConfiguration(cells.at(control_plane::kConfigurationKey).value, before ? 0x11 : 0x14,
-                            before ? std::vector<std::uint32_t>{0x10, 0x11, 0x0f} : kStoredHistory);
+            checkConfiguration(cells.at(control_plane::kConfigurationKey).value, withoutEpochs ? 0x11 : 0x14,
+                               withoutEpochs ? std::vector<std::uint32_t>{0x10, 0x11, 0x0f} : kStoredHistory);
             const auto rollouts = cells.at(control_plane::kRolloutsKey).value;
             CPPUNIT_ASSERT_EQUAL(rollouts, messages::encode(messages::decodeRollouts(rollouts)));
-            if (!before) CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
+            if (!withoutEpochs) CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
             const auto duties = leases::decodeLeases(cells.at(control_plane::kLeasesKey).value);
-            CPPUNIT_ASSERT_EQUAL(before ? "127.0.1.2:7720" : std::string("127.0.1.3:7720"),
+            CPPUNIT_ASSERT_EQUAL(withoutEpochs ? "127.0.1.2:7720" : std::string("127.0.1.3:7720"),
                                  duties.at("list").holder);
-            CPPUNIT_ASSERT_EQUAL(std::uint64_t{before ? 1U : 3U}, duties.at("list").term);
-            CPPUNIT_ASSERT_EQUAL(std::uint64_t{before ? 1U : 2U}, duties.at("rollouts").term);
-            if (!before) {
+            CPPUNIT_ASSERT_EQUAL(std::uint64_t{withoutEpochs ? 1U : 3U}, duties.at("list").term);
+            CPPUNIT_ASSERT_EQUAL(std::uint64_t{withoutEpochs ? 1U : 2U}, duties.at("rollouts").term);
+            if (!withoutEpochs) {
                 const auto standing = membership::decodeEpochState(Json::parse(notes.at("standing")));
                 CPPUNIT_ASSERT(standing.open && !standing.successor && !standing.predecessor);
                 CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, standing.epoch.number);
                 CPPUNIT_ASSERT(kStoredMembers == standing.epoch.members);
                 CPPUNIT_ASSERT_EQUAL(notes.at("standing"), membership::encode(standing).dump());
-                const auto seen =
+                const auto witnessed =
                     Json::parse(notes.at("witness")).get<std::map<std::string, std::uint64_t>>();
-                CPPUNIT_ASSERT(seen.size() >= 4);
-                CPPUNIT_ASSERT_EQUAL(notes.at("witness"), Json(seen).dump());
+                CPPUNIT_ASSERT(witnessed.size() >= 4);
+                CPPUNIT_ASSERT_EQUAL(notes.at("witness"), Json(witnessed).dump());
                 CPPUNIT_ASSERT(std::stoull(notes.at("writes")) > 0);
             }
-            const auto again = scratch_ + "/again-" + std::to_string(std::hash<std::string>{}(store));
-            std::filesystem::create_directories(again);
-            LmdbReplicaStore(again, 8 << 20).write(cells, notes);
-            CPPUNIT_ASSERT_MESSAGE(store, earlier == records(again));
+            const auto rewrittenStore =
+                scratch_ + "/again-" + std::to_string(std::hash<std::string>{}(store));
+            std::filesystem::create_directories(rewrittenStore);
+            LmdbReplicaStore(rewrittenStore, 8 << 20).write(cells, notes);
+            CPPUNIT_ASSERT_MESSAGE(store, earlier == records(rewrittenStore));
             replicaStore.write(cells, notes);
             CPPUNIT_ASSERT_MESSAGE(store, earlier == records(opened));
         }
     }
 
-    // The copies of the members agree with each other, and a read and a write end at them.
+    // The members' replicas are consistent: a read and a write complete on them.
     void majority() {
-        std::vector<consensus::Acceptor> copies;
+        std::vector<consensus::Acceptor> acceptors;
         for (const auto& store : kMemberStores) {
-            const LmdbReplicaStore replicaStore(copied("promptbook/" + store), 8 << 20);
-            const auto& address = kStoredMembers[copies.size()].address;
-            auto& copy = copies.emplace_back(address, replicaStore.note(storage::kDiskIdentityNote));
-            copy.apply({replicaStore.states(), membership::decodeEpochState(Json::parse(
-                                                   replicaStore.note(storage::kEpochStateNote)))});
-            CPPUNIT_ASSERT(copy.isVotingMember());
+            const LmdbReplicaStore replicaStore(copyStore("promptbook/" + store), 8 << 20);
+            const auto& address = kStoredMembers[acceptors.size()].address;
+            auto& acceptor = acceptors.emplace_back(address, replicaStore.note(storage::kDiskIdentityNote));
+            acceptor.apply({replicaStore.states(), membership::decodeEpochState(Json::parse(
+                                                       replicaStore.note(storage::kEpochStateNote)))});
+            CPPUNIT_ASSERT(acceptor.isVotingMember());
         }
-        const consensus::Epoch& epoch = copies[0].epochState().epoch;
-        const auto ended = [&](const std::string& key, const consensus::Change& change, bool look) {
-            consensus::Proposal run(key, epoch, 7, 1000, change, look);
-            for (int turns = 0; run.step() != consensus::Proposal::Step::done && turns < 9; ++turns)
-                for (std::uint32_t place = 0; place < copies.size(); ++place) {
-                    const auto step = run.step();
+        const consensus::Epoch& epoch = acceptors[0].epochState().epoch;
+        const auto runProposal = [&](const std::string& key, const consensus::Change& change, bool readOnly) {
+            consensus::Proposal proposal(key, epoch, 7, 1000, change, readOnly);
+            for (int turns = 0; proposal.step() != consensus::Proposal::Step::done && turns < 9; ++turns)
+                for (std::uint32_t place = 0; place < acceptors.size(); ++place) {
+                    const auto step = proposal.step();
                     std::optional<consensus::Update> update;
-                    const auto request = membership::decodeRequest(membership::encode(run.request()));
-                    const auto reply = copies[place].evaluate(request, update);
-                    if (update) copies[place].apply(*update);
-                    run.handleReply(place, step, membership::decodeReply(membership::encode(reply)));
-                    if (run.step() != step) break;
+                    const auto request = membership::decodeRequest(membership::encode(proposal.request()));
+                    const auto reply = acceptors[place].evaluate(request, update);
+                    if (update) acceptors[place].apply(*update);
+                    proposal.handleReply(place, step, membership::decodeReply(membership::encode(reply)));
+                    if (proposal.step() != step) break;
                 }
-            CPPUNIT_ASSERT(run.step() == consensus::Proposal::Step::done);
-            return run.value();
+            CPPUNIT_ASSERT(proposal.step() == consensus::Proposal::Step::done);
+            return proposal.value();
         };
         const auto read = [&](const std::string& key) {
-            return ended(
+            return runProposal(
                 key, [](const std::string& held) { return held; }, true);
         };
-        isConfiguration(read(control_plane::kConfigurationKey), 0x14, kStoredHistory);
+        checkConfiguration(read(control_plane::kConfigurationKey), 0x14, kStoredHistory);
         CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), read(control_plane::kRolloutsKey));
-        // Orders by the register's rules, on what was there.
-        const auto outcome = [](const std::string& value, const char* target, std::int64_t term) {
+        // New requests are classified against the stored rollouts and configuration.
+        const auto outcome = [](const std::string& value, const char* target, std::int64_t timeLimitMs) {
             messages::Rollout order;
-            order.service = "t", order.target = target, order.timeLimitMs = term;
+            order.service = "t", order.target = target, order.timeLimitMs = timeLimitMs;
             return admin::classifyRequest(messages::decodeRollouts(value), order);
         };
         CPPUNIT_ASSERT(outcome(read("rollouts"), "v2", 3'600'000) == admin::RolloutRequestOutcome::known);
@@ -451,7 +458,7 @@
         CPPUNIT_ASSERT(outcome(read("rollouts"), "v3", 5000) == admin::RolloutRequestOutcome::begun);
         const auto body = config::formatVersion(0x15);
         const auto order = admin::makeRequest(0x15, "not read here " + body);
-        const auto after = ended(
+        const auto after = runProposal(
             control_plane::kConfigurationKey,
             [&](const std::string& held) { return admin::applyRequest(held, order); }, false);
         CPPUNIT_ASSERT_EQUAL(0x15U, admin::version(after));
@@ -459,18 +466,19 @@
         CPPUNIT_ASSERT_EQUAL(after, read(control_plane::kConfigurationKey));
     }
 
-    // A control node's own code opens each store as its disk, and takes part once others know no later life
-    // of it.
+    // A ReplicaNode opens each store as its disk. It votes once the other members have confirmed that they
+    // know no later incarnation of that disk.
     void replicas() {
         const std::map<std::string, std::string> disks{{"c1", "91873c6fb9010468"},
                                                        {"c2", "ea75673e34a7aaeb"},
                                                        {"c3", "142e5df8ad25de68"},
                                                        {"c5", "711b7c9a58769ede"}};
         for (const auto& [store, disk] : disks) {
-            copied("promptbook/" + store);
+            copyStore("promptbook/" + store);
             asio::io_context io;
-            const auto told = boot("127.0.1." + store.substr(1), "promptbook/" + store);
-            ReplicaNode replica(io, told, {[](const std::string&) {}, [] {}}, ReplicaNode::onDisk(told));
+            const auto bootstrap = bootstrapSettings("127.0.1." + store.substr(1), "promptbook/" + store);
+            ReplicaNode replica(io, bootstrap, {[](const std::string&) {}, [] {}},
+                                ReplicaNode::onDisk(bootstrap));
             replica.open();
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{4}, replica.epoch().number);
             CPPUNIT_ASSERT(kStoredMembers == replica.epoch().members);
@@ -485,7 +493,7 @@
                                  held);
             CPPUNIT_ASSERT(!replica.isVotingMember());
             for (const auto& member : kStoredMembers) {
-                if (member.address == told.peerAddress(told.ip)) continue;
+                if (member.address == bootstrap.peerAddress(bootstrap.ip)) continue;
                 auto pong = message("pong");
                 pong["at"] = member.address, pong["disk"] = member.disk, pong["of"] = disk;
                 pong["seen"] = 1, pong["epoch"] = 4, pong["held"] = held, pong["seated"] = true;
@@ -497,27 +505,29 @@
         }
     }
 
-    // A store from before there were epochs: its members are epoch 1, and what it holds stays.
+    // A store written before epochs existed: its members become epoch 1 and its contents are kept.
     void storeBeforeEpochs() {
         const std::string store = "promptbook_before_epochs";
-        const std::string me = "127.0.1.1:7720";
-        const auto opened = copied(store);
+        const std::string self = "127.0.1.1:7720";
+        const auto opened = copyStore(store);
         const auto cells = LmdbReplicaStore(opened, 8 << 20).states();
-        const auto told = boot("127.0.1.1", store);
-        for (int life = 0; life < 2; ++life) {
+        const auto bootstrap = bootstrapSettings("127.0.1.1", store);
+        for (int start = 0; start < 2; ++start) {
             asio::io_context io;
-            ReplicaNode replica(io, told, {[](const std::string&) {}, [] {}}, ReplicaNode::onDisk(told));
+            ReplicaNode replica(io, bootstrap, {[](const std::string&) {}, [] {}},
+                                ReplicaNode::onDisk(bootstrap));
             replica.open();
-            // The first life writes down what it has become. A later one first hears from another member.
-            if (life == 0) until(io, "it votes", [&] { return replica.isVotingMember(); });
+            // The first start stores the converted epoch. A later start can't vote before it has contact with
+            // another member.
+            if (start == 0) until(io, "it votes", [&] { return replica.isVotingMember(); });
             CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, replica.epoch().number);
             CPPUNIT_ASSERT(replica.members() ==
-                           (std::set<std::string>{me, "127.0.1.2:7720", "127.0.1.3:7720"}));
-            CPPUNIT_ASSERT_EQUAL("first-" + me, replica.describe().at("disk").get<std::string>());
+                           (std::set<std::string>{self, "127.0.1.2:7720", "127.0.1.3:7720"}));
+            CPPUNIT_ASSERT_EQUAL("first-" + self, replica.describe().at("disk").get<std::string>());
         }
         const LmdbReplicaStore replicaStore(opened, 8 << 20);
         CPPUNIT_ASSERT(cells == replicaStore.states());
-        CPPUNIT_ASSERT_EQUAL("first-" + me, replicaStore.note("disk"));
+        CPPUNIT_ASSERT_EQUAL("first-" + self, replicaStore.note("disk"));
         const auto standing = membership::decodeEpochState(Json::parse(replicaStore.note("standing")));
         CPPUNIT_ASSERT(standing.open);
         CPPUNIT_ASSERT_EQUAL(std::string("first-127.0.1.2:7720"), standing.epoch.members.at(1).disk);
@@ -525,10 +535,10 @@
 
     void values() {
         const auto configuration = bytesOf("values/configuration.bin");
-        isConfiguration(configuration, 0x14, kStoredHistory);
+        checkConfiguration(configuration, 0x14, kStoredHistory);
         CPPUNIT_ASSERT(configuration == admin::encodeRecord(admin::decodeRecord(configuration)));
         const auto earlier = bytesOf("values/configuration_before_history.bin");
-        isConfiguration(earlier, 0x14, {0x14});
+        checkConfiguration(earlier, 0x14, {0x14});
         CPPUNIT_ASSERT_EQUAL(admin::body(configuration), admin::body(earlier));
         const auto next = admin::applyRequest(earlier, admin::makeRequest(0x15, "next"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{2}, admin::decodeRecord(next).history.size());
@@ -539,7 +549,7 @@
         CPPUNIT_ASSERT_EQUAL(duties, leases::encodeLeases(leases::decodeLeases(duties)));
         CPPUNIT_ASSERT_EQUAL(std::uint64_t{7569427027645875800U},
                              leases::decodeLeases(duties).at("list").incarnation);
-        // A disk whose epoch is sealed, and that was not told of its opening.
+        // A disk whose epoch is sealed, and which has not received the opening of the successor.
         const auto sealed = bytesOf("values/standing_sealed.json");
         const auto standing = membership::decodeEpochState(Json::parse(sealed));
         CPPUNIT_ASSERT(!standing.open && standing.successor && standing.predecessor);
@@ -548,36 +558,36 @@
         CPPUNIT_ASSERT_EQUAL(sealed, membership::encode(standing).dump());
     }
 
-    // Each message, read and written, is the same bytes on the link.
-    // Each message that has a struct is written from it byte for byte as the earlier version sent it.
+    // Each message that has a struct is encoded from it byte for byte as the earlier version sent it.
     void typedMessagesKeepTheirBytes() {
         std::set<std::string> types;
         for (const auto& [name, frame] : frames()) {
-            const auto told = decoded(frame);
-            if (told.is_null()) continue;  // a heartbeat
-            const auto again = throughStruct(told);
-            if (!again) continue;
-            types.insert(lichenlanding::messages::typeOf(told));
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, told, *again);
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(*again) == frame);
+            const auto json = decoded(frame);
+            if (json.is_null()) continue;  // a heartbeat
+            const auto reencoded = throughStruct(json);
+            if (!reencoded) continue;
+            types.insert(lichenlanding::messages::typeOf(json));
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, json, *reencoded);
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(*reencoded) == frame);
         }
         CPPUNIT_ASSERT(types ==
                        (std::set<std::string>{"ack", "configuration", "counts", "digest", "hello", "lost",
                                               "pods", "rollouts", "roster", "vote", "want"}));
     }
 
+    // Each message is encoded to the same bytes after decoding, and its parts keep their meaning.
     void messages() {
         std::set<std::string> kinds;
         for (const auto& [name, frame] : frames()) {
-            const auto told = decoded(frame);
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(told) == frame);
+            const auto json = decoded(frame);
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(json) == frame);
             if (name == "heartbeat") {
-                CPPUNIT_ASSERT(told.is_null());
+                CPPUNIT_ASSERT(json.is_null());
                 continue;
             }
-            kinds.insert(told.at("t").get<std::string>());
-            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, told, rewritten(told));
-            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(rewritten(told)) == frame);
+            kinds.insert(json.at("t").get<std::string>());
+            CPPUNIT_ASSERT_EQUAL_MESSAGE(name, json, rewritten(json));
+            CPPUNIT_ASSERT_MESSAGE(name, *PeerConnection::encode(rewritten(json)) == frame);
         }
         CPPUNIT_ASSERT(kinds ==
                        (std::set<std::string>{"ack", "configuration", "counts", "digest", "hello", "known",
@@ -607,14 +617,15 @@
         CPPUNIT_ASSERT(reply("reply_taken_spared").valueOmitted &&
                        reply("reply_in_succession_taken_sealed").sealed);
         CPPUNIT_ASSERT(reply("reply_in_succession_taken_cells").states.contains("epoch/4"));
-        // A writer's number in ballots is a hash of its address; c3 was the first to propose members.
-        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.proposer, numberOf("127.0.1.3:7720"));
+        // The proposer in a proposal number is a hash of its address; c3 was the first to propose members.
+        CPPUNIT_ASSERT_EQUAL(request("reg_accept_epoch").proposalNumber.proposer,
+                             proposerOf("127.0.1.3:7720"));
         const auto totals = messages::decodeTotals(message("counts").at("totals"));
         CPPUNIT_ASSERT_EQUAL(10U, totals.at("r")[1].bins[0]);
     }
 
-    // The frames of a large message, put together and cut again.
-    void pieces() {
+    // The frames of a chunked message are reassembled, and chunked again into the same frames.
+    void chunks() {
         ChunkReassembler assembly;
         std::optional<std::string> whole;
         std::vector<std::string> all;
@@ -624,9 +635,9 @@
             whole = assembly.addFrame(all.back());
         }
         CPPUNIT_ASSERT(whole.has_value());
-        const auto told = decoded(*whole);
-        CPPUNIT_ASSERT_EQUAL(std::string("configuration"), told.at("t").get<std::string>());
-        const auto body = decompress(messages::decodeBytes(told.at("squeezed")));
+        const auto json = decoded(*whole);
+        CPPUNIT_ASSERT_EQUAL(std::string("configuration"), json.at("t").get<std::string>());
+        const auto body = decompress(messages::decodeBytes(json.at("squeezed")));
         CPPUNIT_ASSERT_EQUAL(0x20U, config::Configuration::parse(body).version);
         SendQueue outbox;
         outbox.push(std::make_shared<const std::string>(*whole));
@@ -634,8 +645,8 @@
         CPPUNIT_ASSERT(outbox.empty());
     }
 
-    // What proxies serve by: the earlier version's news are asked for, taken and told on as they were.
-    void news() {
+    // A proxy's cache requests, accepts and forwards the earlier version's updates unchanged.
+    void subscriptionMessages() {
         using MessageSource = ConfigurationCache::MessageSource;
         std::string compressed;
         std::string rollouts;
@@ -643,58 +654,58 @@
                                   [&](const std::string& text) { rollouts = text; },
                                   {}});
         std::vector<Json> replies;
-        const auto hear = [&](ConfigurationCache& by, const Json& told, MessageSource from) {
+        const auto deliver = [&](ConfigurationCache& receiver, const Json& json, MessageSource from) {
             replies.clear();
-            CPPUNIT_ASSERT(by.handleMessage(told, from, kSecond, [&](Json reply) {
-                sameFields(reply.at("t") == "want" ? reply : sure(reply));
+            CPPUNIT_ASSERT(receiver.handleMessage(json, from, kSecond, [&](Json reply) {
+                checkFields(reply.at("t") == "want" ? reply : withConfirmed(reply));
                 replies.push_back(std::move(reply));
             }));
         };
         const auto digest = message("digest_of_prompter_with_sums");
-        hear(cache, digest, MessageSource::controlNode);
+        deliver(cache, digest, MessageSource::controlNode);
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replies.size());
         CPPUNIT_ASSERT_EQUAL(20, replies[0].at("configuration").get<int>());
         CPPUNIT_ASSERT(replies[0].at("rollouts").get<bool>() && replies[0].at("of") == digest.at("edition"));
         for (const auto* name : {"configuration", "rollouts", "pods_whole"}) {
-            hear(cache, message(name), MessageSource::controlNode);
+            deliver(cache, message(name), MessageSource::controlNode);
             CPPUNIT_ASSERT(replies.empty());
         }
         CPPUNIT_ASSERT_EQUAL(decompress(compressed), admin::body(bytesOf("values/configuration.bin")));
         CPPUNIT_ASSERT_EQUAL(messages::encode(storedRollouts()), rollouts);
         CPPUNIT_ASSERT_EQUAL(std::size_t{12}, cache.endpoints().endpoints().size());
-        CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(cache.configurationMessage()));
-        CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(cache.rolloutsMessage()));
-        CPPUNIT_ASSERT_EQUAL(message("pods_whole"), sure(cache.fullEndpointsMessage()));
-        auto mine = sure(cache.digestMessage());
-        mine["clock"] = digest.at("clock");
-        CPPUNIT_ASSERT_EQUAL(digest, mine);
-        // What others ask for.
-        hear(cache, message("want_configuration"), MessageSource::subscriber);
-        CPPUNIT_ASSERT_EQUAL(message("configuration"), sure(replies.at(0)));
-        hear(cache, message("want_rollouts"), MessageSource::subscriber);
-        CPPUNIT_ASSERT_EQUAL(message("rollouts"), sure(replies.at(0)));
+        CPPUNIT_ASSERT_EQUAL(message("configuration"), withConfirmed(cache.configurationMessage()));
+        CPPUNIT_ASSERT_EQUAL(message("rollouts"), withConfirmed(cache.rolloutsMessage()));
+        CPPUNIT_ASSERT_EQUAL(message("pods_whole"), withConfirmed(cache.fullEndpointsMessage()));
+        auto ownDigest = withConfirmed(cache.digestMessage());
+        ownDigest["clock"] = digest.at("clock");
+        CPPUNIT_ASSERT_EQUAL(digest, ownDigest);
+        // Requests by other proxies.
+        deliver(cache, message("want_configuration"), MessageSource::subscriber);
+        CPPUNIT_ASSERT_EQUAL(message("configuration"), withConfirmed(replies.at(0)));
+        deliver(cache, message("want_rollouts"), MessageSource::subscriber);
+        CPPUNIT_ASSERT_EQUAL(message("rollouts"), withConfirmed(replies.at(0)));
         auto want = message("want_held");
-        hear(cache, want, MessageSource::subscriber);
+        deliver(cache, want, MessageSource::subscriber);
         CPPUNIT_ASSERT_EQUAL(digest.at("sums"), replies.at(0).at("sums"));
         want["of"] = digest.at("edition");
-        hear(cache, want, MessageSource::subscriber);
+        deliver(cache, want, MessageSource::subscriber);
         CPPUNIT_ASSERT(!replies.at(0).at("set").empty());
-        hear(cache, message("digest_of_prompter"), MessageSource::controlNode);  // a higher configuration
+        deliver(cache, message("digest_of_prompter"), MessageSource::controlNode);  // a higher configuration
         CPPUNIT_ASSERT_EQUAL(32, replies.at(0).at("configuration").get<int>());
-        hear(cache, message("digest_of_foyer_with_sums"), MessageSource::subscriber);  // an earlier edition
-        CPPUNIT_ASSERT(replies.empty());  // the same pods: nothing to mend
-        hear(cache, message("digest_back"), MessageSource::peerProxy);
+        deliver(cache, message("digest_of_foyer_with_sums"), MessageSource::subscriber);
+        CPPUNIT_ASSERT(replies.empty());  // an earlier edition with the same endpoints: nothing to repair
+        deliver(cache, message("digest_back"), MessageSource::peerProxy);
         CPPUNIT_ASSERT_EQUAL(message("digest_back").at("edition"), replies.at(0).at("of"));
         CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replies.size());
-        // Changes one after the other, and a copy mended.
+        // Consecutive changes, then a repair of a copy that differs.
         auto first = message("pods_whole");
         first["edition"] = {1, 1};
         ConfigurationCache follower({});
-        hear(follower, first, MessageSource::controlNode);
-        hear(follower, message("pods_change_draining"), MessageSource::controlNode);
+        deliver(follower, first, MessageSource::controlNode);
+        deliver(follower, message("pods_change_draining"), MessageSource::controlNode);
         CPPUNIT_ASSERT(replies.empty() && follower.endpoints().endpoints().at("i-0").draining);
         CPPUNIT_ASSERT(!follower.endpoints().endpoints().at("i-12").draining);
-        hear(follower, message("pods_change_gone"), MessageSource::controlNode);
+        deliver(follower, message("pods_change_gone"), MessageSource::controlNode);
         CPPUNIT_ASSERT(replies.empty() && follower.endpoints().hasLeft("i-0"));
         discovery::EndpointEvent aside;
         aside.endpoint.id = "i-99";
@@ -702,14 +713,14 @@
         held["gone"] = Json::array(), held["after"] = {1, 3}, held["edition"] = {1, 4};
         held["set"] = message("pods_change_draining").at("set");
         held["set"][0]["i"] = "i-99", held["set"][0]["d"] = false;
-        hear(follower, held, MessageSource::controlNode);
+        deliver(follower, held, MessageSource::controlNode);
         CPPUNIT_ASSERT(follower.endpoints().endpoints().contains("i-99"));
-        hear(follower, message("pods_mended_aside"), MessageSource::controlNode);
+        deliver(follower, message("pods_mended_aside"), MessageSource::controlNode);
         CPPUNIT_ASSERT(follower.endpoints().hasLeft("i-3") && !follower.endpoints().hasLeft("i-99"));
         CPPUNIT_ASSERT(!follower.endpoints().endpoints().contains("i-99"));
     }
 
-    // The holder of the list tells a change as the earlier version told it.
+    // The holder of the lease for the endpoint list publishes a change as the earlier version did.
     void listChanges() {
         std::map<std::string, discovery::Endpoint> pods;
         for (const auto& pod : message("pods_whole").at("set")) {
@@ -717,9 +728,9 @@
             pods[member.id] = member;
         }
         const auto change = message("pods_change_draining").at("set");
-        const auto leaves = messages::decodeEndpoint(change.at(0));
-        const auto comes = messages::decodeEndpoint(change.at(1));
-        pods.erase(comes.id), pods[leaves.id] = leaves, pods[leaves.id].draining = false;
+        const auto leaving = messages::decodeEndpoint(change.at(0));
+        const auto joining = messages::decodeEndpoint(change.at(1));
+        pods.erase(joining.id), pods[leaving.id] = leaving, pods[leaving.id].draining = false;
         const auto list = [&] {
             std::vector<discovery::Endpoint> all;
             for (const auto& [_, pod] : pods) all.push_back(pod);
@@ -727,150 +738,158 @@
         };
         ConfigurationCache cache({});
         CPPUNIT_ASSERT(cache.updateEndpoints(list(), 1).is_null());
-        pods[leaves.id] = leaves, pods[comes.id] = comes;
-        CPPUNIT_ASSERT_EQUAL(message("pods_change_draining"), sure(cache.updateEndpoints(list(), 1)));
-        pods.erase(leaves.id);
-        CPPUNIT_ASSERT_EQUAL(message("pods_change_gone"), sure(cache.updateEndpoints(list(), 1)));
+        pods[leaving.id] = leaving, pods[joining.id] = joining;
+        CPPUNIT_ASSERT_EQUAL(message("pods_change_draining"),
+                             withConfirmed(cache.updateEndpoints(list(), 1)));
+        pods.erase(leaving.id);
+        CPPUNIT_ASSERT_EQUAL(message("pods_change_gone"), withConfirmed(cache.updateEndpoints(list(), 1)));
     }
 
-    // Whatever keepers of the register say to each other has the fields that it had: a write, a founding, and
-    // a change of the members.
-    void keepersTalk() {
-        replica_fixture::Cluster cast(4, 4);
+    // All messages between replicas have the fields that they had in the earlier version. Covers a write, the
+    // founding and a change of members.
+    void replicasKeepMessageFields() {
+        replica_fixture::Cluster cluster(4, 4);
         std::set<std::string> kinds;
         std::vector<Json> all;
-        for (auto& node : cast.nodes)
-            node->onDelivered = [&](const PeerConnection&, const Json& told) {
-                const auto kind = told.at("t").get<std::string>();
-                if (kind == "hello") return;  // its kind and name are the host's
-                kinds.insert(kind), all.push_back(told);
+        for (auto& node : cluster.nodes)
+            node->onDelivered = [&](const PeerConnection&, const Json& json) {
+                const auto kind = json.at("t").get<std::string>();
+                if (kind == "hello") return;  // its kind and name are set by the host process
+                kinds.insert(kind), all.push_back(json);
             };
-        cast.until("contact", [&] { return cast.hasQuorumContact({0, 1, 2}); });
-        CPPUNIT_ASSERT_EQUAL(std::string("value"), cast.write(0, "value"));
-        cast.nodes[1]->kill();
-        cast.until("another sits in its place", [&] { return cast.replica(3).isVotingMember(); });
-        cast.until("its word", [&] { return kinds.size() == 6; });
-        for (const auto& told : all) sameFields(told);
+        cluster.until("contact", [&] { return cluster.hasQuorumContact({0, 1, 2}); });
+        CPPUNIT_ASSERT_EQUAL(std::string("value"), cluster.write(0, "value"));
+        cluster.nodes[1]->kill();
+        cluster.until("another node is a member in its place",
+                      [&] { return cluster.replica(3).isVotingMember(); });
+        cluster.until("messages of all kinds were seen", [&] { return kinds.size() == 6; });
+        for (const auto& json : all) checkFields(json);
         CPPUNIT_ASSERT(kinds == (std::set<std::string>{"learn", "ping", "pong", "reg", "reply", "standing"}));
     }
 
-    // The control node's program understands the earlier version's proxies and control nodes, and they it.
-    void controlNodeTalks() {
-        const int internal = freePort();
-        const int from = freePort();
+    // The control node's program exchanges messages with proxies and control nodes of the earlier version.
+    void controlNodeInteroperates() {
+        const int internalPort = freePort();
+        const int firstPort = freePort();
         const std::string ip = "127.0.5.1";
         const std::string other = "127.0.5.2";
         asio::io_context io{1};
-        auto another = message("hello_of_foyer");
-        auto core = message("hello_of_prompter");
-        another["name"] = "f2";
-        core["at"] = core["about"]["at"] = at(other, internal), core["members"] = {at(other, internal)};
-        core["standing"]["epoch"]["number"] = 0;  // of no members that would take the place of its own
-        Played proxy(message("hello_of_foyer"));
-        Played otherProxy(another);
-        Played controlNode(core);
-        tcp::acceptor door(listen(io, at(other, internal)));
-        spawn(io, "links", servePeerConnections(io, door, controlNode.owner));
-        const Program program("prompter", settings("c1", ip, ip, internal, from), scratch_ + "/settings");
+        auto otherProxyHello = message("hello_of_foyer");
+        auto controlNodeHello = message("hello_of_prompter");
+        otherProxyHello["name"] = "f2";
+        controlNodeHello["at"] = controlNodeHello["about"]["at"] = at(other, internalPort),
+        controlNodeHello["members"] = {at(other, internalPort)};
+        // An epoch below that of the program, so that its members are not adopted.
+        controlNodeHello["standing"]["epoch"]["number"] = 0;
+        FakePeer proxy(message("hello_of_foyer"));
+        FakePeer otherProxy(otherProxyHello);
+        FakePeer controlNode(controlNodeHello);
+        tcp::acceptor acceptor(listen(io, at(other, internalPort)));
+        spawn(io, "links", servePeerConnections(io, acceptor, controlNode.owner));
+        const Program program("prompter", settings("c1", ip, ip, internalPort, firstPort),
+                              scratch_ + "/settings");
         std::vector<std::shared_ptr<Dialer>> dialers;
-        for (auto* played : {&proxy, &otherProxy}) {
-            dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), played->owner));
+        for (auto* peer : {&proxy, &otherProxy}) {
+            dialers.push_back(std::make_shared<Dialer>(io, at(ip, internalPort), peer->owner));
             dialers.back()->start();
         }
-        until(io, "both are greeted and enrolled", [&] {
+        until(io, "both proxies have a hello and are in the roster", [&] {
             return proxy.find("hello") && proxy.find("digest") &&
-                   proxy.find("roster", [](const Json& told) { return told.at("foyers").size() == 2; });
+                   proxy.find("roster", [](const Json& json) { return json.at("foyers").size() == 2; });
         });
         const auto rpc = [&](const std::string& call, const std::string& body) {
             std::string answer;
-            until(io, call.c_str(), [&] { return !(answer = ask(at(ip, from), call, body)).empty(); });
+            until(io, call.c_str(), [&] { return !(answer = ask(at(ip, firstPort), call, body)).empty(); });
             return answer;
         };
         const auto status = [&] { return Json::parse(rpc("status", "")); };
-        until(io, "it is in contact", [&] { return status().at("register").at("contact").get<bool>(); });
+        until(io, "it has quorum contact", [&] { return status().at("register").at("contact").get<bool>(); });
         rpc("config.replace", admin::body(bytesOf("values/configuration.bin")));
         rpc("rollouts.begin", R"({"service_name":"s","target_version":"v2","deadline":"3600s"})");
-        until(io, "the proxy is told", [&] {
-            return proxy.find("digest", [](const Json& told) { return told.at("configuration") == 20; }) &&
+        until(io, "the proxy has received the digest and the rollouts", [&] {
+            return proxy.find("digest", [](const Json& json) { return json.at("configuration") == 20; }) &&
                    proxy.find("rollouts");
         });
-        proxy.say("want_configuration");
-        until(io, "it is answered", [&] { return proxy.find("configuration"); });
+        proxy.sendFixture("want_configuration");
+        until(io, "the configuration is received", [&] { return proxy.find("configuration"); });
         CPPUNIT_ASSERT_EQUAL(message("configuration"), *proxy.find("configuration"));
-        proxy.say("want_rollouts"), proxy.say("ack"), proxy.say("lost"), proxy.say("vote_1");
-        until(io, "rollouts come again", [&] {
-            return std::count_if(proxy.heard.begin(), proxy.heard.end(),
-                                 [](const Json& told) { return told.at("t") == "rollouts"; }) > 1;
+        proxy.sendFixture("want_rollouts"), proxy.sendFixture("ack"), proxy.sendFixture("lost"),
+            proxy.sendFixture("vote_1");
+        until(io, "the rollouts are received again", [&] {
+            return std::count_if(proxy.received.begin(), proxy.received.end(),
+                                 [](const Json& json) { return json.at("t") == "rollouts"; }) > 1;
         });
-        until(io, "ack, loss and vote are known", [&] {
-            const auto told = status();
-            return told.at("foyers").at("f1").at("configuration") == "00000010" &&
-                   told.at("foyers").at("f2").at("missed_by") == 1 && told.at("votes").size() == 1 &&
-                   told.at("votes").at(0) == message("vote_1");
+        until(io, "acknowledgement, peer loss and vote are in the status", [&] {
+            const auto json = status();
+            return json.at("foyers").at("f1").at("configuration") == "00000010" &&
+                   json.at("foyers").at("f2").at("missed_by") == 1 && json.at("votes").size() == 1 &&
+                   json.at("votes").at(0) == message("vote_1");
         });
-        proxy.say("digest_of_foyer_with_sums");
-        // As another control node.
-        dialers.push_back(std::make_shared<Dialer>(io, at(ip, internal), controlNode.owner));
+        proxy.sendFixture("digest_of_foyer_with_sums");
+        // Connect as another control node.
+        dialers.push_back(std::make_shared<Dialer>(io, at(ip, internalPort), controlNode.owner));
         dialers.back()->start();
-        until(io, "it dials, pings and says what it knows", [&] {
+        until(io, "hello, ping and known are received", [&] {
             return controlNode.find("hello") && controlNode.find("ping") && controlNode.find("known");
         });
-        const auto send = [&](Json told) {
-            if (const auto link = dialers.back()->connection()) link->send(told);
+        const auto send = [&](Json json) {
+            if (const auto link = dialers.back()->connection()) link->send(json);
         };
         auto ping = message("ping_whole");
         auto known = message("known_with_ages");
-        ping["at"] = ping["about"]["at"] = at(other, internal);
+        ping["at"] = ping["about"]["at"] = at(other, internalPort);
         send(ping);
-        until(io, "it answers", [&] { return controlNode.find("pong"); });
+        until(io, "the pong is received", [&] { return controlNode.find("pong"); });
         CPPUNIT_ASSERT_EQUAL(ping.at("sent"), controlNode.find("pong")->at("sent"));
         CPPUNIT_ASSERT_EQUAL(ping.at("disk"), controlNode.find("pong")->at("of"));
         known["ages"] = {{"s\nv2\n3600000", 500'000, 0, 500'000}};
         send(known);
-        until(io, "it has learnt the order's age", [&] {
-            return controlNode.find("known", [](const Json& told) {
-                return !told.at("ages").empty() && told.at("ages").at(0).at(1).get<int>() >= 500'000;
+        until(io, "the rollout's age is adopted", [&] {
+            return controlNode.find("known", [](const Json& json) {
+                return !json.at("ages").empty() && json.at("ages").at(0).at(1).get<int>() >= 500'000;
             });
         });
         CPPUNIT_ASSERT_EQUAL(
-            numberOf(at(ip, internal)),
+            proposerOf(at(ip, internalPort)),
             messages::decodeProposalNumber(controlNode.find("known")->at("ballots").at("rollouts")).proposer);
         CPPUNIT_ASSERT(status().at("register").at("contact").get<bool>());
     }
 
-    // The proxy's program understands the earlier version's control nodes and proxies, and they it.
-    void proxyTalks() {
-        const int internal = freePort();
-        const int from = freePort();
+    // The proxy's program exchanges messages with control nodes and proxies of the earlier version.
+    void proxyInteroperates() {
+        const int internalPort = freePort();
+        const int firstPort = freePort();
         const std::string ip = "127.0.6.2";
-        const std::string core = "127.0.6.1";
-        const std::string third = "127.0.6.3";
+        const std::string controlNodeIp = "127.0.6.1";
+        const std::string proxyIp = "127.0.6.3";
         asio::io_context io{1};
-        auto hello = message("hello_of_prompter");
-        auto otherProxy = message("hello_of_foyer");
-        hello["at"] = at(core, internal), hello["members"] = {at(core, internal)};
-        otherProxy["name"] = "f9", otherProxy["at"] = at(third, internal);
-        Played controlNode(hello);
-        Played proxy(otherProxy);
-        tcp::acceptor first(listen(io, at(core, internal)));
-        tcp::acceptor another(listen(io, at(third, internal)));
-        spawn(io, "links", servePeerConnections(io, first, controlNode.owner));
-        spawn(io, "links", servePeerConnections(io, another, proxy.owner));
-        const Program program("foyer", settings("e1", ip, core, internal, from), scratch_ + "/settings");
-        until(io, "it says hello", [&] { return controlNode.find("hello"); });
+        auto controlNodeHello = message("hello_of_prompter");
+        auto proxyHello = message("hello_of_foyer");
+        controlNodeHello["at"] = at(controlNodeIp, internalPort),
+        controlNodeHello["members"] = {at(controlNodeIp, internalPort)};
+        proxyHello["name"] = "f9", proxyHello["at"] = at(proxyIp, internalPort);
+        FakePeer controlNode(controlNodeHello);
+        FakePeer proxy(proxyHello);
+        tcp::acceptor controlNodeAcceptor(listen(io, at(controlNodeIp, internalPort)));
+        tcp::acceptor proxyAcceptor(listen(io, at(proxyIp, internalPort)));
+        spawn(io, "links", servePeerConnections(io, controlNodeAcceptor, controlNode.owner));
+        spawn(io, "links", servePeerConnections(io, proxyAcceptor, proxy.owner));
+        const Program program("foyer", settings("e1", ip, controlNodeIp, internalPort, firstPort),
+                              scratch_ + "/settings");
+        until(io, "the hello is received", [&] { return controlNode.find("hello"); });
         CPPUNIT_ASSERT_EQUAL(std::string("e1"), controlNode.find("hello")->at("name").get<std::string>());
-        controlNode.say("heartbeat"), controlNode.say("digest_of_prompter_with_sums");
-        until(io, "it asks", [&] { return controlNode.find("want"); });
+        controlNode.sendFixture("heartbeat"), controlNode.sendFixture("digest_of_prompter_with_sums");
+        until(io, "it requests data", [&] { return controlNode.find("want"); });
         CPPUNIT_ASSERT_EQUAL(20, controlNode.find("want")->at("configuration").get<int>());
         CPPUNIT_ASSERT(controlNode.find("want")->at("rollouts").get<bool>());
-        for (const auto* name : {"configuration", "rollouts", "pods_whole"}) controlNode.say(name);
+        for (const auto* name : {"configuration", "rollouts", "pods_whole"}) controlNode.sendFixture(name);
         until(io, "it has the configuration", [&] {
-            return controlNode.find("ack", [](const Json& told) { return told.at("configuration") == 20; });
+            return controlNode.find("ack", [](const Json& json) { return json.at("configuration") == 20; });
         });
         auto roster = message("roster");
-        roster["foyers"] = {{"f9", at(third, internal)}};
-        controlNode.onHello->send(roster);
-        until(io, "it votes and says hello, digest and counts to the other proxy", [&] {
+        roster["foyers"] = {{"f9", at(proxyIp, internalPort)}};
+        controlNode.helloLink->send(roster);
+        until(io, "it votes and sends hello, digest and counts to the other proxy", [&] {
             return controlNode.find("vote") && proxy.find("hello") && proxy.find("digest") &&
                    proxy.find("counts");
         });
@@ -879,21 +898,21 @@
                              proxy.find("digest")->at("sums"));
         auto counts = message("counts");
         counts["from"] = "f9", counts["rollout"] = "t\nv2";
-        proxy.onHello->send(counts);
-        until(io, "it judges by the sums of both", [&] {
-            return controlNode.find("vote", [](const Json& told) {
-                return told.at("earlier") == 10 && told.at("service") == "t" && told.at("target") == "v2";
+        proxy.helloLink->send(counts);
+        until(io, "it votes by the totals of both proxies", [&] {
+            return controlNode.find("vote", [](const Json& json) {
+                return json.at("earlier") == 10 && json.at("service") == "t" && json.at("target") == "v2";
             });
         });
         ErrorCode ignored;
-        another.close(ignored);
-        proxy.onHello->close();
-        until(io, "it tells the loss", [&] { return controlNode.find("lost"); });
+        proxyAcceptor.close(ignored);
+        proxy.helloLink->close();
+        until(io, "it reports the lost peer", [&] { return controlNode.find("lost"); });
         CPPUNIT_ASSERT_EQUAL(std::string("f9"), controlNode.find("lost")->at("name").get<std::string>());
     }
 
   private:
-    // One call of the operator's; "" where it is not answered with 200.
+    // Calls the admin API. Returns the body, or "" unless the status is 200.
     static std::string ask(const std::string& address, const std::string& call, const std::string& body) {
         asio::io_context io;
         beast::tcp_stream stream(io);
